--- a/src/test/kotlin/micatally/compatibility/MessagesTest.kt
+++ b/src/test/kotlin/micatally/compatibility/MessagesTest.kt
@@ -96,8 +96,8 @@
  *
  * Each file holds one message on one line: JSON as it is, protobuf messages in hexadecimal. What this program reads is
  * parsed from its file and compared field by field with values written out here; what it writes is compared with its
- * file. The files describe what other programs and controllers of former versions send and expect. They change only with the
- * protocol, never because a class or a property in the code has got another name.
+ * file. The files describe what other programs and controllers of former versions send and expect. They change only with
+ * the protocol, never because a class or a property in the code has got another name.
  */
 @OptIn(ExperimentalCoroutinesApi::class)
 class MessagesTest {
