--- /dev/null
+++ b/src/test/kotlin/micatally/compatibility/RecordedRun.kt
@@ -0,0 +1,84 @@
+package micatally.compatibility
+
+import kotlinx.coroutines.launch
+import kotlinx.serialization.ExperimentalSerializationApi
+import kotlinx.serialization.encodeToByteArray
+import kotlinx.serialization.json.JsonObject
+import kotlinx.serialization.protobuf.ProtoBuf
+import micatally.config.ConfigurationPaths
+import micatally.recovery.ArchiveMode
+import micatally.settings.Operator
+import micatally.sim.Meeting
+import micatally.sim.SimFleet
+import micatally.sim.lease
+import micatally.sim.meeting
+import micatally.wire.ConfigurationChange
+import micatally.wire.TeamSetting
+import micatally.wire.child
+import micatally.wire.listOrNull
+import micatally.wire.parseObject
+import micatally.wire.textOrNull
+
+/**
+ * A short run of a simulated fleet that writes values of nearly every kind, and what its controllers asked the state
+ * service to store: for each kind the first different values, as lines of key, blank and value.
+ */
+internal class RecordedRun(
+    private val seed: Int,
+) {
+    private val linesByKind = LinkedHashMap<String, LinkedHashSet<String>>()
+
+    fun lines(): Map<String, List<String>> {
+        meeting(seed, before = { prepare() }) { play() }
+        return linesByKind.mapValues { (_, lines) -> lines.toList() }
+    }
+
+    private fun SimFleet.prepare() {
+        operator =
+            Operator(listOf(0.1, 1.0, 10.0), 2.0, 0.1, 1.3, storesTeams = true, archiveMode = ArchiveMode.ON)
+        holdWriteOf = { _, body ->
+            record(body)
+            null
+        }
+    }
+
+    private fun record(body: String) {
+        for (change in parseObject(body.encodeToByteArray()).listOrNull("then") ?: emptyList()) {
+            val key = (change as JsonObject).textOrNull("put") ?: continue
+            val lines = linesByKind.getOrPut(StoredKind.of(key)) { LinkedHashSet() }
+            if (lines.size < MOST_LINES) lines.add("$key ${change.child("value")}")
+        }
+    }
+
+    private fun Meeting.play() {
+        val service = submit(0, "daemon", 2, "crew" to "vision")
+        val sweep = submit(1, "sweep", 6, "crew" to "text", runMs = 3000)
+        val long = submit(2, "sweep", 3, "crew" to "vision", runMs = HOUR_MS)
+        val gang = submit(0, "gang", 2, "crew" to "text", "together" to true, runMs = HOUR_MS)
+        val gone = submit(1, "sweep", 2, "crew" to "vision", "cards" to 1.0, runMs = HOUR_MS)
+        allRun(listOf(service, long, gang, gone))
+        for (name in tasks(gone).map { it.machine }.distinct()) f.lose(worker(name))
+        cancel(gone, listOf(1))
+        changeTeams()
+        f.runFor(f.lease * 4)
+        for (ref in listOf(sweep, gang, long)) poll(ref)
+        cancel(gang, listOf(0))
+        f.crash(2)
+        f.runFor(f.lease * 2)
+        cancel(long, listOf(0))
+        f.startNode(2)
+        f.runFor(f.lease * 16)
+    }
+
+    @OptIn(ExperimentalSerializationApi::class)
+    private fun Meeting.changeTeams() {
+        val set = listOf(TeamSetting("vision", 1.0, 50.0, 0.0, 20.0), TeamSetting("newcomer", 1.0, 10.0))
+        val change = ConfigurationChange("change-1", 1, "operator", "more for \"vision\"", set, listOf("cards"))
+        f.scope.launch { f.askPeerPort(0, ConfigurationPaths.APPLY, ProtoBuf.encodeToByteArray(change)) }
+    }
+
+    private companion object {
+        const val MOST_LINES = 24
+        const val HOUR_MS = 3_600_000L
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/micatally/compatibility/StoredValuesTest.kt
@@ -0,0 +1,330 @@
+package micatally.compatibility
+
+import kotlinx.coroutines.test.runTest
+import kotlinx.serialization.ExperimentalSerializationApi
+import kotlinx.serialization.decodeFromByteArray
+import kotlinx.serialization.encodeToByteArray
+import kotlinx.serialization.json.JsonArray
+import kotlinx.serialization.json.JsonObject
+import kotlinx.serialization.protobuf.ProtoBuf
+import micatally.config.ChangeCodec
+import micatally.config.Configuration
+import micatally.fleet.Booking
+import micatally.http.HttpCaller
+import micatally.http.HttpRequest
+import micatally.http.Outcome
+import micatally.job.Attempt
+import micatally.job.AttemptState
+import micatally.job.Job
+import micatally.job.JobRecord
+import micatally.job.JobState
+import micatally.job.KillListValue
+import micatally.ledger.Cluster
+import micatally.ledger.Holder
+import micatally.ledger.Keys
+import micatally.ledger.Ledger
+import micatally.ledger.LedgerState
+import micatally.peer.SummaryPieces
+import micatally.quota.TeamAllotments
+import micatally.recovery.ArchivePlan
+import micatally.standin.StateStandin
+import micatally.state.Item
+import micatally.state.Listing
+import micatally.state.RateBudget
+import micatally.state.StateClient
+import micatally.upgrade.UpgradePlan
+import micatally.wire.Flavor
+import micatally.wire.HeardList
+import micatally.wire.RoomSummary
+import micatally.wire.parseObject
+import micatally.wire.text
+import micatally.worker.Machine
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+import java.util.Base64
+
+/**
+ * What is stored in the state service keeps its bytes. The resources under `stored/` hold values as the program wrote them
+ * in a simulated run, one file for each kind of key: each line is a key, a blank and the value. They are read and written
+ * again by the production code, and the run itself has to write them once more.
+ */
+@OptIn(ExperimentalSerializationApi::class)
+class StoredValuesTest {
+    private class Stored(
+        val key: String,
+        val text: String,
+    ) {
+        val value = parseObject(text.encodeToByteArray())
+    }
+
+    private fun lines(kind: String) =
+        javaClass
+            .getResource("/stored/$kind.txt")!!
+            .readText()
+            .trimEnd('\n')
+            .split('\n')
+
+    private fun stored(kind: String): List<Stored> =
+        lines(kind).map { Stored(it.substringBefore(' '), it.substringAfter(' ')) }
+
+    private fun assertUnchanged(
+        stored: Stored,
+        written: JsonObject,
+    ) = assertEquals(stored.text, written.toString(), stored.key)
+
+    private fun cluster(values: List<Stored>) =
+        Cluster().also { it.load(Listing(values.map { value -> Item(value.key, value.value, 1) }, 1)) }
+
+    @Test
+    fun `the keys keep their names`() {
+        val names =
+            listOf(
+                "c/" to Keys.PREFIX,
+                "c/epoch" to Keys.EPOCH,
+                "c/fleet" to Keys.FLEET,
+                "c/format" to Keys.FORMAT,
+                "c/version/" to Keys.VERSION,
+                "c/ledger/" to Keys.LEDGER,
+                "c/live/" to Keys.LIVE,
+                "c/team/" to Keys.TEAM,
+                "s/" to Keys.SUMMARIES,
+                "s/room/" to Keys.ROOM,
+                "c/gone/" to Keys.GONE,
+                "s/heard/" to Keys.HEARD,
+                "c/rent/" to Keys.RENT,
+                "c/kill/" to Keys.KILL,
+                "c/drain/" to Keys.DRAIN,
+                "job/" to Keys.JOB,
+                "final/" to Keys.FINAL,
+                "c/archive/" to Keys.ARCHIVE,
+                "flavors" to Keys.FLAVORS,
+                "part/" to Keys.JOB_PART,
+                "c/config" to Keys.CONFIG,
+                "config/change/" to Keys.CONFIG_CHANGE,
+                "config/snapshot/" to Keys.CONFIG_SNAPSHOT,
+                "config/change/000000000012" to Keys.configChange(12),
+                "config/snapshot/000000000500/" to Keys.configSnapshot(500),
+                "config/part/p-0/" to Keys.configPart("p-0"),
+                "job/j-1" to Keys.job("j-1"),
+                "final/j-1" to Keys.final("j-1"),
+                "c/archive/n0" to Keys.archive("n0"),
+                "part/j-1/2" to Keys.jobPart("j-1", 2),
+                "c/kill/j-1/2" to Keys.killPart("j-1", 2),
+                "c/ledger/n0" to Keys.ledger("n0"),
+                "c/live/n0" to Keys.live("n0"),
+                "c/kill/j-1" to Keys.kill("j-1"),
+                "c/team/vision" to Keys.team("vision"),
+                "c/version/n0" to Keys.version("n0"),
+            )
+        for ((literal, name) in names) assertEquals(literal, name)
+    }
+
+    @Test
+    fun `a simulated run stores the same bytes as it did`() {
+        val run = RecordedRun(SEED).lines()
+        assertEquals(RECORDED_KINDS, run.keys.sorted())
+        for ((kind, lines) in run) assertEquals(lines(kind).joinToString("\n"), lines.joinToString("\n"), kind)
+    }
+
+    private fun decoded(stored: Stored): Job {
+        val record = stored.value
+        val (process, epoch) = JobRecord.holdOf(record).split(':')
+        val name = JobRecord.ledgerOf(record)
+        val ledger = Ledger(name, Holder(name, process, epoch.toLong(), 1)).also { it.become(LedgerState.ACTIVE) }
+        val job = JobRecord.decode(stored.key.substringAfter('/'), record, ledger, 1)
+        val machines = HashMap<String, Machine>()
+        for (p in JobRecord.placed(record)) {
+            val machine = machines.getOrPut(p.machine) { Machine(p.machine, p.addr, p.type, p.zone, p.spot) }
+            job.attempts[p.taskIndex] =
+                Attempt(job, p.taskIndex, p.number, machine, p.session, job.service, AttemptState.ORDERED)
+        }
+        return job
+    }
+
+    @Test
+    fun `job records of all states`() {
+        val records = stored("job") + stored("final")
+        for (record in records) assertUnchanged(record, JobRecord.encode(decoded(record)))
+        val states = records.map { JobRecord.state(it.value) }
+        for (state in listOf(JobState.OPEN, JobState.DONE, JobState.WITHDRAWN)) assertTrue(state in states, "$state")
+        val jobs = records.map { decoded(it) }
+        assertTrue(jobs.any { it.spec?.isGang == true } && jobs.any { it.spec?.isService == true })
+        assertTrue(jobs.any { it.attempts.isNotEmpty() && it.state == JobState.WITHDRAWN }, "withdrawn with tasks")
+        assertTrue(jobs.any { it.done.cardinality() in 1 until it.taskCount }, "partly done")
+    }
+
+    @Test
+    fun `kill lists`() {
+        for (list in stored("c-kill")) {
+            val rows = KillListValue.rows(list.value)
+            assertTrue(rows.isNotEmpty())
+            assertUnchanged(list, KillListValue.of(JsonArray(rows)))
+        }
+        // The run was recorded up to the withdrawal of these two jobs.
+        for (ref in listOf("j-000004", "j-000005")) {
+            val withdrawn = stored("job").filter { it.key == "job/$ref" && "\"e\":\"w\"" in it.text }
+            val written = withdrawn.map { JobRecord.encodeTasks(decoded(it)).toString() }
+            assertTrue(stored("c-kill").single { it.key == "c/kill/$ref" }.text in written, ref)
+        }
+    }
+
+    @Test
+    fun `epoch, ledgers, live keys and the fleet's holder`() {
+        for (epoch in stored("c-epoch")) assertEquals(epoch.text, "{\"n\":${cluster(listOf(epoch)).epoch}}")
+        for (ledger in stored("c-ledger")) {
+            val holder = cluster(listOf(ledger)).holder(ledger.key.removePrefix("c/ledger/"))!!
+            val text = "{\"host\":\"${holder.host}\",\"process\":\"${holder.process}\",\"epoch\":${holder.epoch}}"
+            assertEquals(ledger.text, text)
+        }
+        for (live in stored("c-live")) {
+            val host = live.key.removePrefix("c/live/")
+            assertTrue(cluster(listOf(live)).isLive(host))
+            val process = live.value.text("process")
+            assertEquals("{\"process\":\"$process\",\"format\":3,\"archive\":1}", live.text)
+        }
+        for (fleet in stored("c-fleet")) {
+            val value = fleet.value
+            assertEquals("{\"host\":\"${value.text("host")}\",\"process\":\"${value.text("process")}\"}", fleet.text)
+        }
+    }
+
+    @Test
+    fun `versions, formats, archive announcements, drains and machines that are gone`() {
+        for (version in stored("c-version")) {
+            assertEquals("{\"n\":3}", version.text)
+            assertEquals(3L, UpgradePlan.announced(cluster(listOf(version)), version.key.removePrefix("c/version/")))
+        }
+        for (format in stored("c-format")) {
+            assertEquals(format.text, "{\"n\":${UpgradePlan.format(cluster(listOf(format)))}}")
+        }
+        val archives = stored("c-archive")
+        assertTrue(archives.all { it.text == "{\"n\":1}" })
+        val hosts = archives.map { it.key.removePrefix("c/archive/") }
+        val shared = cluster(archives + stored("c-live").distinctBy { it.key })
+        assertTrue(ArchivePlan.mayMove(shared, hosts))
+        assertFalse(ArchivePlan.mayMove(cluster(archives.drop(1)), hosts))
+        for (drain in stored("c-drain")) assertEquals("{\"by\":\"${drain.value.text("by")}\"}", drain.text)
+        for (gone in stored("c-gone")) assertEquals("{}", gone.text)
+    }
+
+    @Test
+    fun `allotments of teams`() {
+        for (team in stored("c-team")) {
+            val allotments = TeamAllotments.decode(1, team.value)
+            for (ledger in team.value.keys) {
+                assertUnchanged(team, allotments.encodeWith(ledger, allotments.of(ledger)))
+            }
+        }
+    }
+
+    @Test
+    fun `bookings and machine types`() {
+        for (rent in stored("c-rent")) assertUnchanged(rent, Booking.parse(rent.key, rent.value).toJson())
+        assertTrue(stored("c-rent").any { Booking.parse(it.key, it.value).machines.isNotEmpty() })
+        val types = Flavor.parseAll(stored("flavors").single().value)
+        assertEquals(listOf("small", "g8"), types.map { it.label })
+        assertEquals(listOf(8.0, 96.0), types.map { it.amount.cores })
+        assertEquals(listOf(0.3, 6.0), listOf(types[0].spotHourly, types[0].readyS))
+        assertEquals(listOf("a", "b", "c"), types[1].zones)
+    }
+
+    /** The value that the writer of summaries stores for these bytes. */
+    private fun written(bytes: ByteArray): String {
+        var text = ""
+        runTest {
+            val service = StateStandin(nowMs = { testScheduler.currentTime })
+            val http =
+                HttpCaller { _, method, target, body, _ ->
+                    val response = service.handle(HttpRequest(method, target, body ?: ByteArray(0)))
+                    Outcome.Answer(response.status, response.body)
+                }
+            val budget = RateBudget(backgroundScope, 10_000.0, { testScheduler.currentTime })
+            val pieces = SummaryPieces(StateClient(http, "state", budget, budget, 500), 1 shl 20, "s/room/n0")
+            pieces.write(listOf("m"), 1, { _, names -> names }) { _, _ -> bytes }
+            text = service.value("s/room/n0/0").toString()
+        }
+        return text
+    }
+
+    private fun bytesOf(stored: Stored) = Base64.getDecoder().decode(stored.value.text("b"))
+
+    @Test
+    fun `summaries of room and of machines that were heard`() {
+        for (room in stored("s-room")) {
+            val summary = ProtoBuf.decodeFromByteArray<RoomSummary>(bytesOf(room))
+            assertEquals(room.text, written(ProtoBuf.encodeToByteArray(summary)), room.key)
+            assertEquals(room.key.split('/')[2], summary.host)
+        }
+        for (heard in stored("s-heard")) {
+            val list = ProtoBuf.decodeFromByteArray<HeardList>(bytesOf(heard))
+            assertEquals(heard.text, written(ProtoBuf.encodeToByteArray(list)), heard.key)
+        }
+    }
+
+    @Test
+    fun `head and changes of the configuration`() {
+        for (head in stored("c-config")) assertUnchanged(head, ChangeCodec.encode(ChangeCodec.head(head.value)))
+        val groups = stored("config-change")
+        for (group in groups) {
+            val changes = ChangeCodec.changes(group.value).map { ChangeCodec.encode(it.record, it.parts, it.stage) }
+            assertUnchanged(group, ChangeCodec.group(changes))
+        }
+        val change = ChangeCodec.changes(groups.last().value).single().record
+        assertEquals("change-1", change.id)
+        assertEquals("operator", change.author)
+        assertEquals("more for \"vision\"", change.reason)
+        assertEquals(listOf("vision", "newcomer"), change.set.map { it.name })
+        assertEquals(listOf("cards"), change.remove)
+        assertEquals(listOf(1.0, 50.0, 0.0, 20.0), change.set[0].run { listOf(cores, coresMax, cards, cardsMax) })
+    }
+
+    @Test
+    fun `snapshots and parts of large changes of the configuration`() {
+        val values = stored("config-snapshot")
+        val entries = values.flatMap { ChangeCodec.entries(it.value) }
+        val snapshot = ChangeCodec.snapshot(Configuration.of(500, entries), VALUE_BYTES)
+        assertEquals(values.map { it.text }, snapshot.map { it.toString() })
+        assertEquals(listOf(true, false, false), entries.map { it.isRemoved })
+        val head = ChangeCodec.changes(stored("config-staged").single().value).single()
+        val parts = stored("config-part")
+        assertEquals(2 to "p-0", head.parts to head.stage)
+        val whole = ChangeCodec.joined(head, parts.map { it.value })
+        assertEquals(parts.map { it.text }, ChangeCodec.parts(whole, PART_BYTES).map { it.toString() })
+        assertEquals(listOf("a", "b", "c"), whole.set.map { it.name })
+        assertEquals(listOf("d"), whole.remove)
+        val again = ChangeCodec.encode(head.record, head.parts, head.stage)
+        assertEquals(stored("config-staged").single().text, ChangeCodec.group(listOf(again)).toString())
+    }
+
+    private companion object {
+        const val SEED = 7
+        const val VALUE_BYTES = 270
+        const val PART_BYTES = 220
+
+        /** Kinds that the simulated run writes; the others are too large for it and stand in resources of their own. */
+        val RECORDED_KINDS =
+            listOf(
+                "c-archive",
+                "c-config",
+                "c-drain",
+                "c-epoch",
+                "c-fleet",
+                "c-format",
+                "c-gone",
+                "c-kill",
+                "c-ledger",
+                "c-live",
+                "c-rent",
+                "c-team",
+                "c-version",
+                "config-change",
+                "final",
+                "flavors",
+                "job",
+                "s-heard",
+                "s-room",
+            )
+    }
+}
