--- a/src/main/kotlin/micatally/api/UserApi.kt
+++ b/src/main/kotlin/micatally/api/UserApi.kt
@@ -22,7 +22,7 @@
 import micatally.settings.Settings
 import micatally.settings.TeamDirectory
 import micatally.state.ReadResult
-import micatally.state.StateClient
+import micatally.state.StateStoreClient
 import micatally.state.Urgency
 import micatally.upgrade.Upgrade
 import micatally.wire.Format
@@ -40,7 +40,7 @@
 class UserApi(
     private val settings: Settings,
     private val teams: TeamDirectory,
-    private val state: StateClient,
+    private val state: StateStoreClient,
     private val membership: Membership,
     private val owner: Owner,
     private val store: JobStore,
--- a/src/main/kotlin/micatally/config/ConfigurationSeed.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationSeed.kt
@@ -6,11 +6,11 @@
 import micatally.ledger.Cluster
 import micatally.ledger.Keys
 import micatally.settings.Settings
-import micatally.state.Condition
+import micatally.state.Compare
 import micatally.state.Put
-import micatally.state.StateClient
-import micatally.state.Txn
-import micatally.state.TxnResult
+import micatally.state.StateStoreClient
+import micatally.state.Transaction
+import micatally.state.TransactionResult
 import micatally.state.Urgency
 import org.slf4j.LoggerFactory
 
@@ -18,7 +18,7 @@
 class ConfigurationSeed(
     private val scope: CoroutineScope,
     private val settings: Settings,
-    private val state: StateClient,
+    private val state: StateStoreClient,
     private val cluster: Cluster,
     private val store: ConfigurationStore,
     private val mayWrite: () -> Boolean,
@@ -51,11 +51,11 @@
         val head = ChangeCodec.encode(ConfigurationHead(FIRST, 0L, 0))
         val group = Put(Keys.configChange(FIRST), ChangeCodec.group(listOf(value)))
         val result =
-            state.txn(2, Urgency.ACCEPTANCE) {
-                if (isDue) Txn(listOf(Condition(Keys.CONFIG, 0L)), listOf(Put(Keys.CONFIG, head), group)) else null
+            state.transact(2, Urgency.ACCEPTANCE) {
+                if (isDue) Transaction(listOf(Compare(Keys.CONFIG, 0L)), listOf(Put(Keys.CONFIG, head), group)) else null
             }
-        if (result is TxnResult.Applied) log.info("configuration stored: {} teams of the settings file", teams.size)
-        return result is TxnResult.Applied
+        if (result is TransactionResult.Applied) log.info("configuration stored: {} teams of the settings file", teams.size)
+        return result is TransactionResult.Applied
     }
 
     private companion object {
--- a/src/main/kotlin/micatally/config/ConfigurationService.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationService.kt
@@ -5,14 +5,14 @@
 import micatally.ledger.Membership
 import micatally.settings.Settings
 import micatally.settings.TeamDirectory
-import micatally.state.StateClient
+import micatally.state.StateStoreClient
 import micatally.upgrade.Upgrade
 
 /** The parts of the stored configuration on one controller, put together. */
 class ConfigurationService(
     scope: CoroutineScope,
     settings: Settings,
-    state: StateClient,
+    state: StateStoreClient,
     private val membership: Membership,
     upgrade: Upgrade,
     http: HttpCaller,
--- a/src/main/kotlin/micatally/config/ConfigurationStore.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationStore.kt
@@ -2,15 +2,15 @@
 
 import kotlinx.serialization.json.JsonObject
 import micatally.ledger.Keys
-import micatally.state.Change
+import micatally.state.Write
 import micatally.state.Delete
-import micatally.state.Item
+import micatally.state.KeyValue
 import micatally.state.Put
 import micatally.state.ReadResult
-import micatally.state.StateClient
+import micatally.state.StateStoreClient
 import micatally.state.StateLimits
-import micatally.state.Txn
-import micatally.state.TxnResult
+import micatally.state.Transaction
+import micatally.state.TransactionResult
 import micatally.state.Urgency
 
 /** What became of looking at the stored head. */
@@ -31,7 +31,7 @@
  * number of changes. Changes are written in one transaction with the head.
  */
 class ConfigurationStore(
-    private val state: StateClient,
+    private val state: StateStoreClient,
     private val limits: StateLimits,
     /** Names this process, so that no two ever write the same values of a large change. */
     private val process: String,
@@ -95,7 +95,7 @@
         return Configuration.EMPTY
     }
 
-    private fun versionIn(item: Item) =
+    private fun versionIn(item: KeyValue) =
         item.key
             .removePrefix(Keys.CONFIG_SNAPSHOT)
             .substringBefore('/')
@@ -134,7 +134,7 @@
         val stage = "$process-${stages++}"
         for ((i, part) in parts.withIndex()) {
             val put = Put(Keys.configPart(stage) + "%04d".format(i), part)
-            if (state.txn(1, Urgency.ACCEPTANCE) { Txn(emptyList(), listOf(put)) } !is TxnResult.Applied) return null
+            if (state.transact(1, Urgency.ACCEPTANCE) { Transaction(emptyList(), listOf(put)) } !is TransactionResult.Applied) return null
         }
         return ChangeCodec.encode(change, parts.size, stage)
     }
@@ -144,7 +144,7 @@
         val parts = ChangeCodec.snapshot(configuration, limits.valueBytes)
         for ((i, part) in parts.withIndex()) {
             val put = Put(Keys.configSnapshot(configuration.version) + "%04d".format(i), part)
-            if (state.txn(1, Urgency.SUMMARY) { Txn(emptyList(), listOf(put)) } !is TxnResult.Applied) return null
+            if (state.transact(1, Urgency.SUMMARY) { Transaction(emptyList(), listOf(put)) } !is TransactionResult.Applied) return null
         }
         return parts.size
     }
@@ -159,8 +159,8 @@
                 .flatMap { ChangeCodec.changes(it.value) }
                 .filter { it.parts > 0 }
                 .flatMap { change -> state.list(Keys.configPart(change.stage), Urgency.SUMMARY)?.items ?: return }
-        val deletes: List<Change> =
+        val deletes: List<Write> =
             (old + parts + snapshots.filter { versionIn(it) < version }).map { Delete(it.key) }
-        for (some in deletes.chunked(limits.txnOps)) state.txn(some.size, Urgency.SUMMARY) { Txn(emptyList(), some) }
+        for (some in deletes.chunked(limits.maxOperationsPerTransaction)) state.transact(some.size, Urgency.SUMMARY) { Transaction(emptyList(), some) }
     }
 }
--- a/src/main/kotlin/micatally/config/ConfigurationWriter.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationWriter.kt
@@ -9,11 +9,11 @@
 import micatally.ledger.Cluster
 import micatally.ledger.Keys
 import micatally.settings.Settings
-import micatally.state.Condition
+import micatally.state.Compare
 import micatally.state.Put
-import micatally.state.StateClient
-import micatally.state.Txn
-import micatally.state.TxnResult
+import micatally.state.StateStoreClient
+import micatally.state.Transaction
+import micatally.state.TransactionResult
 import micatally.state.Urgency
 import micatally.wire.ChangeAnswer
 import micatally.wire.ChangeStatus
@@ -30,7 +30,7 @@
 class ConfigurationWriter(
     private val scope: CoroutineScope,
     private val settings: Settings,
-    private val state: StateClient,
+    private val state: StateStoreClient,
     private val cluster: Cluster,
     private val live: LiveConfiguration,
     private val store: ConfigurationStore,
@@ -112,15 +112,15 @@
             delay(retryMs)
             return
         }
-        val mark = cluster.mark(Keys.CONFIG)
+        val modRevision = cluster.modRevision(Keys.CONFIG)
         val batch = stageSome()
         if (batch.isEmpty()) return
         val newest = batch.last().record.version
         val nextHead = ChangeCodec.encode(ConfigurationHead(newest, head.snapshot, head.snapshotParts))
         val group = Put(Keys.configChange(newest), ChangeCodec.group(batch.map { it.value }))
-        val txn = Txn(listOf(Condition(Keys.CONFIG, mark)), listOf(Put(Keys.CONFIG, nextHead), group))
+        val transact = Transaction(listOf(Compare(Keys.CONFIG, modRevision)), listOf(Put(Keys.CONFIG, nextHead), group))
         batch.forEach { it.pending.hasLeft = true }
-        if (commit(txn)) live.awaitVersion(newest, answerMs) else catchUp(mark)
+        if (commit(transact)) live.awaitVersion(newest, answerMs) else catchUp(modRevision)
         for (staged in batch) settle(staged.pending)
         compact()
     }
@@ -170,13 +170,13 @@
      * Whether the transaction was applied by this call. After silence it may yet be carried out, so it is repeated, under the
      * same condition, until an answer shows that it has been or can't be any more.
      */
-    private suspend fun commit(txn: Txn): Boolean {
+    private suspend fun commit(transact: Transaction): Boolean {
         var wasSilent = false
         while (true) {
-            when (state.txn(txn.changes.size, Urgency.ACCEPTANCE) { txn }) {
-                is TxnResult.Applied -> return true
-                is TxnResult.Failed -> return false
-                TxnResult.Unknown -> wasSilent = true
+            when (state.transact(transact.changes.size, Urgency.ACCEPTANCE) { transact }) {
+                is TransactionResult.Applied -> return true
+                is TransactionResult.Failed -> return false
+                TransactionResult.Unknown -> wasSilent = true
                 else -> if (!wasSilent) return false
             }
             delay(retryMs)
@@ -184,9 +184,9 @@
     }
 
     /** Another writer was first, or this one's answer was lost: waits until the newer head is known here. */
-    private suspend fun catchUp(mark: Long) {
+    private suspend fun catchUp(modRevision: Long) {
         refreshView()
-        if (cluster.mark(Keys.CONFIG) == mark) delay(retryMs)
+        if (cluster.modRevision(Keys.CONFIG) == modRevision) delay(retryMs)
         live.head?.let { live.awaitVersion(it.version, answerMs) }
     }
 
@@ -207,11 +207,11 @@
         val head = live.head ?: return
         val configuration = live.configuration
         if (configuration.version != head.version || head.version - head.snapshot < SNAPSHOT_EVERY) return
-        val mark = cluster.mark(Keys.CONFIG)
+        val modRevision = cluster.modRevision(Keys.CONFIG)
         val parts = store.writeSnapshot(configuration) ?: return
         val next = ChangeCodec.encode(ConfigurationHead(head.version, head.version, parts))
-        val txn = Txn(listOf(Condition(Keys.CONFIG, mark)), listOf(Put(Keys.CONFIG, next)))
-        if (commit(txn) && head.snapshot > 0) store.prune(head.snapshot)
+        val transact = Transaction(listOf(Compare(Keys.CONFIG, modRevision)), listOf(Put(Keys.CONFIG, next)))
+        if (commit(transact) && head.snapshot > 0) store.prune(head.snapshot)
         // The next change must be checked against the head that was just written.
         refreshView()
     }
--- a/src/main/kotlin/micatally/fleet/Deletions.kt
+++ b/src/main/kotlin/micatally/fleet/Deletions.kt
@@ -8,9 +8,9 @@
 import micatally.settings.Settings
 import micatally.state.Delete
 import micatally.state.Put
-import micatally.state.StateClient
-import micatally.state.Txn
-import micatally.state.TxnResult
+import micatally.state.StateStoreClient
+import micatally.state.Transaction
+import micatally.state.TransactionResult
 import micatally.state.Urgency
 import micatally.wire.EMPTY_OBJECT
 import org.slf4j.LoggerFactory
@@ -19,7 +19,7 @@
 class Deletions(
     private val scope: CoroutineScope,
     private val settings: Settings,
-    private val state: StateClient,
+    private val state: StateStoreClient,
     private val cloud: CloudClient,
     private val cluster: Cluster,
     private val mayDelete: () -> Boolean,
@@ -58,25 +58,25 @@
         if (!mayDelete() || !cloud.delete(names)) return
         log.info("machines deleted: {}", names)
         goneAt.putAll(names.associateWith { nowMs() })
-        for (part in names.chunked(maxOf(1, settings.txnOps / 2))) {
-            while (state.txn(part.size, Urgency.INTENT) { proof(part) } !is TxnResult.Applied) {
+        for (part in names.chunked(maxOf(1, settings.maxOperationsPerTransaction / 2))) {
+            while (state.transact(part.size, Urgency.INTENT) { proof(part) } !is TransactionResult.Applied) {
                 delay(settings.leaseMs / REPEAT_SHARE)
             }
         }
     }
 
-    private fun proof(names: List<String>): Txn {
+    private fun proof(names: List<String>): Transaction {
         val drained = names.map { Keys.DRAIN + it }.filter { cluster.has(it) }
-        return Txn(emptyList(), names.map { Put(Keys.GONE + it, EMPTY_OBJECT) } + drained.map { Delete(it) })
+        return Transaction(emptyList(), names.map { Put(Keys.GONE + it, EMPTY_OBJECT) } + drained.map { Delete(it) })
     }
 
     /** Old proofs are dropped; a machine whose proof is missed is simply deleted again. */
     suspend fun prune() {
         val oldest = nowMs() - settings.leaseMs * KEPT_LEASES
-        val old = goneAt.filterValues { it < oldest }.keys.take(settings.txnOps / 2)
+        val old = goneAt.filterValues { it < oldest }.keys.take(settings.maxOperationsPerTransaction / 2)
         if (old.isEmpty() || !mayDelete()) return
-        val dropped = state.txn(old.size, Urgency.SUMMARY) { Txn(emptyList(), old.map { Delete(Keys.GONE + it) }) }
-        if (dropped is TxnResult.Applied) goneAt.keys.removeAll(old.toSet())
+        val dropped = state.transact(old.size, Urgency.SUMMARY) { Transaction(emptyList(), old.map { Delete(Keys.GONE + it) }) }
+        if (dropped is TransactionResult.Applied) goneAt.keys.removeAll(old.toSet())
     }
 
     private companion object {
--- a/src/main/kotlin/micatally/fleet/Drains.kt
+++ b/src/main/kotlin/micatally/fleet/Drains.kt
@@ -8,12 +8,12 @@
 import micatally.ledger.Keys
 import micatally.settings.Operator
 import micatally.settings.Settings
-import micatally.state.Change
-import micatally.state.Condition
+import micatally.state.Write
+import micatally.state.Compare
 import micatally.state.Delete
 import micatally.state.Put
-import micatally.state.StateClient
-import micatally.state.Txn
+import micatally.state.StateStoreClient
+import micatally.state.Transaction
 import micatally.state.Urgency
 import micatally.wire.Demand
 import micatally.worker.Machine
@@ -27,7 +27,7 @@
 class Drains(
     private val scope: CoroutineScope,
     private val settings: Settings,
-    private val state: StateClient,
+    private val state: StateStoreClient,
     private val cluster: Cluster,
     private val machines: Machines,
     private val rentals: Rentals,
@@ -173,7 +173,7 @@
     ) {
         drains[m.name] = Drain(now, to)
         log.info("machine {} drained: {}", m.name, reason)
-        write { Txn(emptyList(), listOf(drainOf(m.name))) }
+        write { Transaction(emptyList(), listOf(drainOf(m.name))) }
     }
 
     private fun keep(
@@ -184,11 +184,11 @@
         drains.remove(m.name)
         keptUntil[m.name] = now + machines.bootMs(m.type) * KEPT_BOOTS
         log.info("machine {} kept: {}", m.name, reason)
-        write { Txn(emptyList(), listOf(Delete(Keys.DRAIN + m.name))) }
+        write { Transaction(emptyList(), listOf(Delete(Keys.DRAIN + m.name))) }
     }
 
-    private fun write(build: () -> Txn?) {
-        scope.launch { state.txn(1, Urgency.SUMMARY, build) }
+    private fun write(build: () -> Transaction?) {
+        scope.launch { state.transact(1, Urgency.SUMMARY, build) }
     }
 
     /**
@@ -203,7 +203,7 @@
         val surplus = listed.filter { it.key.removePrefix(Keys.DRAIN) !in drains }
         val missing = drains.keys.filter { it !in names }
         // Only what was off at the last look too: the usual write is under way.
-        for (item in surplus) if (item.key in keysOff) write { conditional(item.key, item.mark, Delete(item.key)) }
+        for (item in surplus) if (item.key in keysOff) write { conditional(item.key, item.modRevision, Delete(item.key)) }
         for (name in missing) {
             val key = Keys.DRAIN + name
             if (key in keysOff) write { if (name in drains) conditional(key, 0, drainOf(name)) else null }
@@ -213,9 +213,9 @@
 
     private fun conditional(
         key: String,
-        mark: Long,
-        change: Change,
-    ) = Txn(listOf(Condition(key, mark)), listOf(change))
+        modRevision: Long,
+        change: Write,
+    ) = Transaction(listOf(Compare(key, modRevision)), listOf(change))
 
     private companion object {
         const val EPSILON = 1e-6
--- a/src/main/kotlin/micatally/fleet/FleetManager.kt
+++ b/src/main/kotlin/micatally/fleet/FleetManager.kt
@@ -11,11 +11,11 @@
 import micatally.ledger.Membership
 import micatally.settings.Operator
 import micatally.settings.Settings
-import micatally.state.Condition
+import micatally.state.Compare
 import micatally.state.Put
-import micatally.state.StateClient
-import micatally.state.Txn
-import micatally.state.TxnResult
+import micatally.state.StateStoreClient
+import micatally.state.Transaction
+import micatally.state.TransactionResult
 import micatally.state.Urgency
 import micatally.wire.Demand
 import micatally.wire.ListedMachine
@@ -40,7 +40,7 @@
     private val scope: CoroutineScope,
     http: HttpCaller,
     private val settings: Settings,
-    private val state: StateClient,
+    private val state: StateStoreClient,
     private val cloud: CloudClient,
     private val membership: Membership,
     private val machines: Machines,
@@ -80,7 +80,7 @@
     /** The machine types have become known. */
     var onFlavors: () -> Unit = {}
 
-    val isLeader get() = term > 0 && cluster.mark(Keys.FLEET) == term
+    val isLeader get() = term > 0 && cluster.modRevision(Keys.FLEET) == term
 
     /** Machines whose end an owner needs proven. */
     fun retire(names: List<String>) = deletions.want(names)
@@ -107,7 +107,7 @@
             // The answer that gave it the key was lost: nobody else can take it while this node lives.
             val isOwn = cluster.value(Keys.FLEET)?.textOrNull("process") == membership.process
             if (isOwn) {
-                begin(cluster.mark(Keys.FLEET))
+                begin(cluster.modRevision(Keys.FLEET))
             } else if (!cluster.has(Keys.FLEET)) {
                 acquire(lease)
             }
@@ -122,11 +122,11 @@
                 put("process", membership.process)
             }
         val result =
-            state.txn(1, Urgency.SUMMARY) {
-                val conditions = listOf(Condition(Keys.FLEET, 0), Condition(live, cluster.mark(live)))
-                Txn(conditions, listOf(Put(Keys.FLEET, holder, lease)))
+            state.transact(1, Urgency.SUMMARY) {
+                val conditions = listOf(Compare(Keys.FLEET, 0), Compare(live, cluster.modRevision(live)))
+                Transaction(conditions, listOf(Put(Keys.FLEET, holder, lease)))
             }
-        if (result !is TxnResult.Applied) {
+        if (result !is TransactionResult.Applied) {
             delay(settings.liveMs / TRIES_A_LIFE)
             return
         }
@@ -134,8 +134,8 @@
         begin(result.revision)
     }
 
-    private fun begin(mark: Long) {
-        term = mark
+    private fun begin(modRevision: Long) {
+        term = modRevision
         termSince = nowMs()
         neededAt = termSince
         log.info("fleet key held, term {}", term)
--- a/src/main/kotlin/micatally/fleet/MachineTypes.kt
+++ b/src/main/kotlin/micatally/fleet/MachineTypes.kt
@@ -7,9 +7,9 @@
 import micatally.settings.Settings
 import micatally.state.Put
 import micatally.state.ReadResult
-import micatally.state.StateClient
-import micatally.state.Txn
-import micatally.state.TxnResult
+import micatally.state.StateStoreClient
+import micatally.state.Transaction
+import micatally.state.TransactionResult
 import micatally.state.Urgency
 import micatally.wire.Flavor
 import micatally.wire.WireError
@@ -19,7 +19,7 @@
 /** Keeps the machine types known here: from the cloud, or from the state service while the cloud can't be asked. */
 class MachineTypes(
     private val settings: Settings,
-    private val state: StateClient,
+    private val state: StateStoreClient,
     private val cloud: CloudClient,
     private val machines: Machines,
     private val isLeader: () -> Boolean,
@@ -49,8 +49,8 @@
         take(fresh)
         val text = fresh.toString()
         if (text == stored || RecordPacking.size(fresh) > settings.valueBytes) return
-        val written = state.txn(1, Urgency.SUMMARY) { Txn(emptyList(), listOf(Put(Keys.FLAVORS, fresh))) }
-        if (written is TxnResult.Applied) stored = text
+        val written = state.transact(1, Urgency.SUMMARY) { Transaction(emptyList(), listOf(Put(Keys.FLAVORS, fresh))) }
+        if (written is TransactionResult.Applied) stored = text
     }
 
     private fun take(answer: JsonObject) {
--- a/src/main/kotlin/micatally/fleet/Renting.kt
+++ b/src/main/kotlin/micatally/fleet/Renting.kt
@@ -6,12 +6,12 @@
 import micatally.ledger.Cluster
 import micatally.ledger.Keys
 import micatally.settings.Settings
-import micatally.state.Condition
+import micatally.state.Compare
 import micatally.state.Delete
 import micatally.state.Put
-import micatally.state.StateClient
-import micatally.state.Txn
-import micatally.state.TxnResult
+import micatally.state.StateStoreClient
+import micatally.state.Transaction
+import micatally.state.TransactionResult
 import micatally.state.Urgency
 import micatally.wire.Demand
 import micatally.worker.Machines
@@ -21,7 +21,7 @@
 class Renting(
     private val scope: CoroutineScope,
     private val settings: Settings,
-    private val state: StateClient,
+    private val state: StateStoreClient,
     private val cloud: CloudClient,
     private val cluster: Cluster,
     private val machines: Machines,
@@ -87,10 +87,10 @@
     private fun decide(booking: Booking) =
         carryOut(booking) {
             val stored =
-                state.txn(1, Urgency.INTENT) {
-                    Txn(listOf(Condition(Keys.FLEET, term)), listOf(Put(Keys.RENT + booking.name, booking.toJson())))
+                state.transact(1, Urgency.INTENT) {
+                    Transaction(listOf(Compare(Keys.FLEET, term)), listOf(Put(Keys.RENT + booking.name, booking.toJson())))
                 }
-            if (stored is TxnResult.Applied) book(booking)
+            if (stored is TransactionResult.Applied) book(booking)
         }
 
     private fun carryOut(
@@ -160,14 +160,14 @@
     private suspend fun keepNote(booking: Booking) {
         answered[booking.name] = booking
         val key = Keys.RENT + booking.name
-        state.txn(1, Urgency.SUMMARY) {
+        state.transact(1, Urgency.SUMMARY) {
             val isNoted = cluster.has(key) && booking.name in answered
-            if (isNoted) Txn(listOf(Condition(key, cluster.mark(key))), listOf(Put(key, booking.toJson()))) else null
+            if (isNoted) Transaction(listOf(Compare(key, cluster.modRevision(key))), listOf(Put(key, booking.toJson()))) else null
         }
     }
 
     private suspend fun dropNote(name: String) {
-        state.txn(1, Urgency.SUMMARY) { Txn(emptyList(), listOf(Delete(Keys.RENT + name))) }
+        state.transact(1, Urgency.SUMMARY) { Transaction(emptyList(), listOf(Delete(Keys.RENT + name))) }
     }
 
     /**
--- a/src/main/kotlin/micatally/job/Job.kt
+++ b/src/main/kotlin/micatally/job/Job.kt
@@ -51,7 +51,7 @@
     var confirmableRecorded = false
 
     // What the store keeps about writing the record.
-    var mark = 0L
+    var modRevision = 0L
 
     /** Further values that the stored record and its kill list take. */
     var storedOverflow = 0
--- a/src/main/kotlin/micatally/job/JobRecord.kt
+++ b/src/main/kotlin/micatally/job/JobRecord.kt
@@ -170,7 +170,7 @@
         ref: String,
         o: JsonObject,
         ledger: Ledger,
-        mark: Long,
+        modRevision: Long,
     ): Job {
         val spec = o.child("s")?.let { JobSpec.parse(it) }
         val state = state(o)
@@ -187,7 +187,7 @@
         job.nextAttempt = o.longOrNull("n") ?: 1L
         job.service = o.numberOrNull("v") ?: 0.0
         job.queue = (o.longOrNull("q") ?: 0L).toInt()
-        job.mark = mark
+        job.modRevision = modRevision
         job.durableState = state
         job.withdrawalConfirmable = state == JobState.WITHDRAWN && isWithdrawalConfirmable(o)
         job.confirmableRecorded = job.withdrawalConfirmable
--- a/src/main/kotlin/micatally/job/JobStore.kt
+++ b/src/main/kotlin/micatally/job/JobStore.kt
@@ -7,11 +7,11 @@
 import micatally.ledger.Keys
 import micatally.ledger.Ledger
 import micatally.recovery.RecordLookup
-import micatally.state.Condition
+import micatally.state.Compare
 import micatally.state.ReadResult
-import micatally.state.StateClient
-import micatally.state.Txn
-import micatally.state.TxnResult
+import micatally.state.StateStoreClient
+import micatally.state.Transaction
+import micatally.state.TransactionResult
 import micatally.state.Urgency
 import org.slf4j.LoggerFactory
 
@@ -19,7 +19,7 @@
  * that the record is the one last seen: a write whose answer was lost and which comes late then changes nothing. */
 class JobStore(
     private val scope: CoroutineScope,
-    private val state: StateClient,
+    private val state: StateStoreClient,
     private val forms: RecordForms,
     private val pauseMs: Long,
     private val countsMs: Long,
@@ -120,31 +120,31 @@
 
     /** False if there is nothing more to write here. */
     private suspend fun writeOnce(job: Job): Boolean {
-        val urgency = if (job.mark == 0L || job.durableState != job.state) Urgency.ACCEPTANCE else Urgency.INTENT
+        val urgency = if (job.modRevision == 0L || job.durableState != job.state) Urgency.ACCEPTANCE else Urgency.INTENT
         var snapshot: Snapshot? = null
         val result =
-            state.txn(expectedChanges(job), urgency) {
+            state.transact(expectedChanges(job), urgency) {
                 snapshot = if (job.state == JobState.DROPPED || !job.ledger.mine) null else snapshot(job)
-                snapshot?.let { Txn(conditions(job), it.write.changes) }
+                snapshot?.let { Transaction(conditions(job), it.write.changes) }
             }
         return when (result) {
-            is TxnResult.Applied -> {
+            is TransactionResult.Applied -> {
                 applied(snapshot!!, result.revision)
                 true
             }
-            is TxnResult.Failed ->
+            is TransactionResult.Failed ->
                 if (Keys.ledger(job.ledger.name) in result.keys) {
                     onLedgerLost(job.ledger)
                     false
                 } else {
                     reread(job)
                 }
-            is TxnResult.Unknown -> {
-                if (job.mark == 0L) job.maybeCreated = true
+            is TransactionResult.Unknown -> {
+                if (job.modRevision == 0L) job.maybeCreated = true
                 delay(pauseMs)
                 true
             }
-            is TxnResult.TooLarge -> notWritten(job, pauseMs * PAUSES_WHEN_TOO_LARGE)
+            is TransactionResult.TooLarge -> notWritten(job, pauseMs * PAUSES_WHEN_TOO_LARGE)
             else -> notWritten(job, pauseMs)
         }
     }
@@ -158,9 +158,9 @@
     /** A new job is nowhere: the record of one that is over may have been archived. */
     private fun conditions(job: Job) =
         listOfNotNull(
-            Condition(Keys.ledger(job.ledger.name), job.ledger.holder.mark),
-            Condition(Keys.job(job.ref), job.mark),
-            if (job.mark == 0L && mayBeArchived()) Condition(Keys.final(job.ref), 0L) else null,
+            Compare(Keys.ledger(job.ledger.name), job.ledger.holder.modRevision),
+            Compare(Keys.job(job.ref), job.modRevision),
+            if (job.modRevision == 0L && mayBeArchived()) Compare(Keys.final(job.ref), 0L) else null,
         )
 
     /** Attempts for which the record has no room are given up again before anything of them is sent. */
@@ -183,7 +183,7 @@
         revision: Long,
     ) {
         val job = snapshot.job
-        job.mark = revision
+        job.modRevision = revision
         job.storedOverflow = snapshot.write.overflow
         job.storedKillOverflow = snapshot.write.killOverflow
         job.durableVersion = snapshot.version
@@ -207,7 +207,7 @@
         job: Job,
         pause: Long,
     ): Boolean {
-        if (job.mark == 0L && !job.maybeCreated) {
+        if (job.modRevision == 0L && !job.maybeCreated) {
             drop(job)
             return false
         }
@@ -222,7 +222,7 @@
             when (val read = lookup.read(job.ref, Urgency.INTENT)) {
                 is ReadResult.Unavailable -> delay(pauseMs)
                 is ReadResult.Missing -> {
-                    job.mark = 0L
+                    job.modRevision = 0L
                     return true
                 }
                 is ReadResult.Found -> {
@@ -233,13 +233,13 @@
                         return false
                     }
                     if (JobRecord.ledgerOf(o) != job.ledger.name ||
-                        (job.mark == 0L && JobRecord.holdOf(o) != job.ledger.hold)
+                        (job.modRevision == 0L && JobRecord.holdOf(o) != job.ledger.hold)
                     ) {
                         log.info("job {} was accepted elsewhere", job.ref)
                         drop(job)
                         return false
                     }
-                    job.mark = read.item.mark
+                    job.modRevision = read.item.modRevision
                     job.storedOverflow = maxOf(job.storedOverflow, RecordPacking.overflowCount(o))
                     return true
                 }
--- a/src/main/kotlin/micatally/job/LedgerLoader.kt
+++ b/src/main/kotlin/micatally/job/LedgerLoader.kt
@@ -68,7 +68,7 @@
         if (JobRecord.ledgerOf(record.stored) != l.name) return
         if (isKnown(l, ref, record.stored)) return
         val plain = record.plain ?: return
-        val job = JobRecord.decode(ref, plain, l, record.mark)
+        val job = JobRecord.decode(ref, plain, l, record.modRevision)
         if (JobRecord.isSettled(plain)) {
             owner.rememberFinal(job.answer())
             return
--- a/src/main/kotlin/micatally/job/LedgerRecords.kt
+++ b/src/main/kotlin/micatally/job/LedgerRecords.kt
@@ -4,8 +4,8 @@
 import kotlinx.serialization.json.JsonObject
 import micatally.ledger.Keys
 import micatally.ledger.Ledger
-import micatally.state.Item
-import micatally.state.StateClient
+import micatally.state.KeyValue
+import micatally.state.StateStoreClient
 import micatally.state.Urgency
 import micatally.wire.WireError
 import org.slf4j.LoggerFactory
@@ -20,7 +20,7 @@
     val ref: String,
     val stored: JsonObject,
     val plain: JsonObject?,
-    val mark: Long,
+    val modRevision: Long,
 )
 
 /** The record of a job can't be understood: it is damaged, or of a form that this program does not know. */
@@ -51,7 +51,7 @@
 
 /** Reads the records of jobs for a ledger that has just been acquired. */
 class LedgerRecords(
-    private val state: StateClient,
+    private val state: StateStoreClient,
 ) {
     private val log = LoggerFactory.getLogger("micatally.job")
 
@@ -67,7 +67,7 @@
         ledger: Ledger,
         onSettled: (ref: String, record: JsonObject) -> Unit,
     ): List<LedgerRecord>? {
-        val open = ArrayList<Item>()
+        val open = ArrayList<KeyValue>()
         state.eachPage(Keys.JOB, Urgency.LEASE) { page ->
             for (item in page) visit(item, ledger, open, onSettled)
         } ?: return null
@@ -76,9 +76,9 @@
 
     /** What can't be read of another ledger is its holder's matter: the tasks of its withdrawn jobs stand in kill lists too. */
     private fun visit(
-        item: Item,
+        item: KeyValue,
         ledger: Ledger,
-        open: MutableList<Item>,
+        open: MutableList<KeyValue>,
         onSettled: (ref: String, record: JsonObject) -> Unit,
     ) {
         try {
@@ -90,9 +90,9 @@
     }
 
     private fun sort(
-        item: Item,
+        item: KeyValue,
         ledger: Ledger,
-        open: MutableList<Item>,
+        open: MutableList<KeyValue>,
         onSettled: (ref: String, record: JsonObject) -> Unit,
     ) {
         val isOwn = JobRecord.ledgerOf(item.value) == ledger.name
@@ -103,14 +103,14 @@
         }
     }
 
-    private fun refOf(item: Item) = item.key.removePrefix(Keys.JOB)
+    private fun refOf(item: KeyValue) = item.key.removePrefix(Keys.JOB)
 
     /**
      * A record's further values have its revision, since one transaction writes them. Nobody else writes records of a ledger
      * that is held, so for those the two listings agree; null if they don't.
      */
     private suspend fun unpacked(
-        items: List<Item>,
+        items: List<KeyValue>,
         ledger: Ledger,
     ): List<LedgerRecord>? {
         val isSplit = items.any { RecordPacking.overflowCount(it.value) > 0 }
@@ -120,11 +120,11 @@
             val ref = refOf(item)
             val isOwn = JobRecord.ledgerOf(item.value) == ledger.name
             val overflow = (0 until RecordPacking.overflowCount(item.value)).map { partOf[Keys.jobPart(ref, it)] }
-            val isWhole = overflow.all { it != null && it.mark == item.mark }
+            val isWhole = overflow.all { it != null && it.modRevision == item.modRevision }
             if (!isWhole && isOwn && ref !in ledger.jobs) return null
             val plain =
                 if (isWhole) readable(ref) { RecordPacking.unpack(item.value, overflow.map { it!!.value }) } else null
-            LedgerRecord(ref, item.value, plain, item.mark)
+            LedgerRecord(ref, item.value, plain, item.modRevision)
         }
     }
 }
--- a/src/main/kotlin/micatally/job/Owner.kt
+++ b/src/main/kotlin/micatally/job/Owner.kt
@@ -14,7 +14,7 @@
 import micatally.ledger.Membership
 import micatally.quota.Quota
 import micatally.settings.Settings
-import micatally.state.StateClient
+import micatally.state.StateStoreClient
 import micatally.state.Urgency
 import micatally.wire.Demand
 import micatally.wire.ExitReason
@@ -31,7 +31,7 @@
 class Owner(
     private val scope: CoroutineScope,
     private val settings: Settings,
-    state: StateClient,
+    state: StateStoreClient,
     private val membership: Membership,
     private val machines: Machines,
     private val store: JobStore,
@@ -126,7 +126,7 @@
         for (l in ledgers.values.toList()) {
             if (!l.mine) continue
             val h = membership.cluster.holder(l.name)
-            if (h == null || h.mark != l.holder.mark) lose(l)
+            if (h == null || h.modRevision != l.holder.modRevision) lose(l)
         }
         for (name in membership.cluster.ledgers()) {
             val h = membership.cluster.holder(name) ?: continue
--- a/src/main/kotlin/micatally/job/RecordWrite.kt
+++ b/src/main/kotlin/micatally/job/RecordWrite.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.serialization.json.JsonObject
 import micatally.ledger.Keys
-import micatally.state.Change
+import micatally.state.Write
 import micatally.state.Delete
 import micatally.state.Put
 import micatally.state.StateLimits
@@ -15,7 +15,7 @@
  * @property listsTasks whether the transaction holds a kill list
  */
 class RecordWrite(
-    val changes: List<Change>,
+    val changes: List<Write>,
     val overflow: Int,
     val killOverflow: Int,
     val listsTasks: Boolean,
@@ -70,7 +70,7 @@
         main: PackedValue,
         kills: PackedValue?,
     ): RecordWrite {
-        val changes = ArrayList<Change>()
+        val changes = ArrayList<Write>()
         changes += Put(Keys.job(job.ref), main.main)
         changes += overflowChanges(main, job.storedOverflow) { Keys.jobPart(job.ref, it) }
         if (kills != null) {
@@ -87,7 +87,7 @@
         value: PackedValue,
         stored: Int,
         key: (Int) -> String,
-    ): List<Change> {
+    ): List<Write> {
         val puts = value.overflow.mapIndexed { index, part -> Put(key(index), part) }
         val deletes = (value.overflow.size until stored).map { Delete(key(it)) }
         return puts + deletes
--- a/src/main/kotlin/micatally/ledger/Cluster.kt
+++ b/src/main/kotlin/micatally/ledger/Cluster.kt
@@ -1,9 +1,9 @@
 package micatally.ledger
 
 import kotlinx.serialization.json.JsonObject
-import micatally.state.Item
+import micatally.state.KeyValue
 import micatally.state.Listing
-import micatally.state.News
+import micatally.state.WatchEvents
 import micatally.wire.longOrNull
 import micatally.wire.textOrNull
 
@@ -83,22 +83,22 @@
     val host: String,
     val process: String,
     val epoch: Long,
-    val mark: Long,
+    val modRevision: Long,
 )
 
 /** This node's copy of the shared keys, always as of one revision. */
 class Cluster {
-    private val items = HashMap<String, Item>()
+    private val items = HashMap<String, KeyValue>()
     var revision = -1L
         private set
 
     val epoch get() = items[Keys.EPOCH]?.value?.longOrNull("n") ?: 0L
 
-    fun mark(key: String) = items[key]?.mark ?: 0L
+    fun modRevision(key: String) = items[key]?.modRevision ?: 0L
 
     fun value(key: String): JsonObject? = items[key]?.value
 
-    fun under(prefix: String): List<Item> = items.values.filter { it.key.startsWith(prefix) }
+    fun under(prefix: String): List<KeyValue> = items.values.filter { it.key.startsWith(prefix) }
 
     fun has(key: String) = items.containsKey(key)
 
@@ -108,7 +108,7 @@
             i.value.textOrNull("host") ?: "",
             i.value.textOrNull("process") ?: "",
             i.value.longOrNull("epoch") ?: 0,
-            i.mark,
+            i.modRevision,
         )
     }
 
@@ -122,19 +122,19 @@
         val fresh = listing.items.associateBy { it.key }
         val changed = HashSet<String>()
         for (k in items.keys) if (k !in fresh) changed.add(k)
-        for ((k, i) in fresh) if (items[k]?.mark != i.mark) changed.add(k)
+        for ((k, i) in fresh) if (items[k]?.modRevision != i.modRevision) changed.add(k)
         items.clear()
         items.putAll(fresh)
         revision = listing.revision
         return changed
     }
 
-    fun apply(news: News): Set<String> {
+    fun apply(news: WatchEvents): Set<String> {
         val changed = HashSet<String>()
         for (e in news.events) {
-            if (e.mark <= revision && (items[e.key]?.mark ?: 0) >= e.mark) continue
+            if (e.modRevision <= revision && (items[e.key]?.modRevision ?: 0) >= e.modRevision) continue
             val value = e.value
-            if (value == null) items.remove(e.key) else items[e.key] = Item(e.key, value, e.mark)
+            if (value == null) items.remove(e.key) else items[e.key] = KeyValue(e.key, value, e.modRevision)
             changed.add(e.key)
         }
         if (news.revision > revision) revision = news.revision
--- a/src/main/kotlin/micatally/ledger/Membership.kt
+++ b/src/main/kotlin/micatally/ledger/Membership.kt
@@ -7,11 +7,11 @@
 import kotlinx.serialization.json.put
 import micatally.recovery.ArchivePlan
 import micatally.settings.Settings
-import micatally.state.Condition
+import micatally.state.Compare
 import micatally.state.Put
-import micatally.state.StateClient
-import micatally.state.Txn
-import micatally.state.TxnResult
+import micatally.state.StateStoreClient
+import micatally.state.Transaction
+import micatally.state.TransactionResult
 import micatally.state.Urgency
 import micatally.upgrade.FormatVersion
 import micatally.upgrade.UpgradePlan
@@ -26,7 +26,7 @@
 class Membership(
     private val scope: CoroutineScope,
     private val settings: Settings,
-    private val state: StateClient,
+    private val state: StateStoreClient,
     val cluster: Cluster,
     private val random: Random,
     private val nowMs: () -> Long,
@@ -41,7 +41,7 @@
     private var leaseProvenAt = Long.MIN_VALUE / 2
 
     /** The mark of this node's own live key; it goes with its lease and changes with nothing else. */
-    private var liveMark = 0L
+    private var liveModRevision = 0L
     private var viewProvenAt = Long.MIN_VALUE / 2
     private var started = false
     private val deadSince = HashMap<String, Long>()
@@ -134,9 +134,9 @@
                 // nobody renews: it would go while this node believes in its newer one. When the outcome is not known the lease
                 // is given up, and what comes late then has none.
                 val r =
-                    state.txn(1, Urgency.LEASE) {
-                        Txn(
-                            listOf(Condition(Keys.live(settings.host), cluster.mark(Keys.live(settings.host)))),
+                    state.transact(1, Urgency.LEASE) {
+                        Transaction(
+                            listOf(Compare(Keys.live(settings.host), cluster.modRevision(Keys.live(settings.host)))),
                             listOf(
                                 Put(
                                     Keys.live(settings.host),
@@ -150,14 +150,14 @@
                             ),
                         )
                     }
-                if (r is TxnResult.Applied) {
+                if (r is TransactionResult.Applied) {
                     lease = l
                     leaseProvenAt = sent
-                    liveMark = r.revision
+                    liveModRevision = r.revision
                     log.info("live with lease {}", l)
                 } else {
                     state.revoke(l)
-                    if (r is TxnResult.Failed || r is TxnResult.Unknown) refresh()
+                    if (r is TransactionResult.Failed || r is TransactionResult.Unknown) refresh()
                     delay(pause())
                 }
                 continue
@@ -221,7 +221,7 @@
             val news = state.watch(prefix, copy.revision, holdMs, urgency)
             when {
                 news == null -> delay(pause())
-                news.tooOld -> whole = true
+                news.isCompacted -> whole = true
                 else -> changed(copy.apply(news), sent)
             }
         }
@@ -232,7 +232,7 @@
         provenAt: Long,
     ) {
         viewProvenAt = maxOf(viewProvenAt, provenAt)
-        if (lease != null && cluster.revision >= liveMark && cluster.mark(Keys.live(settings.host)) != liveMark) {
+        if (lease != null && cluster.revision >= liveModRevision && cluster.modRevision(Keys.live(settings.host)) != liveModRevision) {
             log.info("lease {}: the live key is not its own any more", lease)
             lease = null
         }
@@ -314,15 +314,15 @@
     ): Boolean {
         var epoch = 0L
         val r =
-            state.txn(2, Urgency.LEASE) {
-                val ledgerMark = cluster.mark(Keys.ledger(ledger))
-                if (former != null && (former.mark != ledgerMark || !isOrphan(ledger, former))) return@txn null
+            state.transact(2, Urgency.LEASE) {
+                val ledgerModRevision = cluster.modRevision(Keys.ledger(ledger))
+                if (former != null && (former.modRevision != ledgerModRevision || !isOrphan(ledger, former))) return@transact null
                 epoch = cluster.epoch + 1
-                Txn(
+                Transaction(
                     listOfNotNull(
-                        Condition(Keys.EPOCH, cluster.mark(Keys.EPOCH)),
-                        Condition(Keys.ledger(ledger), ledgerMark),
-                        former?.let { Condition(Keys.live(it.host), cluster.mark(Keys.live(it.host))) },
+                        Compare(Keys.EPOCH, cluster.modRevision(Keys.EPOCH)),
+                        Compare(Keys.ledger(ledger), ledgerModRevision),
+                        former?.let { Compare(Keys.live(it.host), cluster.modRevision(Keys.live(it.host))) },
                     ),
                     listOf(
                         Put(Keys.EPOCH, buildJsonObject { put("n", epoch) }),
@@ -337,7 +337,7 @@
                     ),
                 )
             }
-        if (r !is TxnResult.Applied) {
+        if (r !is TransactionResult.Applied) {
             log.info("ledger {} not acquired ({}): {}", ledger, why, r::class.simpleName)
             // The view that the conditions came from was too old, or nobody knows the outcome: look again.
             refresh()
@@ -351,9 +351,9 @@
     /** Raises the epoch alone: what was sent with a lower token can no longer be carried out where the new one is known. */
     suspend fun raiseEpoch(why: String): Boolean {
         val r =
-            state.txn(1, Urgency.LEASE) {
-                Txn(
-                    listOf(Condition(Keys.EPOCH, cluster.mark(Keys.EPOCH))),
+            state.transact(1, Urgency.LEASE) {
+                Transaction(
+                    listOf(Compare(Keys.EPOCH, cluster.modRevision(Keys.EPOCH))),
                     listOf(
                         Put(
                             Keys.EPOCH,
@@ -368,7 +368,7 @@
                 )
             }
         log.info("epoch raised: {} {}", why, r::class.simpleName)
-        return r is TxnResult.Applied
+        return r is TransactionResult.Applied
     }
 
     private var catchingUp = false
--- a/src/main/kotlin/micatally/node/Controller.kt
+++ b/src/main/kotlin/micatally/node/Controller.kt
@@ -39,7 +39,7 @@
 import micatally.settings.Settings
 import micatally.state.RateBudget
 import micatally.state.ReadResult
-import micatally.state.StateClient
+import micatally.state.StateStoreClient
 import micatally.state.Urgency
 import micatally.upgrade.FormatVersion
 import micatally.upgrade.Upgrade
@@ -78,7 +78,7 @@
             settings.stateWriteRps * (0.95 - share),
         )
     private val state =
-        StateClient(
+        StateStoreClient(
             http,
             settings.stateAddr,
             requestBudget,
--- a/src/main/kotlin/micatally/peer/Peers.kt
+++ b/src/main/kotlin/micatally/peer/Peers.kt
@@ -21,8 +21,8 @@
 import micatally.settings.Peer
 import micatally.settings.Settings
 import micatally.state.Put
-import micatally.state.StateClient
-import micatally.state.Txn
+import micatally.state.StateStoreClient
+import micatally.state.Transaction
 import micatally.state.Urgency
 import micatally.wire.Amount
 import micatally.wire.Demand
@@ -46,7 +46,7 @@
     private val scope: CoroutineScope,
     private val http: HttpCaller,
     private val settings: Settings,
-    private val state: StateClient,
+    private val state: StateStoreClient,
     private val membership: Membership,
     private val machines: Machines,
     private val owner: Owner,
--- a/src/main/kotlin/micatally/peer/SummaryPieces.kt
+++ b/src/main/kotlin/micatally/peer/SummaryPieces.kt
@@ -4,9 +4,9 @@
 import kotlinx.serialization.json.buildJsonObject
 import kotlinx.serialization.json.put
 import micatally.state.Put
-import micatally.state.StateClient
-import micatally.state.Txn
-import micatally.state.TxnResult
+import micatally.state.StateStoreClient
+import micatally.state.Transaction
+import micatally.state.TransactionResult
 import micatally.state.Urgency
 import java.util.Base64
 
@@ -23,7 +23,7 @@
  * @param key the piece's number is appended to it
  */
 internal class SummaryPieces(
-    private val state: StateClient,
+    private val state: StateStoreClient,
     private val valueBytes: Int,
     private val key: String,
 ) {
@@ -65,10 +65,10 @@
             // What is told changes while the piece waits for its turn; one that has outgrown its value is left to the
             // next time, when the pieces are measured again.
             val result =
-                state.txn(1, Urgency.SUMMARY) {
-                    encode(i, machines).takeIf(::fits)?.let { Txn(emptyList(), listOf(Put("$key/$i", packed(it)))) }
+                state.transact(1, Urgency.SUMMARY) {
+                    encode(i, machines).takeIf(::fits)?.let { Transaction(emptyList(), listOf(Put("$key/$i", packed(it)))) }
                 }
-            if (result is TxnResult.Applied) written[i] = now
+            if (result is TransactionResult.Applied) written[i] = now
             nextPiece = i + 1
         }
     }
--- a/src/main/kotlin/micatally/quota/AllotmentAudit.kt
+++ b/src/main/kotlin/micatally/quota/AllotmentAudit.kt
@@ -43,7 +43,7 @@
     fun overused(
         team: String,
         ledger: String,
-        mark: Long,
+        modRevision: Long,
         allotted: Share,
         use: Share,
     ) {
@@ -54,7 +54,7 @@
             ledger,
             use,
             allotted,
-            mark,
+            modRevision,
         )
     }
 }
--- a/src/main/kotlin/micatally/quota/AllotmentWriter.kt
+++ b/src/main/kotlin/micatally/quota/AllotmentWriter.kt
@@ -9,11 +9,11 @@
 import micatally.ledger.LedgerState
 import micatally.settings.Team
 import micatally.settings.TeamDirectory
-import micatally.state.Condition
+import micatally.state.Compare
 import micatally.state.Put
-import micatally.state.StateClient
-import micatally.state.Txn
-import micatally.state.TxnResult
+import micatally.state.StateStoreClient
+import micatally.state.Transaction
+import micatally.state.TransactionResult
 import micatally.state.Urgency
 
 /**
@@ -26,7 +26,7 @@
  */
 class AllotmentWriter(
     private val scope: CoroutineScope,
-    private val state: StateClient,
+    private val state: StateStoreClient,
     private val cluster: Cluster,
     private val teams: TeamDirectory,
     private val rule: AllotmentRule,
@@ -94,7 +94,7 @@
 
     /** A decided row on its way, with the readings that it rests on. */
     private class Pending(
-        val txn: Txn,
+        val transact: Transaction,
         val view: AllotmentView,
         val decision: AllotmentDecision,
     )
@@ -105,23 +105,23 @@
     ) {
         var pending: Pending? = null
         val result =
-            state.txn(1, urgency) {
+            state.transact(1, urgency) {
                 bounds.remove(change.id)
                 pending = decide(change)
                 pending?.let { bind(change.id, it) }
-                pending?.txn
+                pending?.transact
             }
         val sent = pending ?: return
         when (result) {
-            is TxnResult.Applied -> {
+            is TransactionResult.Applied -> {
                 tell(sent, result.revision)
                 // Until the copy shows it, any other change of this node would be refused.
                 awaitSeen(change) { cluster.revision >= result.revision }
             }
             // After silence a lowering may yet be carried out; a raise that is carried out late is conditional on its mark.
-            is TxnResult.Unknown -> if (sent.decision.lowers) repeatUntilSeen(change, sent)
+            is TransactionResult.Unknown -> if (sent.decision.lowers) repeatUntilSeen(change, sent)
             // The key has another mark than in the copy: until that shows it, any other change would be refused too.
-            is TxnResult.Failed -> awaitSeen(change) { hasOtherMark(sent) }
+            is TransactionResult.Failed -> awaitSeen(change) { hasOtherMark(sent) }
             else -> {}
         }
     }
@@ -141,11 +141,11 @@
         ledger: Ledger,
         view: AllotmentView,
         decision: AllotmentDecision,
-    ): Txn {
+    ): Transaction {
         val key = Keys.team(view.team.name)
         val conditions =
-            listOf(Condition(Keys.ledger(ledger.name), ledger.holder.mark), Condition(key, view.stored.mark))
-        return Txn(conditions, listOf(Put(key, view.stored.encodeWith(ledger.name, decision.row))))
+            listOf(Compare(Keys.ledger(ledger.name), ledger.holder.modRevision), Compare(key, view.stored.modRevision))
+        return Transaction(conditions, listOf(Put(key, view.stored.encodeWith(ledger.name, decision.row))))
     }
 
     private fun bind(
@@ -165,7 +165,7 @@
             AllotmentChange(
                 view.team.name,
                 view.ledger,
-                view.stored.mark,
+                view.stored.modRevision,
                 revision,
                 before,
                 sent.decision.row.share,
@@ -182,7 +182,7 @@
         while (!change.isSeen()) delay(SEEN_EVERY_MS)
     }
 
-    private fun hasOtherMark(sent: Pending) = cluster.mark(Keys.team(sent.view.team.name)) != sent.view.stored.mark
+    private fun hasOtherMark(sent: Pending) = cluster.modRevision(Keys.team(sent.view.team.name)) != sent.view.stored.modRevision
 
     /** The same transaction again until there is an answer; then until the key is seen to have changed, also when the repeat
      * shows that it has, since this node's copy may still hold the former allotment. */
@@ -193,8 +193,8 @@
         val ledger = change.ledger
         change.isSeen = { !ledger.mine || hasOtherMark(sent) }
         while (!change.isSeen()) {
-            val again = state.txn(1, Urgency.SUMMARY) { sent.txn.takeIf { ledger.state == LedgerState.ACTIVE } }
-            if (again is TxnResult.Applied || again is TxnResult.Failed) return awaitSeen(change) { hasOtherMark(sent) }
+            val again = state.transact(1, Urgency.SUMMARY) { sent.transact.takeIf { ledger.state == LedgerState.ACTIVE } }
+            if (again is TransactionResult.Applied || again is TransactionResult.Failed) return awaitSeen(change) { hasOtherMark(sent) }
             delay(REPEAT_MS)
         }
     }
--- a/src/main/kotlin/micatally/quota/Quota.kt
+++ b/src/main/kotlin/micatally/quota/Quota.kt
@@ -8,14 +8,14 @@
 import micatally.ledger.LedgerState
 import micatally.settings.Team
 import micatally.settings.TeamDirectory
-import micatally.state.StateClient
+import micatally.state.StateStoreClient
 import micatally.state.Urgency
 
 /** A team's limit is split among the ledgers. A ledger's holder places within its allotment and changes only that one;
  * an intent is written under the ledger's mark, so a holder that has lost the ledger can't use it up any more. */
 class Quota(
     scope: CoroutineScope,
-    state: StateClient,
+    state: StateStoreClient,
     private val cluster: Cluster,
     private val teams: TeamDirectory,
     private val held: () -> Collection<Ledger>,
@@ -47,9 +47,9 @@
 
     /** Asked for each task that is placed, and changed far more rarely: so the key is read once for each change of it. */
     private fun allotments(team: String): TeamAllotments {
-        val mark = cluster.mark(Keys.team(team))
-        read[team]?.let { if (it.mark == mark) return it }
-        return TeamAllotments.decode(mark, cluster.value(Keys.team(team))).also { read[team] = it }
+        val modRevision = cluster.modRevision(Keys.team(team))
+        read[team]?.let { if (it.modRevision == modRevision) return it }
+        return TeamAllotments.decode(modRevision, cluster.value(Keys.team(team))).also { read[team] = it }
     }
 
     private fun view(
@@ -152,7 +152,7 @@
         for (ledger in held().filter { it.state == LedgerState.ACTIVE }) {
             val allotted = stored.of(ledger.name).share
             val used = used(ledger.name, teamName)
-            if (!team.covers(allotted, used)) audit.overused(teamName, ledger.name, stored.mark, allotted, used)
+            if (!team.covers(allotted, used)) audit.overused(teamName, ledger.name, stored.modRevision, allotted, used)
         }
     }
 
--- a/src/main/kotlin/micatally/quota/TeamAllotments.kt
+++ b/src/main/kotlin/micatally/quota/TeamAllotments.kt
@@ -16,9 +16,9 @@
     val isShort: Boolean,
 )
 
-/** The allotments of one team, as its key held them at [mark]. */
+/** The allotments of one team, as its key held them at [modRevision]. */
 class TeamAllotments(
-    val mark: Long,
+    val modRevision: Long,
     private val rows: Map<String, AllotmentRow>,
 ) {
     /** The row of a ledger; an empty one if there is none. */
@@ -55,9 +55,9 @@
         private const val SHORT = 2
 
         fun decode(
-            mark: Long,
+            modRevision: Long,
             value: JsonObject?,
-        ) = TeamAllotments(mark, value?.mapValues { (_, row) -> decodeRow(row as JsonArray) } ?: emptyMap())
+        ) = TeamAllotments(modRevision, value?.mapValues { (_, row) -> decodeRow(row as JsonArray) } ?: emptyMap())
 
         private fun decodeRow(row: JsonArray): AllotmentRow {
             fun number(index: Int) = (row.getOrNull(index) as? JsonPrimitive)?.doubleOrNull ?: 0.0
--- a/src/main/kotlin/micatally/recovery/ArchivePlan.kt
+++ b/src/main/kotlin/micatally/recovery/ArchivePlan.kt
@@ -2,7 +2,7 @@
 
 import micatally.ledger.Cluster
 import micatally.ledger.Keys
-import micatally.state.Condition
+import micatally.state.Compare
 import micatally.state.StateLimits
 import micatally.wire.longOrNull
 
@@ -47,15 +47,15 @@
     fun conditions(
         cluster: Cluster,
         hosts: Collection<String>,
-    ): List<Condition> = hosts.map { Condition(Keys.live(it), cluster.mark(Keys.live(it))) }
+    ): List<Compare> = hosts.map { Compare(Keys.live(it), cluster.modRevision(Keys.live(it))) }
 
     /** Records that one transaction may move: two changes and two conditions each, beside [otherConditions]. */
     fun recordsAtOnce(
         limits: StateLimits,
         otherConditions: Int,
     ): Int {
-        val byConditions = (limits.txnOps * CONDITIONS_A_CHANGE - otherConditions) / 2
-        return minOf(limits.txnOps / 2, byConditions).coerceAtLeast(0)
+        val byConditions = (limits.maxOperationsPerTransaction * CONDITIONS_A_CHANGE - otherConditions) / 2
+        return minOf(limits.maxOperationsPerTransaction / 2, byConditions).coerceAtLeast(0)
     }
 
     /** The protocol allows four times as many conditions as changes. */
--- a/src/main/kotlin/micatally/recovery/RecordArchive.kt
+++ b/src/main/kotlin/micatally/recovery/RecordArchive.kt
@@ -12,15 +12,15 @@
 import micatally.ledger.Ledger
 import micatally.ledger.Membership
 import micatally.settings.Settings
-import micatally.state.Condition
+import micatally.state.Compare
 import micatally.state.Delete
-import micatally.state.Item
+import micatally.state.KeyValue
 import micatally.state.Put
 import micatally.state.ReadResult
-import micatally.state.StateClient
+import micatally.state.StateStoreClient
 import micatally.state.StateLimits
-import micatally.state.Txn
-import micatally.state.TxnResult
+import micatally.state.Transaction
+import micatally.state.TransactionResult
 import micatally.state.Urgency
 import org.slf4j.LoggerFactory
 
@@ -39,7 +39,7 @@
 class RecordArchive(
     private val scope: CoroutineScope,
     private val settings: Settings,
-    private val state: StateClient,
+    private val state: StateStoreClient,
     private val membership: Membership,
     private val mode: ArchiveMode,
     private val ledgers: LoadedLedgers,
@@ -58,7 +58,7 @@
     fun start() {
         if (mode == ArchiveMode.OFF) return
         if (recordsAtOnce == 0) {
-            log.warn("records are not archived: {} changes a transaction are too few", settings.txnOps)
+            log.warn("records are not archived: {} changes a transaction are too few", settings.maxOperationsPerTransaction)
             return
         }
         scope.launch {
@@ -90,25 +90,25 @@
         if (ArchivePlan.isAnnounced(cluster, settings.host)) return
         val key = Keys.archive(settings.host)
         val result =
-            state.txn(1, Urgency.SUMMARY) {
+            state.transact(1, Urgency.SUMMARY) {
                 val holder = cluster.holder(settings.host)
-                if (holder == null || !membership.holds(settings.host)) return@txn null
-                val conditions = listOf(Condition(key, 0), Condition(Keys.ledger(settings.host), holder.mark))
-                Txn(conditions, listOf(Put(key, buildJsonObject { put("n", 1) })))
+                if (holder == null || !membership.holds(settings.host)) return@transact null
+                val conditions = listOf(Compare(key, 0), Compare(Keys.ledger(settings.host), holder.modRevision))
+                Transaction(conditions, listOf(Put(key, buildJsonObject { put("n", 1) })))
             }
-        if (result is TxnResult.Applied) log.info("announced that this host looks for archived records")
+        if (result is TransactionResult.Applied) log.info("announced that this host looks for archived records")
     }
 
     /** Hands the settled records under [prefix] to [act], those of one ledger together; returns how many it dealt with, or
      * null if not all could be read. */
     private suspend fun walk(
         prefix: String,
-        act: suspend (Ledger, List<Item>) -> Int,
+        act: suspend (Ledger, List<KeyValue>) -> Int,
     ): Int? {
         var after: String? = null
         var count = 0
         while (true) {
-            val page = ArrayList<Item>()
+            val page = ArrayList<KeyValue>()
             val listing = state.page(prefix, Urgency.SUMMARY, after) { page.addAll(it) } ?: return null
             for ((ledger, items) in settledByLedger(page, prefix)) {
                 for (some in batches(items)) {
@@ -123,10 +123,10 @@
     }
 
     private fun settledByLedger(
-        page: List<Item>,
+        page: List<KeyValue>,
         prefix: String,
-    ): Map<Ledger, List<Item>> {
-        val found = HashMap<Ledger, MutableList<Item>>()
+    ): Map<Ledger, List<KeyValue>> {
+        val found = HashMap<Ledger, MutableList<KeyValue>>()
         for (item in page) {
             val ref = item.key.removePrefix(prefix)
             val ledger = ledgerOf(ref, item) ?: continue
@@ -140,7 +140,7 @@
     /** Null if the record is open, unreadable, or of a ledger that this node does not hold. */
     private fun ledgerOf(
         ref: String,
-        item: Item,
+        item: KeyValue,
     ): Ledger? =
         try {
             readable(
@@ -152,8 +152,8 @@
         }
 
     /** As many as fit in a transaction, by count and by size. */
-    private fun batches(items: List<Item>): List<List<Item>> {
-        val batches = ArrayList<MutableList<Item>>()
+    private fun batches(items: List<KeyValue>): List<List<KeyValue>> {
+        val batches = ArrayList<MutableList<KeyValue>>()
         var bytes = 0
         for (item in items) {
             val size = item.value.toString().length + KEY_BYTES
@@ -177,23 +177,23 @@
 
     private suspend fun move(
         ledger: Ledger,
-        items: List<Item>,
+        items: List<KeyValue>,
     ): Int {
         val result =
-            state.txn(items.size * 2, Urgency.SUMMARY) {
-                if (!ledger.mine || !ArchivePlan.mayMove(cluster, hosts)) return@txn null
+            state.transact(items.size * 2, Urgency.SUMMARY) {
+                if (!ledger.mine || !ArchivePlan.mayMove(cluster, hosts)) return@transact null
                 val conditions =
-                    items.flatMap { listOf(Condition(it.key, it.mark), Condition(finalKey(it), 0)) } +
-                        Condition(Keys.ledger(ledger.name), ledger.holder.mark) + ArchivePlan.conditions(cluster, hosts)
-                Txn(conditions, items.flatMap { listOf(Delete(it.key), Put(finalKey(it), it.value)) })
+                    items.flatMap { listOf(Compare(it.key, it.modRevision), Compare(finalKey(it), 0)) } +
+                        Compare(Keys.ledger(ledger.name), ledger.holder.modRevision) + ArchivePlan.conditions(cluster, hosts)
+                Transaction(conditions, items.flatMap { listOf(Delete(it.key), Put(finalKey(it), it.value)) })
             }
         return when (result) {
-            is TxnResult.Applied -> items.size
-            is TxnResult.Failed -> {
+            is TransactionResult.Applied -> items.size
+            is TransactionResult.Failed -> {
                 val restored = items.filter { finalKey(it) in result.keys }
                 restored.count { removeCopy(ledger, it) }
             }
-            is TxnResult.TooLarge -> tooLarge(ledger, items)
+            is TransactionResult.TooLarge -> tooLarge(ledger, items)
             else -> 0
         }
     }
@@ -201,28 +201,28 @@
     /** What was copied back is in both places; the copy goes, if the archive has the same. */
     private suspend fun removeCopy(
         ledger: Ledger,
-        item: Item,
+        item: KeyValue,
     ): Boolean {
         val final = state.get(finalKey(item), Urgency.SUMMARY)
         if (final !is ReadResult.Found || final.item.value != item.value) return false
         val result =
-            state.txn(1, Urgency.SUMMARY) {
-                if (!ledger.mine || !ArchivePlan.mayMove(cluster, hosts)) return@txn null
+            state.transact(1, Urgency.SUMMARY) {
+                if (!ledger.mine || !ArchivePlan.mayMove(cluster, hosts)) return@transact null
                 val conditions =
                     listOf(
-                        Condition(item.key, item.mark),
-                        Condition(finalKey(item), final.item.mark),
-                        Condition(Keys.ledger(ledger.name), ledger.holder.mark),
+                        Compare(item.key, item.modRevision),
+                        Compare(finalKey(item), final.item.modRevision),
+                        Compare(Keys.ledger(ledger.name), ledger.holder.modRevision),
                     ) + ArchivePlan.conditions(cluster, hosts)
-                Txn(conditions, listOf(Delete(item.key)))
+                Transaction(conditions, listOf(Delete(item.key)))
             }
-        return result is TxnResult.Applied
+        return result is TransactionResult.Applied
     }
 
     /** The limits may have been lowered since the record was written: it stays where it is. */
     private suspend fun tooLarge(
         ledger: Ledger,
-        items: List<Item>,
+        items: List<KeyValue>,
     ): Int {
         if (items.size > 1) return items.sumOf { move(ledger, listOf(it)) }
         refused.add(items.single().key.removePrefix(Keys.JOB))
@@ -231,19 +231,19 @@
 
     private suspend fun copyBack(
         ledger: Ledger,
-        items: List<Item>,
+        items: List<KeyValue>,
     ): Int {
         val result =
-            state.txn(items.size, Urgency.SUMMARY) {
-                if (!ledger.mine) return@txn null
+            state.transact(items.size, Urgency.SUMMARY) {
+                if (!ledger.mine) return@transact null
                 val conditions =
-                    items.flatMap { listOf(Condition(jobKey(it), 0), Condition(it.key, it.mark)) } +
-                        Condition(Keys.ledger(ledger.name), ledger.holder.mark)
-                Txn(conditions, items.map { Put(jobKey(it), it.value) })
+                    items.flatMap { listOf(Compare(jobKey(it), 0), Compare(it.key, it.modRevision)) } +
+                        Compare(Keys.ledger(ledger.name), ledger.holder.modRevision)
+                Transaction(conditions, items.map { Put(jobKey(it), it.value) })
             }
         return when (result) {
-            is TxnResult.Applied -> items.size
-            is TxnResult.Failed -> {
+            is TransactionResult.Applied -> items.size
+            is TransactionResult.Failed -> {
                 val missing = items.filter { jobKey(it) !in result.keys }
                 when {
                     missing.isEmpty() -> 0
@@ -256,9 +256,9 @@
         }
     }
 
-    private fun finalKey(item: Item) = Keys.final(item.key.removePrefix(Keys.JOB))
+    private fun finalKey(item: KeyValue) = Keys.final(item.key.removePrefix(Keys.JOB))
 
-    private fun jobKey(item: Item) = Keys.job(item.key.removePrefix(Keys.FINAL))
+    private fun jobKey(item: KeyValue) = Keys.job(item.key.removePrefix(Keys.FINAL))
 
     private companion object {
         const val LEASES_BETWEEN_WALKS = 2
--- a/src/main/kotlin/micatally/recovery/RecordLookup.kt
+++ b/src/main/kotlin/micatally/recovery/RecordLookup.kt
@@ -2,7 +2,7 @@
 
 import micatally.ledger.Keys
 import micatally.state.ReadResult
-import micatally.state.StateClient
+import micatally.state.StateStoreClient
 import micatally.state.Urgency
 
 /**
@@ -10,7 +10,7 @@
  * there, so one that is missed by the first read is found by the second.
  */
 class RecordLookup(
-    private val state: StateClient,
+    private val state: StateStoreClient,
     private val mayBeArchived: () -> Boolean,
 ) {
     /** @param onSend runs when the first request leaves: what is asked from then on may be newer than the answer
--- a/src/main/kotlin/micatally/settings/Settings.kt
+++ b/src/main/kotlin/micatally/settings/Settings.kt
@@ -64,7 +64,7 @@
     val controllers get() = peers.size + 1
     val stateWriteRps get() = stateLimits.writeRps
     val valueBytes get() = stateLimits.valueBytes
-    val txnOps get() = stateLimits.txnOps
+    val maxOperationsPerTransaction get() = stateLimits.maxOperationsPerTransaction
 
     /** How long a cancellation that some controller has not confirmed lies in the state service before its user is told. */
     val withdrawalDelayMs get() = leaseMs
@@ -180,7 +180,7 @@
                     later("rps", now.rps),
                     later("write_rps", now.writeRps),
                     valueBytes(later("value_kb", state.number("value_kb"))),
-                    later("txn_ops", now.txnOps.toDouble()).toInt(),
+                    later("txn_ops", now.maxOperationsPerTransaction.toDouble()).toInt(),
                 ),
             )
         }
--- a/src/main/kotlin/micatally/standin/LoopbackFleet.kt
+++ b/src/main/kotlin/micatally/standin/LoopbackFleet.kt
@@ -255,7 +255,7 @@
                     put("rps", plan.settingsLimits.rps)
                     put("write_rps", plan.settingsLimits.writeRps)
                     put("value_kb", plan.settingsLimits.valueBytes / 1024)
-                    put("txn_ops", plan.settingsLimits.txnOps)
+                    put("txn_ops", plan.settingsLimits.maxOperationsPerTransaction)
                 },
             )
             put(
--- a/src/main/kotlin/micatally/standin/StateStandin.kt
+++ b/src/main/kotlin/micatally/standin/StateStandin.kt
@@ -93,7 +93,7 @@
 
     private class Entry(
         val value: JsonObject,
-        val mark: Long,
+        val modRevision: Long,
         val lease: Long?,
     )
 
@@ -105,7 +105,7 @@
     private class Change(
         val key: String,
         val value: JsonObject?,
-        val mark: Long,
+        val modRevision: Long,
     )
 
     private val keys = TreeMap<String, Entry>()
@@ -153,7 +153,7 @@
     private fun log(c: Change) {
         changesByPrefix.merge(prefixOf(c.key), 1L, Long::plus)
         changes.addLast(c)
-        while (changes.size > 10_000) dropped = changes.removeFirst().mark
+        while (changes.size > 10_000) dropped = changes.removeFirst().modRevision
     }
 
     private fun wake() {
@@ -173,7 +173,7 @@
     ) = buildJsonObject {
         put("k", k)
         put("value", e.value)
-        put("mark", e.mark)
+        put("mark", e.modRevision)
         if (e.lease !=
             null
         ) {
@@ -187,7 +187,7 @@
         if (down) return errorResponse(503, "trouble")
         expire()
         return when {
-            r.path == "/txn" -> txn(parseObject(r.body))
+            r.path == "/txn" -> transact(parseObject(r.body))
             r.path == "/keys" -> list(r)
             r.path.startsWith("/keys/") -> {
                 val k = r.path.removePrefix("/keys/")
@@ -227,12 +227,12 @@
         }
     }
 
-    private fun txn(o: JsonObject): HttpResponse {
+    private fun transact(o: JsonObject): HttpResponse {
         val changed = o.listOrNull("then") ?: emptyList()
         val limits = this.limits
         if (limits != null &&
             (
-                changed.size > limits.txnOps || (o.listOrNull("when") ?: emptyList()).size > limits.txnOps * 4 ||
+                changed.size > limits.maxOperationsPerTransaction || (o.listOrNull("when") ?: emptyList()).size > limits.maxOperationsPerTransaction * 4 ||
                     o.toString().length > 64 * 1024
             )
         ) {
@@ -244,7 +244,7 @@
                 .map { it.asObject() }
                 .filter {
                     (
-                        keys[it.text("k")]?.mark
+                        keys[it.text("k")]?.modRevision
                             ?: 0L
                     ) !=
                         it.long("mark")
@@ -330,7 +330,7 @@
             if (!down) {
                 expire()
                 if (since < dropped) return errorResponse(410, "too old")
-                val news = changes.takeLastWhile { it.mark > since }.filter { it.key.startsWith(prefix) }
+                val news = changes.takeLastWhile { it.modRevision > since }.filter { it.key.startsWith(prefix) }
                 if (news.isNotEmpty() || nowMs() >= until) {
                     return json(
                         200,
@@ -347,7 +347,7 @@
                                             } else {
                                                 put("delete", c.key)
                                             }
-                                            put("mark", c.mark)
+                                            put("mark", c.modRevision)
                                         }
                                     },
                                 ),
--- a/src/main/kotlin/micatally/state/StateLimits.kt
+++ b/src/main/kotlin/micatally/state/StateLimits.kt
@@ -12,7 +12,7 @@
     val rps: Double,
     val writeRps: Double,
     val valueBytes: Int,
-    val txnOps: Int,
+    val maxOperationsPerTransaction: Int,
 ) {
     /** The smaller of both for each limit: what holds whichever of them is in force. */
     fun smallerOf(other: StateLimits) =
@@ -20,13 +20,13 @@
             minOf(rps, other.rps),
             minOf(writeRps, other.writeRps),
             minOf(valueBytes, other.valueBytes),
-            minOf(txnOps, other.txnOps),
+            minOf(maxOperationsPerTransaction, other.maxOperationsPerTransaction),
         )
 
     /** Further values that one record, or the kill list beside it, may be split into, so that both fit in a transaction. */
     val overflowValues: Int
         get() {
-            val byOperations = (txnOps - 2) / 2
+            val byOperations = (maxOperationsPerTransaction - 2) / 2
             val byTransactionSize = TRANSACTION_BYTES / valueBytes / 2 - 1
             return minOf(byOperations, byTransactionSize).coerceAtLeast(0)
         }
--- a/src/main/kotlin/micatally/state/StateClient.kt
+++ b/src/main/kotlin/micatally/state/StateStoreClient.kt
@@ -21,18 +21,18 @@
 import micatally.wire.textOrNull
 import org.slf4j.LoggerFactory
 
-class Item(
+class KeyValue(
     val key: String,
     val value: JsonObject,
-    val mark: Long,
+    val modRevision: Long,
 )
 
-class Condition(
+class Compare(
     val key: String,
-    val mark: Long,
+    val modRevision: Long,
 )
 
-sealed interface Change {
+sealed interface Write {
     val key: String
 }
 
@@ -40,45 +40,45 @@
     override val key: String,
     val value: JsonObject,
     val lease: Long? = null,
-) : Change
+) : Write
 
 class Delete(
     override val key: String,
-) : Change
+) : Write
 
-class Txn(
-    val conditions: List<Condition>,
-    val changes: List<Change>,
+class Transaction(
+    val conditions: List<Compare>,
+    val changes: List<Write>,
 )
 
-sealed interface TxnResult {
+sealed interface TransactionResult {
     class Applied(
         val revision: Long,
-    ) : TxnResult
+    ) : TransactionResult
 
     /** The keys whose marks did not hold. Nothing was changed. */
     class Failed(
         val keys: Set<String>,
-    ) : TxnResult
+    ) : TransactionResult
 
-    data object NoSuchLease : TxnResult
+    data object NoSuchLease : TransactionResult
 
     /** Certainly not carried out: refused (503) or never sent. */
-    data object Refused : TxnResult
+    data object Refused : TransactionResult
 
     /** Certainly not carried out: over the limits. */
-    data object Limited : TxnResult
+    data object Limited : TransactionResult
 
     /** Certainly not carried out: larger than the service allows. */
-    data object TooLarge : TxnResult
+    data object TooLarge : TransactionResult
 
     /** Perhaps carried out, perhaps carried out later. */
-    data object Unknown : TxnResult
+    data object Unknown : TransactionResult
 }
 
 sealed interface ReadResult {
     class Found(
-        val item: Item,
+        val item: KeyValue,
     ) : ReadResult
 
     data object Missing : ReadResult
@@ -87,7 +87,7 @@
 }
 
 class Listing(
-    val items: List<Item>,
+    val items: List<KeyValue>,
     val revision: Long,
 )
 
@@ -98,20 +98,20 @@
     val revision: Long,
 )
 
-class News(
+class WatchEvents(
     val revision: Long,
-    val events: List<Event>,
-    val tooOld: Boolean = false,
+    val events: List<WatchEvent>,
+    val isCompacted: Boolean = false,
 )
 
-class Event(
+class WatchEvent(
     val key: String,
     val value: JsonObject?,
-    val mark: Long,
+    val modRevision: Long,
 )
 
 /** The state service's protocol, within this node's share of its limits. */
-class StateClient(
+class StateStoreClient(
     private val http: HttpCaller,
     private val addr: String,
     private val requests: RateBudget,
@@ -160,7 +160,7 @@
         }
     }
 
-    private fun item(o: JsonObject) = Item(o.text("k"), o.child("value") ?: EMPTY_OBJECT, o.long("mark"))
+    private fun item(o: JsonObject) = KeyValue(o.text("k"), o.child("value") ?: EMPTY_OBJECT, o.long("mark"))
 
     /** All keys under [prefix], or null when a page could not be had. The revision is that of the first page, so that a watch
      * from there misses nothing.
@@ -172,7 +172,7 @@
         pageSize: Int = 500,
         after: String? = null,
     ): Listing? {
-        val items = ArrayList<Item>()
+        val items = ArrayList<KeyValue>()
         val revision = eachPage(prefix, urgency, pageSize, after) { items.addAll(it) } ?: return null
         return Listing(items, revision)
     }
@@ -184,7 +184,7 @@
         urgency: Urgency,
         pageSize: Int = 500,
         after: String? = null,
-        visit: (List<Item>) -> Unit,
+        visit: (List<KeyValue>) -> Unit,
     ): Long? {
         var since: String? = after
         var revision = -1L
@@ -202,7 +202,7 @@
         urgency: Urgency,
         after: String?,
         pageSize: Int = 500,
-        visit: (List<Item>) -> Unit,
+        visit: (List<KeyValue>) -> Unit,
     ): PageEnd? {
         val from = if (after == null) "" else "&since=${queryPart(after)}"
         val out = send("GET", "/keys?under=${queryPart(prefix)}$from&page=$pageSize", null, urgency)
@@ -215,17 +215,17 @@
 
     /** Runs a transaction of [count] changes. It is put together only when the budget allows it to leave, so that
      * what waited meanwhile goes along. Null from [build]: nothing to do any more. */
-    suspend fun txn(
+    suspend fun transact(
         count: Int,
         urgency: Urgency,
-        build: () -> Txn?,
-    ): TxnResult {
+        build: () -> Transaction?,
+    ): TransactionResult {
         var borrowed = writes.take(count, urgency, true)
         requests.take(1, urgency)
         while (true) {
-            val txn = build() ?: return TxnResult.Refused
-            val r = commit(txn)
-            if (r !is TxnResult.Limited) return r
+            val transact = build() ?: return TransactionResult.Refused
+            val r = commit(transact)
+            if (r !is TransactionResult.Limited) return r
             if (!borrowed) {
                 writes.drained()
                 return r
@@ -238,16 +238,16 @@
         }
     }
 
-    private suspend fun commit(txn: Txn): TxnResult {
+    private suspend fun commit(transact: Transaction): TransactionResult {
         val body =
             buildJsonObject {
                 put(
                     "when",
                     JsonArray(
-                        txn.conditions.map { c ->
+                        transact.conditions.map { c ->
                             buildJsonObject {
                                 put("k", c.key)
-                                put("mark", c.mark)
+                                put("mark", c.modRevision)
                             }
                         },
                     ),
@@ -255,7 +255,7 @@
                 put(
                     "then",
                     buildJsonArray {
-                        for (c in txn.changes) {
+                        for (c in transact.changes) {
                             add(
                                 buildJsonObject {
                                     when (c) {
@@ -277,32 +277,32 @@
                 )
             }
         return when (val out = call("POST", "/txn", body, timeoutMs)) {
-            is Outcome.NotSent -> TxnResult.Refused
-            is Outcome.Silence, is Outcome.TooLarge -> TxnResult.Unknown
+            is Outcome.NotSent -> TransactionResult.Refused
+            is Outcome.Silence, is Outcome.TooLarge -> TransactionResult.Unknown
             is Outcome.Answer ->
                 when (out.status) {
-                    200 -> TxnResult.Applied(parseObject(out.body).long("odometer"))
+                    200 -> TransactionResult.Applied(parseObject(out.body).long("odometer"))
                     409 ->
-                        TxnResult.Failed(
+                        TransactionResult.Failed(
                             (parseObject(out.body).listOrNull("failed") ?: emptyList()).map { it.asText() }.toSet(),
                         )
-                    400 -> refusal(txn, out.body.decodeToString())
-                    429 -> TxnResult.Limited
-                    503 -> TxnResult.Refused
-                    else -> TxnResult.Unknown
+                    400 -> refusal(transact, out.body.decodeToString())
+                    429 -> TransactionResult.Limited
+                    503 -> TransactionResult.Refused
+                    else -> TransactionResult.Unknown
                 }
         }
     }
 
     /** The limits may have been lowered since this was decided; the writers of large values try again in another form. */
     private fun refusal(
-        txn: Txn,
+        transact: Transaction,
         text: String,
-    ): TxnResult {
-        if ("no such lease" in text) return TxnResult.NoSuchLease
-        val key = txn.changes.first().key
+    ): TransactionResult {
+        if ("no such lease" in text) return TransactionResult.NoSuchLease
+        val key = transact.changes.first().key
         if (refusedKinds.add(key.substringBefore('/'))) log.warn("state service refuses {}: {}", key, text)
-        return TxnResult.TooLarge
+        return TransactionResult.TooLarge
     }
 
     /** Kinds of keys of which a refusal has been logged. */
@@ -334,7 +334,7 @@
         since: Long,
         holdMs: Long,
         urgency: Urgency,
-    ): News? {
+    ): WatchEvents? {
         val out =
             send(
                 "GET",
@@ -344,12 +344,12 @@
                 holdMs + timeoutMs,
             )
         // What is too much for one answer is read again in pages, as what the service does not keep any more.
-        if (out is Outcome.TooLarge) return News(since, emptyList(), true)
+        if (out is Outcome.TooLarge) return WatchEvents(since, emptyList(), true)
         if (out !is Outcome.Answer) return null
-        if (out.status == 410) return News(since, emptyList(), true)
+        if (out.status == 410) return WatchEvents(since, emptyList(), true)
         if (out.status != 200) return null
         val o = parseObject(out.body)
-        return News(
+        return WatchEvents(
             o.long("odometer"),
             (o.listOrNull("news") ?: emptyList()).map {
                 val e = it.asObject()
@@ -357,9 +357,9 @@
                 if (put !=
                     null
                 ) {
-                    Event(put, e.child("value") ?: EMPTY_OBJECT, e.long("mark"))
+                    WatchEvent(put, e.child("value") ?: EMPTY_OBJECT, e.long("mark"))
                 } else {
-                    Event(e.text("delete"), null, e.long("mark"))
+                    WatchEvent(e.text("delete"), null, e.long("mark"))
                 }
             },
         )
--- a/src/main/kotlin/micatally/upgrade/Upgrade.kt
+++ b/src/main/kotlin/micatally/upgrade/Upgrade.kt
@@ -8,11 +8,11 @@
 import micatally.ledger.Cluster
 import micatally.ledger.Keys
 import micatally.settings.Settings
-import micatally.state.Condition
+import micatally.state.Compare
 import micatally.state.Put
-import micatally.state.StateClient
-import micatally.state.Txn
-import micatally.state.TxnResult
+import micatally.state.StateStoreClient
+import micatally.state.Transaction
+import micatally.state.TransactionResult
 import micatally.state.Urgency
 import org.slf4j.LoggerFactory
 
@@ -23,7 +23,7 @@
 class Upgrade(
     private val scope: CoroutineScope,
     private val settings: Settings,
-    private val state: StateClient,
+    private val state: StateStoreClient,
     private val cluster: Cluster,
     /** The format that this host is ready for. */
     private val wanted: Long,
@@ -95,8 +95,8 @@
         writing = true
         scope.launch {
             try {
-                val result = state.txn(1, Urgency.ACCEPTANCE) { transaction() }
-                if (result !is TxnResult.Applied) delay(retryMs)
+                val result = state.transact(1, Urgency.ACCEPTANCE) { transaction() }
+                if (result !is TransactionResult.Applied) delay(retryMs)
             } finally {
                 writing = false
             }
@@ -108,7 +108,7 @@
      * Conditional on the key's mark, so late and repeated writes change nothing. The announcements that a raise rests on
      * need no condition: they are never taken back.
      */
-    private fun transaction(): Txn? {
+    private fun transaction(): Transaction? {
         val step = UpgradePlan.next(cluster, settings.host, hosts, wanted)
         val (key, version) =
             when (step) {
@@ -118,7 +118,7 @@
             }
         log.info("upgrade: writing {} = {}", key, version)
         val value = buildJsonObject { put(UpgradePlan.VERSION_FIELD, version) }
-        return Txn(listOf(Condition(key, cluster.mark(key))), listOf(Put(key, value)))
+        return Transaction(listOf(Compare(key, cluster.modRevision(key))), listOf(Put(key, value)))
     }
 
     private companion object {
--- a/src/test/kotlin/micatally/api/RecordReadsTest.kt
+++ b/src/test/kotlin/micatally/api/RecordReadsTest.kt
@@ -11,7 +11,7 @@
 import micatally.recovery.RecordLookup
 import micatally.state.RateBudget
 import micatally.state.ReadResult
-import micatally.state.StateClient
+import micatally.state.StateStoreClient
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -33,7 +33,7 @@
             }
 
         fun budget(rate: Double) = RateBudget(backgroundScope, rate, { testScheduler.currentTime })
-        val state = StateClient(caller, "state:1", budget(1000.0), budget(1000.0), 1000)
+        val state = StateStoreClient(caller, "state:1", budget(1000.0), budget(1000.0), 1000)
         return RecordReads(RecordLookup(state) { false }, budget(perSecond), mostWaiting, 1000)
     }
 
--- a/src/test/kotlin/micatally/compatibility/MessagesTest.kt
+++ b/src/test/kotlin/micatally/compatibility/MessagesTest.kt
@@ -30,15 +30,15 @@
 import micatally.settings.SettingsError
 import micatally.settings.TeamJson
 import micatally.sim.SimFleet
-import micatally.state.Condition
+import micatally.state.Compare
 import micatally.state.Delete
 import micatally.state.Put
 import micatally.state.RateBudget
 import micatally.state.ReadResult
-import micatally.state.StateClient
+import micatally.state.StateStoreClient
 import micatally.state.StateLimits
-import micatally.state.Txn
-import micatally.state.TxnResult
+import micatally.state.Transaction
+import micatally.state.TransactionResult
 import micatally.state.Urgency
 import micatally.wire.Amount
 import micatally.wire.AppliedVersion
@@ -509,9 +509,9 @@
 
     // State service
 
-    private fun TestScope.state(recorder: Recorder): StateClient {
+    private fun TestScope.state(recorder: Recorder): StateStoreClient {
         fun budget() = RateBudget(backgroundScope, 100.0, { testScheduler.currentTime })
-        return StateClient(recorder, "state:1", budget(), budget(), 1000)
+        return StateStoreClient(recorder, "state:1", budget(), budget(), 1000)
     }
 
     @Test
@@ -539,7 +539,7 @@
             val recorder = Recorder(answer(200, "state/item.json"), answer(404, "state/missing.json"), answer(503))
             val client = state(recorder)
             val item = (client.get("a/b", Urgency.LEASE) as ReadResult.Found).item
-            assertEquals(listOf("a/b", "{\"x\":1}", 412L), listOf(item.key, item.value.toString(), item.mark))
+            assertEquals(listOf("a/b", "{\"x\":1}", 412L), listOf(item.key, item.value.toString(), item.modRevision))
             assertEquals(ReadResult.Missing, client.get("a/b", Urgency.LEASE))
             assertEquals(ReadResult.Unavailable, client.get("a/b", Urgency.LEASE))
             assertEquals(List(3) { "GET /keys/a/b" }, recorder.requests)
@@ -562,11 +562,11 @@
                     listOf("c/2 d", "{\"x\":2}", 6L),
                     listOf("c/3", "{\"x\":3}", 7L),
                 ),
-                listing.items.map { listOf(it.key, it.value.toString(), it.mark) },
+                listing.items.map { listOf(it.key, it.value.toString(), it.modRevision) },
             )
         }
 
-    private suspend fun TestScope.transaction(outcome: Outcome): TxnResult {
+    private suspend fun TestScope.transaction(outcome: Outcome): TransactionResult {
         val recorder = Recorder(outcome)
         val changes =
             listOf(
@@ -574,8 +574,8 @@
                 Put("a/c", parseObject("{\"x\":2}".encodeToByteArray())),
                 Delete("c/d"),
             )
-        val transaction = Txn(listOf(Condition("a/b", 0), Condition("c/d", 9)), changes)
-        val result = state(recorder).txn(3, Urgency.LEASE) { transaction }
+        val transaction = Transaction(listOf(Compare("a/b", 0), Compare("c/d", 9)), changes)
+        val result = state(recorder).transact(3, Urgency.LEASE) { transaction }
         assertEquals(listOf("POST /txn"), recorder.requests)
         assertEquals(text("state/transaction.json"), recorder.body)
         return result
@@ -584,13 +584,13 @@
     @Test
     fun `a transaction and its answers`() =
         runTest {
-            assertEquals(432L, (transaction(answer(200, "state/applied.json")) as TxnResult.Applied).revision)
-            assertEquals(setOf("a/b", "c/d"), (transaction(answer(409, "state/failed.json")) as TxnResult.Failed).keys)
-            assertEquals(TxnResult.NoSuchLease, transaction(answer(400, "state/no-lease.json")))
-            assertEquals(TxnResult.TooLarge, transaction(answer(400)))
-            assertEquals(TxnResult.Limited, transaction(answer(429)))
-            assertEquals(TxnResult.Refused, transaction(answer(503)))
-            assertEquals(TxnResult.Unknown, transaction(Outcome.Silence))
+            assertEquals(432L, (transaction(answer(200, "state/applied.json")) as TransactionResult.Applied).revision)
+            assertEquals(setOf("a/b", "c/d"), (transaction(answer(409, "state/failed.json")) as TransactionResult.Failed).keys)
+            assertEquals(TransactionResult.NoSuchLease, transaction(answer(400, "state/no-lease.json")))
+            assertEquals(TransactionResult.TooLarge, transaction(answer(400)))
+            assertEquals(TransactionResult.Limited, transaction(answer(429)))
+            assertEquals(TransactionResult.Refused, transaction(answer(503)))
+            assertEquals(TransactionResult.Unknown, transaction(Outcome.Silence))
         }
 
     @Test
@@ -600,12 +600,12 @@
             val client = state(recorder)
             val news = client.watch("c/", 431, 10_000, Urgency.LEASE)!!
             assertEquals(433L, news.revision)
-            assertFalse(news.tooOld)
+            assertFalse(news.isCompacted)
             assertEquals(
                 listOf(listOf("c/9", "{\"x\":9}", 433L), listOf("c/d", null, 432L)),
-                news.events.map { listOf(it.key, it.value?.toString(), it.mark) },
+                news.events.map { listOf(it.key, it.value?.toString(), it.modRevision) },
             )
-            assertTrue(client.watch("c/", 431, 10_000, Urgency.LEASE)!!.tooOld)
+            assertTrue(client.watch("c/", 431, 10_000, Urgency.LEASE)!!.isCompacted)
             assertEquals(List(2) { "GET /watch?under=c%2F&since=431&hold_ms=10000" }, recorder.requests)
             assertEquals(listOf(null, null), recorder.bodies)
         }
--- a/src/test/kotlin/micatally/compatibility/StoredValuesTest.kt
+++ b/src/test/kotlin/micatally/compatibility/StoredValuesTest.kt
@@ -28,10 +28,10 @@
 import micatally.quota.TeamAllotments
 import micatally.recovery.ArchivePlan
 import micatally.standin.StateStandin
-import micatally.state.Item
+import micatally.state.KeyValue
 import micatally.state.Listing
 import micatally.state.RateBudget
-import micatally.state.StateClient
+import micatally.state.StateStoreClient
 import micatally.upgrade.UpgradePlan
 import micatally.wire.Flavor
 import micatally.wire.HeardList
@@ -75,7 +75,7 @@
     ) = assertEquals(stored.text, written.toString(), stored.key)
 
     private fun cluster(values: List<Stored>) =
-        Cluster().also { it.load(Listing(values.map { value -> Item(value.key, value.value, 1) }, 1)) }
+        Cluster().also { it.load(Listing(values.map { value -> KeyValue(value.key, value.value, 1) }, 1)) }
 
     @Test
     fun `the keys keep their names`() {
@@ -241,7 +241,7 @@
                     Outcome.Answer(response.status, response.body)
                 }
             val budget = RateBudget(backgroundScope, 10_000.0, { testScheduler.currentTime })
-            val pieces = SummaryPieces(StateClient(http, "state", budget, budget, 500), 1 shl 20, "s/room/n0")
+            val pieces = SummaryPieces(StateStoreClient(http, "state", budget, budget, 500), 1 shl 20, "s/room/n0")
             pieces.write(listOf("m"), 1, { _, names -> names }) { _, _ -> bytes }
             text = service.value("s/room/n0/0").toString()
         }
--- a/src/test/kotlin/micatally/http/ClientTest.kt
+++ b/src/test/kotlin/micatally/http/ClientTest.kt
@@ -4,7 +4,7 @@
 import kotlinx.coroutines.withContext
 import micatally.cli.Loop
 import micatally.state.RateBudget
-import micatally.state.StateClient
+import micatally.state.StateStoreClient
 import micatally.state.Urgency
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertThrows
@@ -31,8 +31,8 @@
             val client = Client(loop.group, 10, loop::nowMs, maxResponseBytes = 1000)
             assertEquals(Outcome.TooLarge, client.call(addr, "GET", "/watch", null, 2000))
             val budget = RateBudget(loop.scope, 100.0, loop::nowMs)
-            val state = StateClient(client, addr, budget, budget, 2000)
-            assertTrue(state.watch("c/", 5, 0, Urgency.LEASE)!!.tooOld)
+            val state = StateStoreClient(client, addr, budget, budget, 2000)
+            assertTrue(state.watch("c/", 5, 0, Urgency.LEASE)!!.isCompacted)
         }
 
     @Test
--- a/src/test/kotlin/micatally/job/LedgerRecordsTest.kt
+++ b/src/test/kotlin/micatally/job/LedgerRecordsTest.kt
@@ -12,7 +12,7 @@
 import micatally.ledger.Ledger
 import micatally.standin.StateStandin
 import micatally.state.RateBudget
-import micatally.state.StateClient
+import micatally.state.StateStoreClient
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -59,7 +59,7 @@
                 }
             val budget = RateBudget(backgroundScope, 10_000.0, { testScheduler.currentTime })
             var settled = 0
-            val kept = LedgerRecords(StateClient(http, "state", budget, budget, 500)).of(own) { _, _ -> settled++ }
+            val kept = LedgerRecords(StateStoreClient(http, "state", budget, budget, 500)).of(own) { _, _ -> settled++ }
             read = Read(kept, settled, largest)
         }
         return read
--- a/src/test/kotlin/micatally/job/RecordPackingTest.kt
+++ b/src/test/kotlin/micatally/job/RecordPackingTest.kt
@@ -13,11 +13,11 @@
 import micatally.ledger.LedgerState
 import micatally.sim.SimFleet
 import micatally.standin.Rehearsal
-import micatally.state.Item
+import micatally.state.KeyValue
 import micatally.state.Listing
 import micatally.state.Put
 import micatally.state.RateBudget
-import micatally.state.StateClient
+import micatally.state.StateStoreClient
 import micatally.state.StateLimits
 import micatally.wire.JobSpec
 import micatally.worker.AttemptId
@@ -56,7 +56,7 @@
     fun `a record in several values is read as it was`() {
         val job = job(150, JobState.OPEN)
         val values = values(write(job))
-        assertTrue(values.size in 2..limits.txnOps, "${values.size} values")
+        assertTrue(values.size in 2..limits.maxOperationsPerTransaction, "${values.size} values")
         assertTrue(values.values.all { RecordPacking.size(it) <= limits.valueBytes })
         val main = values.getValue(Keys.job(job.ref))
         val parts = (0 until RecordPacking.overflowCount(main)).map { values.getValue(Keys.jobPart(job.ref, it)) }
@@ -73,12 +73,12 @@
     fun `a kill list in several values is known whole`() {
         val job = job(180, JobState.WITHDRAWN)
         val write = write(job)
-        assertTrue(write.killOverflow > 0 && write.changes.size <= limits.txnOps)
+        assertTrue(write.killOverflow > 0 && write.changes.size <= limits.maxOperationsPerTransaction)
         val cluster = Cluster()
-        cluster.load(Listing(values(write).filterKeys { it.startsWith(Keys.KILL) }.map { (k, v) -> Item(k, v, 5) }, 5))
+        cluster.load(Listing(values(write).filterKeys { it.startsWith(Keys.KILL) }.map { (k, v) -> KeyValue(k, v, 5) }, 5))
         val scope = CoroutineScope(SupervisorJob())
         val nothing = HttpCaller { _, _, _, _, _ -> Outcome.NotSent }
-        val state = StateClient(nothing, "state", RateBudget(scope, 1.0, { 0 }), RateBudget(scope, 1.0, { 0 }), 10)
+        val state = StateStoreClient(nothing, "state", RateBudget(scope, 1.0, { 0 }), RateBudget(scope, 1.0, { 0 }), 10)
         val store = JobStore(scope, state, RecordForms(limits) { true }, 1, 1) { 0 }
         val withdrawals = Withdrawals(scope, SimFleet(1).settings[0], cluster, store) { 0 }
         withdrawals.published(Keys.killPart(job.ref, 0))
--- a/src/test/kotlin/micatally/peer/SummaryPiecesTest.kt
+++ b/src/test/kotlin/micatally/peer/SummaryPiecesTest.kt
@@ -6,7 +6,7 @@
 import micatally.http.HttpCaller
 import micatally.http.Outcome
 import micatally.state.RateBudget
-import micatally.state.StateClient
+import micatally.state.StateStoreClient
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -25,7 +25,7 @@
             }
 
         fun budget() = RateBudget(backgroundScope, 100.0, { testScheduler.currentTime })
-        return SummaryPieces(StateClient(http, "state:1", budget(), budget(), 1000), valueBytes, "s/room/a")
+        return SummaryPieces(StateStoreClient(http, "state:1", budget(), budget(), 1000), valueBytes, "s/room/a")
     }
 
     @Test
--- a/src/test/kotlin/micatally/quota/QuotaFleet.kt
+++ b/src/test/kotlin/micatally/quota/QuotaFleet.kt
@@ -28,14 +28,14 @@
 import micatally.sim.Stoppable
 import micatally.standin.Rehearsal
 import micatally.standin.StateStandin
-import micatally.state.Change
-import micatally.state.Condition
+import micatally.state.Write
+import micatally.state.Compare
 import micatally.state.Delete
 import micatally.state.Put
 import micatally.state.RateBudget
-import micatally.state.StateClient
-import micatally.state.Txn
-import micatally.state.TxnResult
+import micatally.state.StateStoreClient
+import micatally.state.Transaction
+import micatally.state.TransactionResult
 import micatally.state.Urgency
 import micatally.wire.JobSpec
 import kotlin.random.Random
@@ -106,7 +106,7 @@
         private val own = CoroutineScope(SupervisorJob() + thread + handler)
         private val cluster = Cluster()
         private val state =
-            StateClient(
+            StateStoreClient(
                 HttpCaller { _, method, target, body, timeoutMs -> call(method, target, body, timeoutMs) },
                 "state",
                 RateBudget(own, changesPerSecond * 10, { now }),
@@ -144,7 +144,7 @@
 
         private fun checkLedgers() {
             for (ledger in ledgers.values.toList()) {
-                if (cluster.holder(ledger.name)?.mark != ledger.holder.mark) lose(ledger)
+                if (cluster.holder(ledger.name)?.modRevision != ledger.holder.modRevision) lose(ledger)
             }
             for (name in cluster.ledgers()) {
                 val holder = cluster.holder(name) ?: continue
@@ -214,13 +214,13 @@
                         ),
                     )
                 val result =
-                    state.txn(1, Urgency.INTENT) {
-                        val conditions = listOf(Condition(Keys.ledger(ledger.name), ledger.holder.mark))
-                        Txn(conditions, listOf(Put(task.key, value))).takeIf { ledger.mine }
+                    state.transact(1, Urgency.INTENT) {
+                        val conditions = listOf(Compare(Keys.ledger(ledger.name), ledger.holder.modRevision))
+                        Transaction(conditions, listOf(Put(task.key, value))).takeIf { ledger.mine }
                     }
                 when (result) {
-                    is TxnResult.Applied -> {}
-                    is TxnResult.Unknown -> {
+                    is TransactionResult.Applied -> {}
+                    is TransactionResult.Unknown -> {
                         delay(LATEST_MS)
                         if (service.value(task.key) == null) told(task.key)
                     }
@@ -289,7 +289,7 @@
 
     /** Without faults or limits, for what is not under test. */
     private val plain =
-        StateClient(
+        StateStoreClient(
             HttpCaller { _, method, target, body, _ ->
                 val response = service.handle(HttpRequest(method, target, body ?: ByteArray(0)))
                 Outcome.Answer(response.status, response.body)
@@ -300,8 +300,8 @@
             500,
         )
 
-    private fun change(change: Change) {
-        scope.launch { plain.txn(1, Urgency.LEASE) { Txn(emptyList(), listOf(change)) } }
+    private fun change(change: Write) {
+        scope.launch { plain.transact(1, Urgency.LEASE) { Transaction(emptyList(), listOf(change)) } }
     }
 
     private var epoch = 0
--- a/src/test/kotlin/micatally/quota/QuotaTest.kt
+++ b/src/test/kotlin/micatally/quota/QuotaTest.kt
@@ -24,7 +24,7 @@
 import micatally.standin.Rehearsal
 import micatally.standin.StateStandin
 import micatally.state.RateBudget
-import micatally.state.StateClient
+import micatally.state.StateStoreClient
 import micatally.state.Urgency
 import micatally.wire.JobSpec
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -59,7 +59,7 @@
                 }
             }
         val state =
-            StateClient(
+            StateStoreClient(
                 http,
                 "state",
                 RateBudget(scope.backgroundScope, 1000.0, now),
--- a/src/test/kotlin/micatally/sim/SimFleet.kt
+++ b/src/test/kotlin/micatally/sim/SimFleet.kt
@@ -243,7 +243,7 @@
                             put("rps", limits.rps)
                             put("write_rps", limits.writeRps)
                             put("value_kb", limits.valueBytes / 1024.0)
-                            put("txn_ops", limits.txnOps)
+                            put("txn_ops", limits.maxOperationsPerTransaction)
                             nextLimits?.let { n ->
                                 put(
                                     "next",
@@ -254,7 +254,7 @@
                                             "value_kb",
                                             n.valueBytes / 1024.0,
                                         )
-                                        put("txn_ops", n.txnOps)
+                                        put("txn_ops", n.maxOperationsPerTransaction)
                                     },
                                 )
                             }
--- a/src/test/kotlin/micatally/sim/TakeoverTest.kt
+++ b/src/test/kotlin/micatally/sim/TakeoverTest.kt
@@ -27,12 +27,12 @@
             val next = holder(0)!!
             val slow = others.first { it != next }
             val membership = f.live[slow]!!.membership
-            runUntil(f.lease, "the other one has seen it") { membership.cluster.holder(ledger)?.mark != dead.mark }
+            runUntil(f.lease, "the other one has seen it") { membership.cluster.holder(ledger)?.modRevision != dead.modRevision }
             var taken: Boolean? = null
             f.scope.launch { taken = membership.acquire(ledger, "its holder ${dead.host} is dead", dead) }
             runUntil(f.lease, "the takeover has ended") { taken != null }
             assertFalse(taken!!)
             assertEquals(next, holder(0))
-            assertNotEquals(dead.mark, membership.cluster.mark(Keys.ledger(ledger)))
+            assertNotEquals(dead.modRevision, membership.cluster.modRevision(Keys.ledger(ledger)))
         }
 }
--- a/src/test/kotlin/micatally/upgrade/FormatTest.kt
+++ b/src/test/kotlin/micatally/upgrade/FormatTest.kt
@@ -16,7 +16,7 @@
 import micatally.ledger.Keys
 import micatally.ledger.Ledger
 import micatally.ledger.LedgerState
-import micatally.state.Item
+import micatally.state.KeyValue
 import micatally.state.Listing
 import micatally.wire.HeardList
 import micatally.wire.NewsAnswer
@@ -158,7 +158,7 @@
                         i,
                         (k, v),
                         ->
-                        Item(k, Json.parseToJsonElement(v) as JsonObject, i + 1L)
+                        KeyValue(k, Json.parseToJsonElement(v) as JsonObject, i + 1L)
                     },
                     100,
                 ),
@@ -172,7 +172,7 @@
         c.load(
             Listing(
                 states[0].filterKeys { it.startsWith(Keys.PREFIX) }.map { (k, v) ->
-                    Item(k, v as JsonObject, 1)
+                    KeyValue(k, v as JsonObject, 1)
                 },
                 5,
             ),
