--- a/src/main/kotlin/micatally/api/UserApi.kt
+++ b/src/main/kotlin/micatally/api/UserApi.kt
@@ -28,8 +28,8 @@
 import micatally.wire.Format
 import micatally.wire.JobAnswer
 import micatally.wire.JobSpec
-import micatally.wire.PeerAnswer
-import micatally.wire.WireError
+import micatally.wire.PeerJobResponse
+import micatally.wire.MalformedMessage
 import micatally.wire.bytes
 import micatally.wire.parseObject
 import micatally.wire.textOrNull
@@ -68,7 +68,7 @@
 
     fun health(): HttpResponse =
         when {
-            membership.checkAuthority() != Authority.ENTITLED || owner.own() == null || machines.flavors.isEmpty() ->
+            membership.checkAuthority() != Authority.ENTITLED || owner.own() == null || machines.machineTypes.isEmpty() ->
                 later("starting")
             owner.own()?.let { owner.isLoadOverdue(it) } == true -> later("the ledger can't be loaded")
             // Others can take what this node has to turn away. In an outage for all every node stays: polls are still answered.
@@ -86,13 +86,13 @@
         val o =
             try {
                 parseObject(request.body)
-            } catch (e: WireError) {
+            } catch (e: MalformedMessage) {
                 return errorResponse(400, e.message ?: "")
             }
         val ref =
             try {
                 o.textOrNull("ref")
-            } catch (e: WireError) {
+            } catch (e: MalformedMessage) {
                 null
             }
         if (ref == null || !JobSpec.validRef(ref)) return errorResponse(400, "ref must look like j-000412")
@@ -101,7 +101,7 @@
         val spec =
             try {
                 JobSpec.parse(o)
-            } catch (e: WireError) {
+            } catch (e: MalformedMessage) {
                 return knownOr(ref) {
                     errorResponse(
                         400,
@@ -109,7 +109,7 @@
                     )
                 }
             }
-        if (machines.flavors.isEmpty()) return knownOr(ref) { later("the machine types are not known yet") }
+        if (machines.machineTypes.isEmpty()) return knownOr(ref) { later("the machine types are not known yet") }
         if (impossible(spec) != null) {
             // Never on an old view: the team may have come, or its limit been raised, just now.
             if (!teams.refresh()) return knownOr(ref) { later("the teams can't be looked up now") }
@@ -161,10 +161,10 @@
     /** 422 exactly where the protocol says so. */
     private fun impossible(spec: JobSpec): String? {
         val team = teams.team(spec.team) ?: return "unknown team ${spec.team}"
-        if (!Placement.possible(spec, machines.flavors.values)) return "a task fits no allowed machine type"
+        if (!Placement.possible(spec, machines.machineTypes.values)) return "a task fits no allowed machine type"
         val n = if (spec.format == Format.ARRAY) 1 else spec.taskCount
-        if (team.coresMax > 0 && spec.amount.cores * n > team.coresMax + 1e-6 ||
-            team.cardsMax > 0 && spec.amount.cards * n > team.cardsMax + 1e-6
+        if (team.coresMax > 0 && spec.resources.cores * n > team.coresMax + 1e-6 ||
+            team.gpusMax > 0 && spec.resources.gpus * n > team.gpusMax + 1e-6
         ) {
             return "the job needs more than the limit of team ${spec.team}"
         }
@@ -326,10 +326,10 @@
 
     // The same for other controllers
 
-    fun peerQuery(ref: String): PeerAnswer =
-        local(ref)?.let { PeerAnswer(true, it.status, it.done, it.running) } ?: PeerAnswer()
+    fun peerQuery(ref: String): PeerJobResponse =
+        local(ref)?.let { PeerJobResponse(true, it.status, it.done, it.running) } ?: PeerJobResponse()
 
-    suspend fun peerCancel(ref: String): PeerAnswer =
-        (owner.final(ref) ?: withdrawHere(ref))?.let { PeerAnswer(true, it.status, it.done, it.running) }
-            ?: PeerAnswer()
+    suspend fun peerCancel(ref: String): PeerJobResponse =
+        (owner.final(ref) ?: withdrawHere(ref))?.let { PeerJobResponse(true, it.status, it.done, it.running) }
+            ?: PeerJobResponse()
 }
--- a/src/main/kotlin/micatally/api/WorkerApi.kt
+++ b/src/main/kotlin/micatally/api/WorkerApi.kt
@@ -10,12 +10,12 @@
 import micatally.peer.Peers
 import micatally.settings.Settings
 import micatally.wire.Command
-import micatally.wire.Report
-import micatally.wire.Verb
-import micatally.wire.WireError
+import micatally.wire.Heartbeat
+import micatally.wire.CommandType
+import micatally.wire.MalformedMessage
 import micatally.wire.bytes
 import micatally.wire.parseObject
-import micatally.wire.reportAnswer
+import micatally.wire.heartbeatResponse
 import micatally.worker.AttemptId
 import micatally.worker.Machines
 import micatally.worker.WithdrawnTasks
@@ -34,8 +34,8 @@
     fun report(request: HttpRequest): HttpResponse {
         val report =
             try {
-                Report.parse(parseObject(request.body))
-            } catch (e: WireError) {
+                Heartbeat.parse(parseObject(request.body))
+            } catch (e: MalformedMessage) {
                 return errorResponse(
                     400,
                     e.message ?: "",
@@ -61,7 +61,7 @@
                 report,
             )?.let { return HttpResponse(421, buildJsonObject { put("marshal", it) }.bytes()) }
         known.heardHereAt = nowMs()
-        return HttpResponse(200, reportAnswer(membership.cluster.epoch, killsFor(report)).bytes())
+        return HttpResponse(200, heartbeatResponse(membership.cluster.epoch, killsFor(report)).bytes())
     }
 
     /**
@@ -76,19 +76,19 @@
 
     private fun differs(
         before: List<micatally.wire.ListedTask>,
-        r: Report,
-    ) = before.size != r.tasks.size || r.noticeS != null ||
+        r: Heartbeat,
+    ) = before.size != r.tasks.size || r.spotNoticeS != null ||
         before.zip(r.tasks).any { (a, b) ->
             a.ref != b.ref || a.taskIndex != b.taskIndex || a.attempt != b.attempt ||
                 a.status != b.status
         }
 
     /** Tasks of withdrawn jobs whose owner can't reach the machine. */
-    private fun killsFor(r: Report): List<Command> =
+    private fun killsFor(r: Heartbeat): List<Command> =
         r.tasks
             .filter {
                 !it.ended && kills.has(r.machine, AttemptId(it.ref, it.taskIndex, it.attempt))
-            }.map { Command(Verb.KILL, it.ref, it.taskIndex, it.attempt, 0.0) }
+            }.map { Command(CommandType.KILL, it.ref, it.taskIndex, it.attempt, 0.0) }
 
     private fun refuse(): HttpResponse {
         val other = peers.entitledPeer()
--- a/src/main/kotlin/micatally/api/WorkerRedirects.kt
+++ b/src/main/kotlin/micatally/api/WorkerRedirects.kt
@@ -1,7 +1,7 @@
 package micatally.api
 
 import micatally.settings.Settings
-import micatally.wire.Report
+import micatally.wire.Heartbeat
 import micatally.worker.Machine
 import micatally.worker.Machines
 
@@ -24,7 +24,7 @@
     /** The controller that the worker is to report to instead of this one; null: it stays here. */
     fun targetFor(
         machine: Machine,
-        report: Report,
+        report: Heartbeat,
     ): String? {
         val now = nowMs()
         // Once in a while only, so that two controllers that see the others differently don't toss it about.
@@ -48,11 +48,11 @@
     /** One worker at a time, and only one that would be back in time if it got no answer there. */
     private fun mayTry(
         host: String,
-        report: Report,
+        report: Heartbeat,
         now: Long,
     ): Boolean {
         val isBackInTime =
-            settings.reportMs * LONGEST_REPORT_GAP + REPORT_TIMEOUT_MS + NEXT_NODE_MS < settings.leaseMs * SAFE_SHARE
+            settings.heartbeatIntervalMs * LONGEST_REPORT_GAP + REPORT_TIMEOUT_MS + NEXT_NODE_MS < settings.leaseMs * SAFE_SHARE
         if (report.tasks.isNotEmpty() && !isBackInTime) return false
         if (now - (triedAt[host] ?: LONG_AGO) < settings.leaseMs) return false
         triedAt[host] = now
--- a/src/main/kotlin/micatally/cli/ConfigCommand.kt
+++ b/src/main/kotlin/micatally/cli/ConfigCommand.kt
@@ -155,7 +155,7 @@
         println(if (view.isOn) "version ${view.version}" else "teams are those of the settings files")
         for (team in view.teams.sortedBy { it.name }) {
             println(
-                "${team.name} cpus=${team.cores} cpus_max=${team.coresMax} gpus=${team.cards} gpus_max=${team.cardsMax}",
+                "${team.name} cpus=${team.cores} cpus_max=${team.coresMax} gpus=${team.gpus} gpus_max=${team.gpusMax}",
             )
         }
         return OK
--- a/src/main/kotlin/micatally/config/ChangeCheck.kt
+++ b/src/main/kotlin/micatally/config/ChangeCheck.kt
@@ -55,8 +55,8 @@
             mapOf(
                 "cpus" to setting.cores,
                 "cpus_max" to setting.coresMax,
-                "gpus" to setting.cards,
-                "gpus_max" to setting.cardsMax,
+                "gpus" to setting.gpus,
+                "gpus_max" to setting.gpusMax,
             )
         for ((field, value) in numbers) {
             if (!value.isFinite()) {
@@ -66,7 +66,7 @@
             }
         }
         if (setting.coresMax > 0 && setting.cores > setting.coresMax) errors.add("cpus is above cpus_max")
-        if (setting.cardsMax > 0 && setting.cards > setting.cardsMax) errors.add("gpus is above gpus_max")
+        if (setting.gpusMax > 0 && setting.gpus > setting.gpusMax) errors.add("gpus is above gpus_max")
         present.entry(setting.name)?.let { errors.addAll(limitErrors(setting, it.team)) }
         return errors
     }
@@ -81,7 +81,7 @@
     ): List<String> {
         val errors = ArrayList<String>()
         if ((setting.coresMax > 0) != (former.coresMax > 0)) errors.add(NO_SWITCH.format("cpus_max"))
-        if ((setting.cardsMax > 0) != (former.cardsMax > 0)) errors.add(NO_SWITCH.format("gpus_max"))
+        if ((setting.gpusMax > 0) != (former.gpusMax > 0)) errors.add(NO_SWITCH.format("gpus_max"))
         return errors
     }
 
--- a/src/main/kotlin/micatally/config/ChangeFile.kt
+++ b/src/main/kotlin/micatally/config/ChangeFile.kt
@@ -6,7 +6,7 @@
 import micatally.wire.ConfigurationChange
 import micatally.wire.LineError
 import micatally.wire.TeamSetting
-import micatally.wire.WireError
+import micatally.wire.MalformedMessage
 import micatally.wire.asObject
 import micatally.wire.asText
 import micatally.wire.listOrNull
@@ -61,10 +61,10 @@
         fun number(field: String) = attempt(errors, name ?: line) { fields.numberOrNull(field) ?: 0.0 }
         val cores = number("cpus")
         val coresMax = number("cpus_max")
-        val cards = number("gpus")
-        val cardsMax = number("gpus_max")
-        if (name == null || cores == null || coresMax == null || cards == null || cardsMax == null) return null
-        return TeamSetting(name, cores, coresMax, cards, cardsMax)
+        val gpus = number("gpus")
+        val gpusMax = number("gpus_max")
+        if (name == null || cores == null || coresMax == null || gpus == null || gpusMax == null) return null
+        return TeamSetting(name, cores, coresMax, gpus, gpusMax)
     }
 
     private fun unknown(
@@ -80,7 +80,7 @@
     ): T? =
         try {
             read()
-        } catch (e: WireError) {
+        } catch (e: MalformedMessage) {
             errors.add(LineError(line, e.message ?: "can't be read"))
             null
         }
--- a/src/main/kotlin/micatally/config/Configuration.kt
+++ b/src/main/kotlin/micatally/config/Configuration.kt
@@ -70,9 +70,9 @@
     }
 }
 
-fun Team.toSetting() = TeamSetting(name, cores, coresMax, cards, cardsMax)
+fun Team.toSetting() = TeamSetting(name, cores, coresMax, gpus, gpusMax)
 
-fun TeamSetting.toTeam() = Team(name, cores, coresMax, cards, cardsMax)
+fun TeamSetting.toTeam() = Team(name, cores, coresMax, gpus, gpusMax)
 
 /**
  * One change as it is stored.
--- a/src/main/kotlin/micatally/fleet/CloudClient.kt
+++ b/src/main/kotlin/micatally/fleet/CloudClient.kt
@@ -50,7 +50,7 @@
         return out
     }
 
-    suspend fun flavors(): JsonObject? {
+    suspend fun machineTypes(): JsonObject? {
         val out = send("GET", "/flavors", null, Urgency.ACCEPTANCE)
         return if (out is Outcome.Answer && out.status == 200) parseObject(out.body) else null
     }
--- a/src/main/kotlin/micatally/fleet/Drains.kt
+++ b/src/main/kotlin/micatally/fleet/Drains.kt
@@ -15,7 +15,7 @@
 import micatally.state.StateStoreClient
 import micatally.state.Transaction
 import micatally.state.Urgency
-import micatally.wire.Demand
+import micatally.wire.ResourceRequest
 import micatally.worker.Machine
 import micatally.worker.Machines
 import org.slf4j.LoggerFactory
@@ -32,7 +32,7 @@
     private val machines: Machines,
     private val rentals: Rentals,
     private val deletions: Deletions,
-    private val recentServices: () -> List<Demand>,
+    private val recentServices: () -> List<ResourceRequest>,
     private val operator: Operator,
     private val nowMs: () -> Long,
 ) {
@@ -76,10 +76,10 @@
 
     /** Looks at all machines, given what finds no room at present. */
     fun review(
-        demands: List<Demand>,
+        demands: List<ResourceRequest>,
         now: Long,
     ) {
-        for (m in machines.byName.values) if (!m.deleted && m.session != 0L) review(m, demands, now)
+        for (m in machines.byName.values) if (!m.deleted && m.incarnation != 0L) review(m, demands, now)
         drains.keys.removeIf { it in machines.deletedNames }
         reconcile(now)
         val isSettled = now - since > settings.leaseMs * 2
@@ -91,13 +91,13 @@
 
     private fun review(
         m: Machine,
-        demands: List<Demand>,
+        demands: List<ResourceRequest>,
         now: Long,
     ) {
         val drain = drains[m.name]
         if (!isEmpty(m)) {
             m.busyAt = now
-            if (drain == null || m.recalled) return
+            if (drain == null || m.hasSpotNotice) return
             drain.become(DrainState.EMPTYING, now)
             if (demands.any { isAllowedOn(it, m) }) {
                 keep(m, now, "there is demand for it")
@@ -109,22 +109,22 @@
         if (drain != null) {
             drain.become(DrainState.EMPTY, now)
             val isKnown =
-                now - drain.stateSince > settings.reportMs + settings.leaseMs / 10 && cluster.has(Keys.DRAIN + m.name)
+                now - drain.stateSince > settings.heartbeatIntervalMs + settings.leaseMs / 10 && cluster.has(Keys.DRAIN + m.name)
             if (isKnown) deletions.want(m.name)
             return
         }
-        val idleMs = if (m.recalled) 0L else (machines.bootMs(m.type) * operator.fleetIdleBoots).toLong()
+        val idleMs = if (m.hasSpotNotice) 0L else (machines.bootMs(m.type) * operator.fleetIdleBoots).toLong()
         if (now - maxOf(m.busyAt, since) > idleMs) drain(m, now, DrainState.EMPTY, "idle")
     }
 
     private fun isEmpty(m: Machine): Boolean {
         val u = m.used
-        return m.tasks.all { it.ended } && m.attempts.isEmpty() && u.cores < EPSILON && u.cards < EPSILON &&
-            u.ram < EPSILON
+        return m.tasks.all { it.ended } && m.attempts.isEmpty() && u.cores < EPSILON && u.gpus < EPSILON &&
+            u.memoryGb < EPSILON
     }
 
     private fun isAllowedOn(
-        d: Demand,
+        d: ResourceRequest,
         m: Machine,
     ): Boolean {
         val isType = d.types.isEmpty() || m.type in d.types
@@ -135,7 +135,7 @@
     private fun emptySome(now: Long) {
         val up =
             machines.byName.values.filter { m ->
-                val isInService = !m.deleted && !m.recalled && m.session > 0 && m.name !in drains
+                val isInService = !m.deleted && !m.hasSpotNotice && m.incarnation > 0 && m.name !in drains
                 isInService && now - m.heardAt < settings.leaseMs / 2
             }
         val leaving =
@@ -147,7 +147,7 @@
                 .filter { !it.deleted }
         val most = maxOf(EMPTYING_AT_ONCE, (up.size * EMPTYING_SHARE).toInt()) - leaving.size
         if (most <= 0) return
-        val plan = EmptyingPlan(up, leaving, machines.flavors, recentServices(), operator.fleetHeadroom)
+        val plan = EmptyingPlan(up, leaving, machines.machineTypes, recentServices(), operator.fleetHeadroom)
         for (choice in plan.choose(
             most,
         ) { mayEmpty(it, now) }) {
--- a/src/main/kotlin/micatally/fleet/EmptyingPlan.kt
+++ b/src/main/kotlin/micatally/fleet/EmptyingPlan.kt
@@ -1,8 +1,8 @@
 package micatally.fleet
 
-import micatally.wire.Amount
-import micatally.wire.Demand
-import micatally.wire.Flavor
+import micatally.wire.Resources
+import micatally.wire.ResourceRequest
+import micatally.wire.MachineType
 import micatally.worker.Machine
 
 /**
@@ -16,8 +16,8 @@
 class EmptyingPlan(
     private val up: List<Machine>,
     private val leaving: List<Machine>,
-    private val types: Map<String, Flavor>,
-    private val recent: List<Demand>,
+    private val types: Map<String, MachineType>,
+    private val recent: List<ResourceRequest>,
     private val headroom: Double,
 ) {
     class Choice(
@@ -43,7 +43,7 @@
             val candidates =
                 up
                     .filter { it.type == type.label && mayEmpty(it) }
-                    .sortedWith(compareBy({ it.used.cards }, { share(type, it.used) }, { it.name }))
+                    .sortedWith(compareBy({ it.used.gpus }, { share(type, it.used) }, { it.name }))
             for (machine in candidates) {
                 if (choices.size >= most) return choices
                 val free = freeElsewhere(type, machine) ?: break
@@ -51,7 +51,7 @@
                 choices.add(
                     Choice(
                         machine,
-                        "%.2f used, %.0f cores and %.0f cards free elsewhere".format(used, free.cores, free.cards),
+                        "%.2f used, %.0f cores and %.0f cards free elsewhere".format(used, free.cores, free.gpus),
                     ),
                 )
                 chosen.add(machine)
@@ -61,46 +61,46 @@
     }
 
     private fun share(
-        type: Flavor,
-        used: Amount,
+        type: MachineType,
+        used: Resources,
     ): Double {
-        val cards = if (type.amount.cards > 0) used.cards / type.amount.cards else 0.0
-        return maxOf(cards, used.cores / type.amount.cores)
+        val gpus = if (type.resources.gpus > 0) used.gpus / type.resources.gpus else 0.0
+        return maxOf(gpus, used.cores / type.resources.cores)
     }
 
     /** What is free on machines that could take what is on this one; null if that is not enough, or this one is used too much. */
     private fun freeElsewhere(
-        type: Flavor,
+        type: MachineType,
         machine: Machine,
-    ): Amount? {
+    ): Resources? {
         val moved = machine.used
         if (share(type, moved) > MOSTLY_USED) return null
-        val hasNoCards = moved.cards <= 0.0 && type.amount.cards > 0
+        val hasNoCards = moved.gpus <= 0.0 && type.resources.gpus > 0
         val takes = { other: Machine -> if (hasNoCards) other.zone == machine.zone else other.type == machine.type }
-        var free = Amount.NONE
-        var used = Amount.NONE
+        var free = Resources.NONE
+        var used = Resources.NONE
         for (other in up) {
             if (other === machine || other in chosen || !takes(other)) continue
-            free = free + ((types[other.type] ?: continue).amount - other.used)
+            free = free + ((types[other.type] ?: continue).resources - other.used)
             used = used + other.used
         }
         for (other in leaving + chosen) if (takes(other)) free = free - other.used
-        val spare = if (hasNoCards) Amount(used.cores * headroom, 0.0, 0.0) else spare(type, used)
-        return free.takeIf { it.cores >= moved.cores + spare.cores && it.cards >= moved.cards + spare.cards }
+        val spare = if (hasNoCards) Resources(used.cores * headroom, 0.0, 0.0) else spare(type, used)
+        return free.takeIf { it.cores >= moved.cores + spare.cores && it.gpus >= moved.gpus + spare.gpus }
     }
 
     private fun spare(
-        type: Flavor,
-        used: Amount,
-    ): Amount {
+        type: MachineType,
+        used: Resources,
+    ): Resources {
         val next =
             recent.filter {
                 (it.types.isEmpty() || type.label in it.types) &&
-                    (it.cards > 0) == (type.amount.cards > 0)
+                    (it.gpus > 0) == (type.resources.gpus > 0)
             }
-        val cores = maxOf(type.amount.cores, used.cores * headroom, next.sumOf { it.cores * it.count })
-        val cards = maxOf(type.amount.cards, used.cards * headroom, next.sumOf { it.cards * it.count })
-        return Amount(cores, cards, 0.0)
+        val cores = maxOf(type.resources.cores, used.cores * headroom, next.sumOf { it.cores * it.count })
+        val gpus = maxOf(type.resources.gpus, used.gpus * headroom, next.sumOf { it.gpus * it.count })
+        return Resources(cores, gpus, 0.0)
     }
 
     private companion object {
--- a/src/main/kotlin/micatally/fleet/FleetManager.kt
+++ b/src/main/kotlin/micatally/fleet/FleetManager.kt
@@ -17,7 +17,7 @@
 import micatally.state.Transaction
 import micatally.state.TransactionResult
 import micatally.state.Urgency
-import micatally.wire.Demand
+import micatally.wire.ResourceRequest
 import micatally.wire.ListedMachine
 import micatally.wire.textOrNull
 import micatally.worker.Machines
@@ -26,10 +26,10 @@
 /** What the fleet manager hears from the rest of the node. */
 interface FleetDemand {
     /** What finds no room at present, of all owners. */
-    fun unplaced(): List<Demand>
+    fun unplaced(): List<ResourceRequest>
 
     /** Services that came lately, to any owner. */
-    fun recentServices(): List<Demand>
+    fun recentServices(): List<ResourceRequest>
 
     /** Zones of controllers that can't be heard. */
     fun silentZones(): Set<String>
@@ -75,10 +75,10 @@
             operator,
             nowMs,
         )
-    private val types = MachineTypes(settings, state, cloud, machines, { isLeader }, { onFlavors() })
+    private val types = MachineTypes(settings, state, cloud, machines, { isLeader }, { onMachineTypes() })
 
     /** The machine types have become known. */
-    var onFlavors: () -> Unit = {}
+    var onMachineTypes: () -> Unit = {}
 
     val isLeader get() = term > 0 && cluster.modRevision(Keys.FLEET) == term
 
@@ -93,7 +93,7 @@
         scope.launch { listLoop() }
         scope.launch {
             while (true) {
-                delay(settings.reportMs / STEPS_A_REPORT)
+                delay(settings.heartbeatIntervalMs / STEPS_A_REPORT)
                 if (isLeader) step()
             }
         }
@@ -191,7 +191,7 @@
 
     private fun followRentals(now: Long) {
         for (m in machines.byName.values) {
-            if (!m.deleted && m.session != 0L) rentals.reports(m.name, Offer(m.type, m.zone, m.spot), m.firstHeardAt)
+            if (!m.deleted && m.incarnation != 0L) rentals.reports(m.name, Offer(m.type, m.zone, m.spot), m.firstHeardAt)
         }
         rentals.removeAll(machines.deletedNames)
         rentals.observe(now)
--- a/src/main/kotlin/micatally/fleet/MachineTypes.kt
+++ b/src/main/kotlin/micatally/fleet/MachineTypes.kt
@@ -11,8 +11,8 @@
 import micatally.state.Transaction
 import micatally.state.TransactionResult
 import micatally.state.Urgency
-import micatally.wire.Flavor
-import micatally.wire.WireError
+import micatally.wire.MachineType
+import micatally.wire.MalformedMessage
 import micatally.worker.Machines
 import org.slf4j.LoggerFactory
 
@@ -30,14 +30,14 @@
 
     suspend fun follow() {
         while (true) {
-            if (machines.flavors.isEmpty()) readStored()
-            if (machines.flavors.isEmpty() || isLeader()) askCloud()
-            delay(if (machines.flavors.isEmpty()) settings.leaseMs / UNKNOWN_SHARE else settings.leaseMs * KNOWN_LEASES)
+            if (machines.machineTypes.isEmpty()) readStored()
+            if (machines.machineTypes.isEmpty() || isLeader()) askCloud()
+            delay(if (machines.machineTypes.isEmpty()) settings.leaseMs / UNKNOWN_SHARE else settings.leaseMs * KNOWN_LEASES)
         }
     }
 
     private suspend fun readStored() {
-        val kept = state.get(Keys.FLAVORS, Urgency.ACCEPTANCE)
+        val kept = state.get(Keys.MACHINE_TYPES, Urgency.ACCEPTANCE)
         if (kept !is ReadResult.Found) return
         stored = kept.item.value.toString()
         take(kept.item.value)
@@ -45,24 +45,24 @@
 
     /** What the cloud says is stored for nodes that start while it can't be asked. */
     private suspend fun askCloud() {
-        val fresh = cloud.flavors() ?: return
+        val fresh = cloud.machineTypes() ?: return
         take(fresh)
         val text = fresh.toString()
         if (text == stored || RecordPacking.size(fresh) > settings.valueBytes) return
-        val written = state.transact(1, Urgency.SUMMARY) { Transaction(emptyList(), listOf(Put(Keys.FLAVORS, fresh))) }
+        val written = state.transact(1, Urgency.SUMMARY) { Transaction(emptyList(), listOf(Put(Keys.MACHINE_TYPES, fresh))) }
         if (written is TransactionResult.Applied) stored = text
     }
 
     private fun take(answer: JsonObject) {
         val types =
             try {
-                Flavor.parseAll(answer)
-            } catch (e: WireError) {
+                MachineType.parseAll(answer)
+            } catch (e: MalformedMessage) {
                 log.error("machine types: {}", e.message)
                 return
             }
-        val isFirst = machines.flavors.isEmpty()
-        machines.flavors = types.associateBy { it.label }
+        val isFirst = machines.machineTypes.isEmpty()
+        machines.machineTypes = types.associateBy { it.label }
         if (isFirst) onFirstKnown()
     }
 
--- a/src/main/kotlin/micatally/fleet/RentPlan.kt
+++ b/src/main/kotlin/micatally/fleet/RentPlan.kt
@@ -1,8 +1,8 @@
 package micatally.fleet
 
-import micatally.wire.Amount
-import micatally.wire.Demand
-import micatally.wire.Flavor
+import micatally.wire.Resources
+import micatally.wire.ResourceRequest
+import micatally.wire.MachineType
 
 /** A machine type in a zone, spot or ordinary: what the cloud is asked for. */
 data class Offer(
@@ -28,11 +28,11 @@
         val type: String,
         val zone: String,
         val spot: Boolean,
-        var free: Amount,
+        var free: Resources,
     )
 
     private fun allowed(
-        d: Demand,
+        d: ResourceRequest,
         type: String,
         zone: String,
         spot: Boolean,
@@ -40,63 +40,63 @@
 
     /** What tasks without cards may use of a room: not the cores that the cards in it will need. */
     private fun open(
-        task: Amount,
-        free: Amount,
-        machine: Amount,
-    ) = if (task.cards > 0 ||
-        machine.cards <= 0
+        task: Resources,
+        free: Resources,
+        machine: Resources,
+    ) = if (task.gpus > 0 ||
+        machine.gpus <= 0
     ) {
         free
     } else {
-        Amount(free.cores - free.cards * machine.cores / machine.cards * CORES_KEPT, 0.0, free.ram)
+        Resources(free.cores - free.gpus * machine.cores / machine.gpus * CORES_KEPT, 0.0, free.memoryGb)
     }
 
     /** How many such tasks an empty machine takes. */
     private fun perMachine(
-        task: Amount,
-        machine: Amount,
+        task: Resources,
+        machine: Resources,
         keepsCores: Boolean,
     ): Int = task.countIn(if (keepsCores) open(task, machine, machine) else machine)
 
     /** Whether cores can be kept for cards: a task that is too large for what is left then, on any type that it may use,
      * would wait for good. */
     private fun mayKeepCores(
-        demand: Demand,
-        task: Amount,
-        flavors: Collection<Flavor>,
+        demand: ResourceRequest,
+        task: Resources,
+        machineTypes: Collection<MachineType>,
     ): Boolean =
-        flavors.any { flavor ->
-            (demand.types.isEmpty() || flavor.label in demand.types) && perMachine(task, flavor.amount, true) > 0
+        machineTypes.any { flavor ->
+            (demand.types.isEmpty() || flavor.label in demand.types) && perMachine(task, flavor.resources, true) > 0
         }
 
     /** Tasks of one shape, of whichever job: together they may fill a machine that would be too large for one job's. */
     private data class Shape(
-        val task: Amount,
+        val task: Resources,
         val types: List<String>,
         val spot: Boolean,
     )
 
-    private fun shape(d: Demand) = Shape(Amount(d.cores, d.cards, d.ram), d.types, d.spot)
+    private fun shape(d: ResourceRequest) = Shape(Resources(d.cores, d.gpus, d.memoryGb), d.types, d.spot)
 
     /** Fills the rooms that are coming first, then picks offers for the rest, by the cost of what each would carry.
      * [coming] is changed. */
     fun plan(
-        demands: List<Demand>,
+        demands: List<ResourceRequest>,
         coming: MutableList<Room>,
-        flavors: Collection<Flavor>,
+        machineTypes: Collection<MachineType>,
         market: Market,
         owned: Map<String, Int>,
         most: Int,
     ): Map<Offer, Int> {
         val out = LinkedHashMap<Offer, Int>()
         val perZone = HashMap(owned)
-        val amounts = flavors.associate { it.label to it.amount }
+        val amounts = machineTypes.associate { it.label to it.resources }
         val bulk = HashMap<Shape, Int>()
         for (d in demands) bulk.merge(shape(d), d.count, Int::plus)
         // Those with cards first: what they leave of their machines serves the others.
-        for (d in demands.sortedWith(compareBy({ it.priority }, { -it.cards }))) {
-            val task = Amount(d.cores, d.cards, d.ram)
-            val keepsCores = mayKeepCores(d, task, flavors)
+        for (d in demands.sortedWith(compareBy({ it.priority }, { -it.gpus }))) {
+            val task = Resources(d.cores, d.gpus, d.memoryGb)
+            val keepsCores = mayKeepCores(d, task, machineTypes)
             var left = d.count
             val zoneRoom = if (d.zoneRoom.isEmpty()) null else d.zones.zip(d.zoneRoom).toMap(HashMap())
 
@@ -120,8 +120,8 @@
             while (left > 0 && out.values.sum() < most) {
                 var best: Offer? = null
                 var bestCost = Double.MAX_VALUE
-                for (f in flavors) {
-                    val n = perMachine(task, f.amount, keepsCores)
+                for (f in machineTypes) {
+                    val n = perMachine(task, f.resources, keepsCores)
                     if (n == 0) continue
                     for (z in f.zones) {
                         for (spot in if (d.spot) listOf(true, false) else listOf(false)) {
@@ -140,8 +140,8 @@
                     }
                 }
                 val o = best ?: break
-                val f = flavors.first { it.label == o.type }
-                val room = Room(o.type, o.zone, o.spot, f.amount)
+                val f = machineTypes.first { it.label == o.type }
+                val room = Room(o.type, o.zone, o.spot, f.resources)
                 out.merge(o, 1, Int::plus)
                 perZone.merge("${o.type}/${o.zone}", 1, Int::plus)
                 coming.add(room)
--- a/src/main/kotlin/micatally/fleet/Renting.kt
+++ b/src/main/kotlin/micatally/fleet/Renting.kt
@@ -13,7 +13,7 @@
 import micatally.state.Transaction
 import micatally.state.TransactionResult
 import micatally.state.Urgency
-import micatally.wire.Demand
+import micatally.wire.ResourceRequest
 import micatally.worker.Machines
 import org.slf4j.LoggerFactory
 
@@ -62,20 +62,20 @@
     }
 
     fun rentFor(
-        demands: List<Demand>,
+        demands: List<ResourceRequest>,
         now: Long,
     ) {
-        if (machines.flavors.isEmpty() || underWay.isNotEmpty()) return
+        if (machines.machineTypes.isEmpty() || underWay.isNotEmpty()) return
         val owned = HashMap<String, Int>()
         for (rental in rentals.all) owned.merge("${rental.offer.type}/${rental.offer.zone}", 1, Int::plus)
         val coming =
             rentals.coming(now).mapNotNullTo(ArrayList()) { rental ->
-                machines.flavors[rental.offer.type]?.let { type ->
-                    RentPlan.Room(rental.offer.type, rental.offer.zone, rental.offer.spot, type.amount)
+                machines.machineTypes[rental.offer.type]?.let { type ->
+                    RentPlan.Room(rental.offer.type, rental.offer.zone, rental.offer.spot, type.resources)
                 }
             }
         val market = Market({ (refusedUntil[it] ?: 0L) > now }, { rentals.bootTimes.slowness(it) })
-        val plan = RentPlan.plan(demands, coming, machines.flavors.values, market, owned, MOST_AT_ONCE)
+        val plan = RentPlan.plan(demands, coming, machines.machineTypes.values, market, owned, MOST_AT_ONCE)
         for ((offer, count) in plan) {
             for (part in 0 until count step MOST_A_BOOKING) {
                 decide(Booking("b$term-${++bookings}", offer, minOf(MOST_A_BOOKING, count - part)))
--- a/src/main/kotlin/micatally/fleet/SilentMachines.kt
+++ b/src/main/kotlin/micatally/fleet/SilentMachines.kt
@@ -5,8 +5,8 @@
 import micatally.http.HttpCaller
 import micatally.http.Outcome
 import micatally.settings.Settings
-import micatally.wire.Report
-import micatally.wire.WireError
+import micatally.wire.Heartbeat
+import micatally.wire.MalformedMessage
 import micatally.wire.parseObject
 import micatally.worker.Machine
 import micatally.worker.Machines
@@ -29,7 +29,7 @@
 ) {
     private val log = LoggerFactory.getLogger("micatally.fleet")
     private val probing = HashSet<String>()
-    private val probeAfterMs = maxOf(settings.reportMs * 2, settings.leaseMs / 4)
+    private val probeAfterMs = maxOf(settings.heartbeatIntervalMs * 2, settings.leaseMs / 4)
     private val probeMs = settings.leaseMs / 16
     private var contactLostAt = Long.MIN_VALUE / 2
 
@@ -99,7 +99,7 @@
         val lost =
             dark.filter { m ->
                 val zone = zones[m.zone]
-                val isZoneReached = now - machines.reachedAt(m.zone) < settings.reportMs
+                val isZoneReached = now - machines.reachedAt(m.zone) < settings.heartbeatIntervalMs
                 val isZoneHeard = (zone?.quiet ?: 0) <= (zone?.heard ?: 0)
                 m.dark >= DARK && isZoneReached && isZoneHeard && now - m.heardAt > probeAfterMs
             }
@@ -112,7 +112,7 @@
         zone: String,
         now: Long,
     ) {
-        if (now - machines.reachedAt(zone) <= settings.reportMs / 2) return
+        if (now - machines.reachedAt(zone) <= settings.heartbeatIntervalMs / 2) return
         val healthy =
             machines.byName.values.firstOrNull {
                 it.zone == zone && !it.deleted && it.dark == 0 && now - it.heardAt < probeAfterMs
@@ -144,7 +144,7 @@
         scope.launch {
             try {
                 probed(m, http.call(m.addr, "GET", "/show", null, probeMs), nowMs() - now)
-            } catch (e: WireError) {
+            } catch (e: MalformedMessage) {
                 log.info("machine {} answers what is no report: {}", m.name, e.message)
             } finally {
                 probing.remove(m.name)
@@ -162,7 +162,7 @@
                 if (out.status == 200) {
                     m.mute = 0
                     m.dark = 0
-                    machines.absorb(Report.parse(parseObject(out.body)), false)
+                    machines.absorb(Heartbeat.parse(parseObject(out.body)), false)
                 }
             // The first one may have gone into a connection from before; the second has made one.
             Outcome.Silence, Outcome.TooLarge -> {
--- a/src/main/kotlin/micatally/gang/GangPolicy.kt
+++ b/src/main/kotlin/micatally/gang/GangPolicy.kt
@@ -10,13 +10,13 @@
 class GangTiming(
     val waitMs: Long,
     val peerMs: Long,
-    private val reportMs: Long,
+    private val heartbeatIntervalMs: Long,
 ) {
     /**
      * For how long a task may be seen waiting before its run is given up: a report may be late by its interval, and the stop
      * has to arrive before the worker ends the task by itself.
      */
-    val giveUpMs get() = maxOf(waitMs / 2, waitMs - reportMs * REPORTS_OF_MARGIN)
+    val giveUpMs get() = maxOf(waitMs / 2, waitMs - heartbeatIntervalMs * REPORTS_OF_MARGIN)
 
     private companion object {
         const val REPORTS_OF_MARGIN = 3
--- a/src/main/kotlin/micatally/job/Attempt.kt
+++ b/src/main/kotlin/micatally/job/Attempt.kt
@@ -13,7 +13,7 @@
 enum class AttemptState { INTENDED, RECORDED, ORDERED, PULLING, WAITING, RUNNING, SAVING, GONE }
 
 /** The proofs that an attempt is gone. Nothing else counts; above all no report that merely lacks it. */
-enum class GoneProof { NEVER_SENT, OWN_ANSWER, NEWER_SESSION, MACHINE_DELETED, COMPLETED }
+enum class GoneProof { NEVER_SENT, OWN_ANSWER, NEWER_INCARNATION, MACHINE_DELETED, COMPLETED }
 
 /**
  * How an attempt ended.
@@ -37,7 +37,7 @@
     val taskIndex: Int,
     val number: Long,
     val machine: Machine,
-    val session: Long,
+    val incarnation: Long,
     val inherited: Double,
     startState: AttemptState,
 ) {
--- a/src/main/kotlin/micatally/job/FaultJudgement.kt
+++ b/src/main/kotlin/micatally/job/FaultJudgement.kt
@@ -25,7 +25,7 @@
         val wasSuspect = health.isSuspect
         val isProven = isProven(attempt.machine, job, nowMs)
         health.failed(attempt.machine.name, ranMs, isProven)
-        val pauseMs = health.pauseMs(settings.reportMs, memoryMs)
+        val pauseMs = health.pauseMs(settings.heartbeatIntervalMs, memoryMs)
         if (pauseMs > 0) job.retryAt = nowMs + pauseMs
         if (health.isSuspect) {
             if (!wasSuspect) suspect(job, nowMs)
--- a/src/main/kotlin/micatally/job/JobHealth.kt
+++ b/src/main/kotlin/micatally/job/JobHealth.kt
@@ -58,11 +58,11 @@
 
     /** How long to wait before the next try. */
     fun pauseMs(
-        reportMs: Long,
+        heartbeatIntervalMs: Long,
         mostMs: Long,
     ): Long {
         if (failuresInRow <= FAILURES_TO_PAUSE) return 0L
-        return minOf(mostMs, reportMs shl minOf(failuresInRow - FAILURES_TO_PAUSE, MOST_DOUBLINGS))
+        return minOf(mostMs, heartbeatIntervalMs shl minOf(failuresInRow - FAILURES_TO_PAUSE, MOST_DOUBLINGS))
     }
 
     private companion object {
--- a/src/main/kotlin/micatally/job/JobRecord.kt
+++ b/src/main/kotlin/micatally/job/JobRecord.kt
@@ -8,7 +8,7 @@
 import kotlinx.serialization.json.put
 import micatally.ledger.Ledger
 import micatally.wire.JobSpec
-import micatally.wire.WireError
+import micatally.wire.MalformedMessage
 import micatally.wire.asLong
 import micatally.wire.asText
 import micatally.wire.child
@@ -67,7 +67,7 @@
                 put(
                     "a",
                     buildJsonArray {
-                        for ((place, list) in job.attempts.values.groupBy { it.machine to it.session }) {
+                        for ((place, list) in job.attempts.values.groupBy { it.machine to it.incarnation }) {
                             add(
                                 buildJsonArray {
                                     val m = place.first
@@ -116,7 +116,7 @@
     /** A machine's description stands in each row, so that a new holder can ask it before it reports. */
     class Placed(
         val machine: String,
-        val session: Long,
+        val incarnation: Long,
         val addr: String,
         val type: String,
         val zone: String,
@@ -132,13 +132,13 @@
 
     fun holdOf(o: JsonObject) = (o["c"])?.asText() ?: ""
 
-    /** @throws WireError if the record is of a form that this program does not know */
+    /** @throws MalformedMessage if the record is of a form that this program does not know */
     fun state(o: JsonObject) =
         when (val name = o.text("e")) {
             DONE -> JobState.DONE
             WITHDRAWN -> JobState.WITHDRAWN
             OPEN -> JobState.OPEN
-            else -> throw WireError("a job's state can't be $name")
+            else -> throw MalformedMessage("a job's state can't be $name")
         }
 
     fun isSettled(o: JsonObject) = state(o) != JobState.OPEN && !mayHaveAttempts(o)
--- a/src/main/kotlin/micatally/job/LedgerLoader.kt
+++ b/src/main/kotlin/micatally/job/LedgerLoader.kt
@@ -29,7 +29,7 @@
     suspend fun load(l: Ledger) {
         while (l.mine) {
             if (tryLoad(l)) return
-            delay(settings.reportMs / 8)
+            delay(settings.heartbeatIntervalMs / 8)
         }
     }
 
@@ -110,9 +110,9 @@
         placed: JobRecord.Placed,
     ) {
         val machine = machines.known(placed.machine, placed.addr, placed.type, placed.zone, placed.spot)
-        if (machine.session == 0L) machine.session = placed.session
+        if (machine.incarnation == 0L) machine.incarnation = placed.incarnation
         val attempt =
-            Attempt(job, placed.taskIndex, placed.number, machine, placed.session, job.service, AttemptState.ORDERED)
+            Attempt(job, placed.taskIndex, placed.number, machine, placed.incarnation, job.service, AttemptState.ORDERED)
         job.attempts[placed.taskIndex] = attempt
         owner.attach(attempt)
     }
@@ -120,7 +120,7 @@
     /** What is known of the machines already is applied to the attempts that have just been loaded. */
     private fun reconcileMachines() {
         for (m in machines.byName.values.toList()) {
-            if (m.session > 0) owner.newSession(m)
+            if (m.incarnation > 0) owner.newIncarnation(m)
             if (m.deleted) owner.deleted(m)
             if (m.attempts.isNotEmpty()) {
                 owner.listed(m, false)
--- a/src/main/kotlin/micatally/job/LedgerRecords.kt
+++ b/src/main/kotlin/micatally/job/LedgerRecords.kt
@@ -7,7 +7,7 @@
 import micatally.state.KeyValue
 import micatally.state.StateStoreClient
 import micatally.state.Urgency
-import micatally.wire.WireError
+import micatally.wire.MalformedMessage
 import org.slf4j.LoggerFactory
 import java.io.IOException
 
@@ -40,7 +40,7 @@
         read()
     } catch (e: CancellationException) {
         throw e
-    } catch (e: WireError) {
+    } catch (e: MalformedMessage) {
         throw UnreadableRecord(ref, e)
     } catch (e: IllegalArgumentException) {
         // Also what the decoders of JSON and of Base64 throw.
--- a/src/main/kotlin/micatally/job/Owner.kt
+++ b/src/main/kotlin/micatally/job/Owner.kt
@@ -16,7 +16,7 @@
 import micatally.settings.Settings
 import micatally.state.StateStoreClient
 import micatally.state.Urgency
-import micatally.wire.Demand
+import micatally.wire.ResourceRequest
 import micatally.wire.ExitReason
 import micatally.wire.JobAnswer
 import micatally.wire.JobSpec
@@ -47,7 +47,7 @@
     var wake: () -> Unit = {}
     val faults = FaultJudgement(settings, machines)
 
-    val gangs = GangSupervisor(this, GangTiming(settings.gangWaitMs, settings.gangPeerMs, settings.reportMs), nowMs)
+    val gangs = GangSupervisor(this, GangTiming(settings.gangWaitMs, settings.gangPeerMs, settings.heartbeatIntervalMs), nowMs)
 
     override fun poke(machine: Machine) = orders.poke(machine)
 
@@ -146,7 +146,7 @@
             for (a in j.attempts.values) {
                 a.machine.detach(a, nowMs())
                 // Its new owner has yet to load it; to all that see this node's summary the room would look free meanwhile.
-                j.spec?.let { a.machine.promise(j.ref, a.taskIndex, it.amount, nowMs() + settings.handOverMs) }
+                j.spec?.let { a.machine.promise(j.ref, a.taskIndex, it.resources, nowMs() + settings.handOverMs) }
             }
             store.drop(j)
         }
@@ -173,7 +173,7 @@
         m: Machine,
         number: Long = job.nextAttempt++,
     ): Attempt {
-        val a = Attempt(job, taskIndex, number, m, m.session, job.service, AttemptState.INTENDED)
+        val a = Attempt(job, taskIndex, number, m, m.incarnation, job.service, AttemptState.INTENDED)
         job.gang?.tried(taskIndex, m.name)
         job.attempts[taskIndex] = a
         attach(a)
@@ -273,8 +273,8 @@
         val job = attempt.job
         when (end.reason) {
             ExitReason.ERROR -> faults.taskFailed(attempt, ranMs, now)
-            ExitReason.FULL -> attempt.machine.fullUntil = now + settings.reportMs
-            ExitReason.UNKNOWN, ExitReason.IN_USE -> job.retryAt = now + settings.reportMs
+            ExitReason.FULL -> attempt.machine.fullUntil = now + settings.heartbeatIntervalMs
+            ExitReason.UNKNOWN, ExitReason.IN_USE -> job.retryAt = now + settings.heartbeatIntervalMs
             else -> {}
         }
     }
@@ -311,12 +311,12 @@
         if (to > job.service) job.service = to
     }
 
-    fun newSession(m: Machine) {
+    fun newIncarnation(m: Machine) {
         for (a in m.attempts.toList()) {
-            if (a.session <
-                m.session
+            if (a.incarnation <
+                m.incarnation
             ) {
-                gone(a, AttemptEnd(GoneProof.NEWER_SESSION, "session ${m.session}"))
+                gone(a, AttemptEnd(GoneProof.NEWER_INCARNATION, "session ${m.incarnation}"))
             }
         }
     }
@@ -336,7 +336,7 @@
         for (t in m.tasks) {
             val job = job(t.ref) ?: continue
             val a = job.attempts[t.taskIndex]
-            if (a != null && a.number == t.attempt && a.machine === m && a.session == m.session) {
+            if (a != null && a.number == t.attempt && a.machine === m && a.incarnation == m.incarnation) {
                 poke = listedAttempt(a, t, own) || poke
             } else {
                 poke = true
@@ -346,7 +346,7 @@
         // What was there and is missing proves nothing, since nobody knows who took it away; but the machine is asked.
         if (!own &&
             m.attempts.any {
-                it.state >= AttemptState.PULLING && it.session == m.session &&
+                it.state >= AttemptState.PULLING && it.incarnation == m.incarnation &&
                     m.tasks.none { t -> t.ref == it.job.ref && t.taskIndex == it.taskIndex && t.attempt == it.number }
             }
         ) {
@@ -409,7 +409,7 @@
     private fun started(a: Attempt) {
         val m = a.machine
         a.job.spec?.let {
-            m.sawImage(it.image, it.imageGb, machines.flavors[m.type]?.cacheGb ?: 0.0)
+            m.sawImage(it.image, it.imageGb, machines.machineTypes[m.type]?.cacheGb ?: 0.0)
             m.ownImages.add(it.image)
         }
         log.info("task {} runs", a)
@@ -424,7 +424,7 @@
     private val arrivals = ServiceArrivals(nowMs) { machines.bootMs(null) }
 
     /** The services submitted here while a machine boots, by shape. */
-    fun recentServices(): List<Demand> = arrivals.recent()
+    fun recentServices(): List<ResourceRequest> = arrivals.recent()
 
     // What users ask for
 
@@ -442,8 +442,8 @@
             spec.team,
             spec.jobClass,
             spec.taskCount,
-            spec.amount.cores,
-            spec.amount.cards,
+            spec.resources.cores,
+            spec.resources.gpus,
         )
         return job
     }
--- a/src/main/kotlin/micatally/job/ServiceArrivals.kt
+++ b/src/main/kotlin/micatally/job/ServiceArrivals.kt
@@ -1,6 +1,6 @@
 package micatally.job
 
-import micatally.wire.Demand
+import micatally.wire.ResourceRequest
 import micatally.wire.JobSpec
 
 /** The services that were submitted to this node lately, as a measure of those that will come while a machine boots. */
@@ -20,18 +20,18 @@
     }
 
     /** What came in the last while, as one demand for each shape. */
-    fun recent(): List<Demand> {
+    fun recent(): List<ResourceRequest> {
         val sinceMs = nowMs() - bootMs() * THIRDS_OF_A_BOOT / 3
         while (arrivals.isNotEmpty() && arrivals.first().atMs < sinceMs) arrivals.removeFirst()
-        return arrivals.groupBy { it.spec.amount to it.spec.types }.values.map { demand(it) }
+        return arrivals.groupBy { it.spec.resources to it.spec.types }.values.map { demand(it) }
     }
 
-    private fun demand(alike: List<Arrival>): Demand {
+    private fun demand(alike: List<Arrival>): ResourceRequest {
         val spec = alike.first().spec
-        return Demand(
-            spec.amount.cores,
-            spec.amount.cards,
-            spec.amount.ram,
+        return ResourceRequest(
+            spec.resources.cores,
+            spec.resources.gpus,
+            spec.resources.memoryGb,
             spec.types?.toList() ?: emptyList(),
             count = alike.sumOf { it.spec.taskCount },
             service = true,
--- a/src/main/kotlin/micatally/ledger/Cluster.kt
+++ b/src/main/kotlin/micatally/ledger/Cluster.kt
@@ -34,7 +34,7 @@
     /** Records of jobs that are over, and which hosts look for them there. */
     const val FINAL = "final/"
     const val ARCHIVE = "c/archive/"
-    const val FLAVORS = "flavors"
+    const val MACHINE_TYPES = "flavors"
 
     /** What does not fit in the value of a job's record. Not under [JOB], or the previous program would read it as a record. */
     const val JOB_PART = "part/"
--- a/src/main/kotlin/micatally/node/Controller.kt
+++ b/src/main/kotlin/micatally/node/Controller.kt
@@ -43,7 +43,7 @@
 import micatally.state.Urgency
 import micatally.upgrade.FormatVersion
 import micatally.upgrade.Upgrade
-import micatally.wire.PeerAsk
+import micatally.wire.PeerJobRequest
 import micatally.worker.Machine
 import micatally.worker.Machines
 import micatally.worker.Orders
@@ -105,7 +105,7 @@
         RecordArchive(scope, settings, state, membership, operator.archiveMode, loadedLedgers())
     private val lookup = RecordLookup(state) { archive.mayBeUsed }
     private val store =
-        JobStore(scope, state, forms, settings.reportMs / 4, settings.leaseMs / 10, { archive.mayBeUsed }, nowMs)
+        JobStore(scope, state, forms, settings.heartbeatIntervalMs / 4, settings.leaseMs / 10, { archive.mayBeUsed }, nowMs)
     val owner = Owner(scope, settings, state, membership, machines, store, nowMs, wallMs)
     private val orders = Orders(scope, http, settings, membership, machines, owner, owner.withdrawals.stopList, nowMs)
     private val quota =
@@ -197,7 +197,7 @@
             owner.lose(l)
             scope.launch { membership.refresh() }
         }
-        machines.onSession = { owner.newSession(it) }
+        machines.onNewIncarnation = { owner.newIncarnation(it) }
         machines.onBehind = { m ->
             if (m.attempts.isNotEmpty()) {
                 m.mustAsk = true
@@ -208,7 +208,7 @@
             owner.listed(m, own)
             rounds.wake()
         }
-        fleetManager.onFlavors = { rounds.wake() }
+        fleetManager.onMachineTypes = { rounds.wake() }
         peers.onRetire = { fleetManager.retire(it) }
         peers.onNews = { rounds.wake() }
         membership.onChange = { keys -> effort.of(Effort.Kind.SHARED) { sharedChanged(keys) } }
@@ -263,14 +263,14 @@
     private fun isReachable(
         m: Machine,
         now: Long,
-    ) = !m.deleted && m.failuresInRow == 0 && now >= m.unreachableUntil && now - m.heardAt < settings.reportMs * 2
+    ) = !m.deleted && m.failuresInRow == 0 && now >= m.unreachableUntil && now - m.heardAt < settings.heartbeatIntervalMs * 2
 
     private suspend fun housekeeping() {
         var round = 0
         var bumpedAt = nowMs()
         var effortAt = bumpedAt
         while (true) {
-            delay(settings.reportMs / 4)
+            delay(settings.heartbeatIntervalMs / 4)
             val now = nowMs()
             effort.of(Effort.Kind.HOUSE) {
                 membership.checkAuthority()
@@ -283,7 +283,7 @@
                 for (m in machines.byName.values) m.releaseOld(now)
             }
             for (m in machines.byName.values) {
-                if (m.recalled && !m.deleted) {
+                if (m.hasSpotNotice && !m.deleted) {
                     var touched = false
                     for (a in m.attempts.toList()) {
                         if (a.stop != null || a.state < AttemptState.ORDERED) continue
@@ -390,11 +390,11 @@
                     Peers.KILLS -> peers.takeKills(r.body)
                     Peers.QUERY ->
                         ProtoBuf.encodeToByteArray(
-                            users.peerQuery(ProtoBuf.decodeFromByteArray<PeerAsk>(r.body).ref),
+                            users.peerQuery(ProtoBuf.decodeFromByteArray<PeerJobRequest>(r.body).ref),
                         )
                     Peers.CANCEL ->
                         ProtoBuf.encodeToByteArray(
-                            users.peerCancel(ProtoBuf.decodeFromByteArray<PeerAsk>(r.body).ref),
+                            users.peerCancel(ProtoBuf.decodeFromByteArray<PeerJobRequest>(r.body).ref),
                         )
                     else ->
                         configuration.handle(r.path, r.body) ?: return errorResponse(404, "no such resource")
--- a/src/main/kotlin/micatally/peer/OwnSummary.kt
+++ b/src/main/kotlin/micatally/peer/OwnSummary.kt
@@ -8,9 +8,9 @@
 import micatally.ledger.Membership
 import micatally.placement.Rounds
 import micatally.settings.Settings
-import micatally.wire.Demand
-import micatally.wire.HeldRoom
-import micatally.wire.RoomSummary
+import micatally.wire.ResourceRequest
+import micatally.wire.HeldCapacity
+import micatally.wire.CapacitySummary
 import micatally.worker.Machines
 
 /** What this node holds on machines and what waits here, numbered so that peers are told changes only. */
@@ -23,15 +23,15 @@
 ) {
     /** This node's room on a machine, and the number of the summary in which it changed last. */
     private class Mine(
-        val room: HeldRoom,
+        val room: HeldCapacity,
         val number: Long,
     )
 
     private val mine = HashMap<String, Mine>()
-    private var demand: List<Demand> = emptyList()
+    private var demand: List<ResourceRequest> = emptyList()
 
     /** Services that came to this node lately. */
-    var recent: List<Demand> = emptyList()
+    var recent: List<ResourceRequest> = emptyList()
         private set
 
     /** Of this node's summary; 0 until it first knows what it holds. */
@@ -46,13 +46,13 @@
             val old = mine[m.name]?.room
             if (m.deleted || m.attempts.isEmpty() && !m.isPromised) {
                 if (old != null && old.isHeld) {
-                    mine[m.name] = Mine(HeldRoom(m.name), next)
+                    mine[m.name] = Mine(HeldCapacity(m.name), next)
                     changed = true
                 }
                 continue
             }
             val u = m.ownUsed
-            if (old != null && old.cores == u.cores && old.cards == u.cards && old.ram == u.ram &&
+            if (old != null && old.cores == u.cores && old.gpus == u.gpus && old.memoryGb == u.memoryGb &&
                 old.images.size == m.ownImages.size &&
                 m.ownImages.containsAll(old.images)
             ) {
@@ -60,7 +60,7 @@
             }
             val images = m.ownImages.toList()
             mine[m.name] =
-                Mine(HeldRoom(m.name, u.cores, u.cards, u.ram, images, images.map { m.images[it] ?: 0.0 }), next)
+                Mine(HeldCapacity(m.name, u.cores, u.gpus, u.memoryGb, images, images.map { m.images[it] ?: 0.0 }), next)
             changed = true
         }
         val demandNow = rounds.unplaced.values.toList()
@@ -78,7 +78,7 @@
 
     /** What has changed since the summary with the number [base]; all of it for 0. */
     fun since(base: Long) =
-        RoomSummary(
+        CapacitySummary(
             settings.host,
             membership.process,
             number,
@@ -105,7 +105,7 @@
         names: List<String>,
         piece: Int,
         pieces: Int,
-    ) = RoomSummary(
+    ) = CapacitySummary(
         settings.host,
         membership.process,
         number,
@@ -119,7 +119,7 @@
     private fun roomsOn(names: List<String>) = names.mapNotNull { mine[it]?.room }
 
     /** As many demands as half a value holds. */
-    private fun demandsInPiece(): List<Demand> {
+    private fun demandsInPiece(): List<ResourceRequest> {
         val most = settings.valueBytes * 3 / 4 / 2
         var bytes = 0
         return demand.takeWhile {
--- a/src/main/kotlin/micatally/peer/PeerSummaries.kt
+++ b/src/main/kotlin/micatally/peer/PeerSummaries.kt
@@ -3,16 +3,16 @@
 import micatally.ledger.Keys
 import micatally.ledger.Membership
 import micatally.settings.Settings
-import micatally.wire.Amount
-import micatally.wire.Demand
-import micatally.wire.HeldRoom
-import micatally.wire.RoomSummary
+import micatally.wire.Resources
+import micatally.wire.ResourceRequest
+import micatally.wire.HeldCapacity
+import micatally.wire.CapacitySummary
 import micatally.wire.textOrNull
 import micatally.worker.Machine
 import micatally.worker.Machines
 
 /** Whether an owner holds anything on the machine. */
-internal val HeldRoom.isHeld get() = cores > 0 || cards > 0 || ram > 0
+internal val HeldCapacity.isHeld get() = cores > 0 || gpus > 0 || memoryGb > 0
 
 /** What the other controllers hold on machines and what waits there, as they tell directly or through the state service. */
 internal class PeerSummaries(
@@ -26,18 +26,18 @@
         val process: String,
     ) {
         var number = 0L
-        var demand: List<Demand> = emptyList()
-        var recent: List<Demand> = emptyList()
-        val rooms = HashMap<String, HeldRoom>()
+        var demand: List<ResourceRequest> = emptyList()
+        var recent: List<ResourceRequest> = emptyList()
+        val rooms = HashMap<String, HeldCapacity>()
     }
 
     private val theirs = HashMap<String, Theirs>()
 
     /** Services that came to the other controllers lately. */
-    val recentServices: List<Demand> get() = theirs.values.flatMap { it.recent }
+    val recentServices: List<ResourceRequest> get() = theirs.values.flatMap { it.recent }
 
     /** What waits at a node whose ledgers another one has taken waits there now: counted twice it would be rented for twice. */
-    val demand: List<Demand> get() = theirs.filterKeys { it !in orphanedAt }.values.flatMap { it.demand }
+    val demand: List<ResourceRequest> get() = theirs.filterKeys { it !in orphanedAt }.values.flatMap { it.demand }
 
     /** A machine has become known: what peers hold on it counts. */
     fun machineFound(machine: Machine) {
@@ -45,7 +45,7 @@
     }
 
     /** Takes a peer's summary; false if its changes don't join on to what is here. */
-    fun take(s: RoomSummary): Boolean {
+    fun take(s: CapacitySummary): Boolean {
         if (s.host == settings.host) return true
         val old = theirs[s.host]?.takeIf { it.process == s.process }
         if (old != null && old.number >= s.number) return true
@@ -56,7 +56,7 @@
         t.recent = s.recent
         if (s.base == 0L) {
             val there = s.rooms.mapTo(HashSet()) { it.machine }
-            for (name in t.rooms.keys.filter { it !in there }) put(s.host, t, HeldRoom(name))
+            for (name in t.rooms.keys.filter { it !in there }) put(s.host, t, HeldCapacity(name))
         }
         for (r in s.rooms) put(s.host, t, r)
         return true
@@ -64,7 +64,7 @@
 
     /** A piece that came through the state service: it counts where nothing newer came directly. What it lacks of its
      * own bucket is given up; of other buckets it says nothing. */
-    fun takePiece(s: RoomSummary) {
+    fun takePiece(s: CapacitySummary) {
         if (s.host == settings.host) return
         // A former process of that host may have left pieces behind.
         val current =
@@ -88,7 +88,7 @@
                 s.buckets,
             ) == s.bucket && it !in there
         }) {
-            put(s.host, t, HeldRoom(name))
+            put(s.host, t, HeldCapacity(name))
         }
         for (r in s.rooms) put(s.host, t, r)
     }
@@ -96,7 +96,7 @@
     private fun put(
         host: String,
         t: Theirs,
-        r: HeldRoom,
+        r: HeldCapacity,
     ) {
         if (r.isHeld) t.rooms[r.machine] = r else t.rooms.remove(r.machine)
         machines.of(r.machine)?.let { hold(host, it, r) }
@@ -105,10 +105,10 @@
     private fun hold(
         host: String,
         m: Machine,
-        r: HeldRoom,
+        r: HeldCapacity,
     ) {
-        m.others(host, Amount(r.cores, r.cards, r.ram), nowMs())
-        val cacheGb = machines.flavors[m.type]?.cacheGb ?: 0.0
+        m.others(host, Resources(r.cores, r.gpus, r.memoryGb), nowMs())
+        val cacheGb = machines.machineTypes[m.type]?.cacheGb ?: 0.0
         for ((i, image) in r.images.withIndex()) {
             if (image !in
                 m.images
@@ -131,7 +131,7 @@
 
     private fun forget(host: String) {
         val t = theirs.remove(host) ?: return
-        for (name in t.rooms.keys) machines.of(name)?.others(host, Amount.NONE, nowMs())
+        for (name in t.rooms.keys) machines.of(name)?.others(host, Resources.NONE, nowMs())
     }
 
     /** The shared keys have changed: summaries that have no one behind them any more go, a while later. Who took their
--- a/src/main/kotlin/micatally/peer/Peers.kt
+++ b/src/main/kotlin/micatally/peer/Peers.kt
@@ -24,16 +24,16 @@
 import micatally.state.StateStoreClient
 import micatally.state.Transaction
 import micatally.state.Urgency
-import micatally.wire.Amount
-import micatally.wire.Demand
-import micatally.wire.HeardList
-import micatally.wire.HeldRoom
-import micatally.wire.MachineNote
-import micatally.wire.NewsAnswer
-import micatally.wire.PeerAnswer
-import micatally.wire.PeerAsk
-import micatally.wire.PeerNews
-import micatally.wire.RoomSummary
+import micatally.wire.Resources
+import micatally.wire.ResourceRequest
+import micatally.wire.HeartbeatAcknowledgements
+import micatally.wire.HeldCapacity
+import micatally.wire.MachineStatus
+import micatally.wire.PeerDeltaResponse
+import micatally.wire.PeerJobResponse
+import micatally.wire.PeerJobRequest
+import micatally.wire.PeerDelta
+import micatally.wire.CapacitySummary
 import micatally.wire.WithdrawnTaskList
 import micatally.wire.textOrNull
 import micatally.worker.Machine
@@ -75,11 +75,11 @@
     private val lines = settings.peers.map { Line(it) }
     private val own = OwnSummary(settings, membership, machines, owner, rounds)
     private val summaries = PeerSummaries(settings, membership, machines, nowMs)
-    private val tellMs = settings.reportMs / TELLS_A_REPORT
+    private val tellMs = settings.heartbeatIntervalMs / TELLS_A_REPORT
 
     /** Every machine may have something new in each report interval, and all of it has to get through in that time. */
     private val notesAtOnce get() = maxOf(LEAST_NOTES, machines.byName.size / TELLS_A_REPORT)
-    private val heardEveryMs = maxOf(settings.reportMs / 2, settings.leaseMs / 10)
+    private val heardEveryMs = maxOf(settings.heartbeatIntervalMs / 2, settings.leaseMs / 10)
     var onRetire: (List<String>) -> Unit = {}
     var onNews: () -> Unit = {}
     private var pendingRetire = LinkedHashSet<String>()
@@ -147,9 +147,9 @@
     }
 
     /** Services that came to any controller lately. */
-    fun recentServices(): List<Demand> = own.recent + summaries.recentServices
+    fun recentServices(): List<ResourceRequest> = own.recent + summaries.recentServices
 
-    fun demandOfPeers(): List<Demand> = summaries.demand
+    fun demandOfPeers(): List<ResourceRequest> = summaries.demand
 
     /** The shared keys have changed. */
     fun sharedChanged() = summaries.sharedChanged()
@@ -193,7 +193,7 @@
         return l.untold.isNotEmpty() || l.toldSummary != own.number || isHeardListDue || pendingRetire.isNotEmpty()
     }
 
-    private fun heardHere(): List<MachineNote> =
+    private fun heardHere(): List<MachineStatus> =
         machines.byName.values
             .filter {
                 !it.deleted &&
@@ -208,7 +208,7 @@
         val retire = pendingRetire.toList()
         val sentNumber = own.number
         val news =
-            PeerNews(
+            PeerDelta(
                 told.mapNotNull { machines.of(it) }.map { machines.note(it, true) },
                 if (l.toldSummary != sentNumber) own.since(l.toldSummary) else null,
                 retire,
@@ -220,7 +220,7 @@
         val out = http.call(l.peer.addr, "POST", NEWS, ProtoBuf.encodeToByteArray(news), settings.leaseMs / 10)
         if (out is Outcome.Answer && out.status == 200) {
             l.failures = 0
-            val answer = ProtoBuf.decodeFromByteArray<NewsAnswer>(out.body)
+            val answer = ProtoBuf.decodeFromByteArray<PeerDeltaResponse>(out.body)
             l.toldSummary = if (answer.needsWhole) 0 else sentNumber
             owner.withdrawals.stopList.take(answer.kills)
             l.peersConfirmedEpoch = answer.epoch
@@ -235,7 +235,7 @@
     }
 
     fun takeNews(body: ByteArray): ByteArray {
-        val news = ProtoBuf.decodeFromByteArray<PeerNews>(body)
+        val news = ProtoBuf.decodeFromByteArray<PeerDelta>(body)
         lines.find { it.peer.host == news.host }?.let {
             it.heardAt = nowMs()
             if (news.stateContact) it.contactAt = nowMs()
@@ -258,7 +258,7 @@
         val most = maxOf(LEAST_KILLS, machines.byName.size)
         val all = owner.settled && kills.size <= most
         return ProtoBuf.encodeToByteArray(
-            NewsAnswer(!joined, if (all) membership.cluster.epoch else 0, kills.take(most)),
+            PeerDeltaResponse(!joined, if (all) membership.cluster.epoch else 0, kills.take(most)),
         )
     }
 
@@ -275,10 +275,10 @@
                     ?.let { Base64.getDecoder().decode(it) } ?: continue
             if (rooms) {
                 summaries.takePiece(
-                    ProtoBuf.decodeFromByteArray<RoomSummary>(bytes),
+                    ProtoBuf.decodeFromByteArray<CapacitySummary>(bytes),
                 )
             } else {
-                for (n in ProtoBuf.decodeFromByteArray<HeardList>(bytes).notes) machines.heard(n)
+                for (n in ProtoBuf.decodeFromByteArray<HeartbeatAcknowledgements>(bytes).notes) machines.heard(n)
             }
         }
     }
@@ -313,7 +313,7 @@
                 { _, p -> p.toSet() },
             ) { _, p ->
                 ProtoBuf.encodeToByteArray(
-                    HeardList(
+                    HeartbeatAcknowledgements(
                         p.mapNotNull {
                             heard[it]
                         },
@@ -351,11 +351,11 @@
         what: String,
         ref: String,
         timeoutMs: Long,
-    ): PeerAnswer? {
+    ): PeerJobResponse? {
         val peer = settings.peers.find { it.host == host } ?: return null
-        val out = http.call(peer.addr, "POST", what, ProtoBuf.encodeToByteArray(PeerAsk(ref)), timeoutMs)
+        val out = http.call(peer.addr, "POST", what, ProtoBuf.encodeToByteArray(PeerJobRequest(ref)), timeoutMs)
         if (out !is Outcome.Answer || out.status != 200) return null
-        return ProtoBuf.decodeFromByteArray<PeerAnswer>(out.body).takeIf { it.known }
+        return ProtoBuf.decodeFromByteArray<PeerJobResponse>(out.body).takeIf { it.known }
     }
 
     companion object {
--- a/src/main/kotlin/micatally/placement/MachineChoice.kt
+++ b/src/main/kotlin/micatally/placement/MachineChoice.kt
@@ -3,8 +3,8 @@
 import micatally.gang.GangCandidate
 import micatally.job.Attempt
 import micatally.job.Job
-import micatally.wire.Amount
-import micatally.wire.Flavor
+import micatally.wire.Resources
+import micatally.wire.MachineType
 import micatally.wire.JobSpec
 import micatally.worker.Machine
 
@@ -41,7 +41,7 @@
     init {
         for (machine in view.among(spec)) {
             if (!isAllowed(machine, now) || withImage && spec.image !in machine.images) continue
-            val flavor = view.machines.flavors[machine.type] ?: continue
+            val flavor = view.machines.machineTypes[machine.type] ?: continue
             val candidate = Candidate(machine, flavor)
             if (!candidate.rate()) continue
             if (takesTurns && !view.hasTurn(machine, now)) deferred = true else candidates.add(candidate)
@@ -80,26 +80,26 @@
 
     private inner class Candidate(
         val machine: Machine,
-        private val flavor: Flavor,
+        private val flavor: MachineType,
     ) {
         var score = 0.0
             private set
 
         /** False if there is no room. */
         fun rate(): Boolean {
-            val free = flavor.amount - machine.used
-            if (!spec.amount.fitsIn(free) || isReserved(free)) return false
+            val free = flavor.resources - machine.used
+            if (!spec.resources.fitsIn(free) || isReserved(free)) return false
             score = Placement.score(spec, machine, flavor, free)
             if (!takesTurns) score += view.turn(machine) * TURN_WEIGHT
             return true
         }
 
-        private fun isReserved(free: Amount) =
-            reservedFor.any { view.mayUse(it, machine) && Amount(it.cores, it.cards, it.ram).fitsIn(free) }
+        private fun isReserved(free: Resources) =
+            reservedFor.any { view.mayUse(it, machine) && Resources(it.cores, it.gpus, it.memoryGb).fitsIn(free) }
 
         fun forGang(): GangCandidate<Machine> {
             val fetchS = Placement.fetchS(spec, machine, flavor)
-            val capacity = spec.amount.countIn(flavor.amount - machine.used)
+            val capacity = spec.resources.countIn(flavor.resources - machine.used)
             return GangCandidate(machine, machine.zone, capacity, fetchS, score + fetchS * (GANG_FETCH_WEIGHT - 1))
         }
     }
--- a/src/main/kotlin/micatally/placement/Placement.kt
+++ b/src/main/kotlin/micatally/placement/Placement.kt
@@ -2,9 +2,9 @@
 
 import micatally.job.Attempt
 import micatally.job.Job
-import micatally.wire.Amount
-import micatally.wire.Demand
-import micatally.wire.Flavor
+import micatally.wire.Resources
+import micatally.wire.ResourceRequest
+import micatally.wire.MachineType
 import micatally.wire.JobSpec
 import micatally.worker.Machine
 
@@ -12,14 +12,14 @@
 object Placement {
     fun typeAllowed(
         spec: JobSpec,
-        f: Flavor,
-    ) = (spec.types == null || f.label in spec.types) && spec.amount.fitsIn(f.amount)
+        f: MachineType,
+    ) = (spec.types == null || f.label in spec.types) && spec.resources.fitsIn(f.resources)
 
     /** Whether any machine type could ever take one task of the job. */
     fun possible(
         spec: JobSpec,
-        flavors: Collection<Flavor>,
-    ) = flavors.any { typeAllowed(spec, it) && (spec.zone == null || spec.zone in it.zones) }
+        machineTypes: Collection<MachineType>,
+    ) = machineTypes.any { typeAllowed(spec, it) && (spec.zone == null || spec.zone in it.zones) }
 
     /** At most half of the tasks, rounded up, in one zone. */
     fun zoneCap(spec: JobSpec) = if (spec.scatter) (spec.taskCount + 1) / 2 else spec.taskCount
@@ -61,13 +61,13 @@
         rule: ZoneRule,
         allZones: List<String>,
         count: Int,
-    ): Demand {
+    ): ResourceRequest {
         val zones = allZones.filter { rule.allows(it) }
         val zoneRoom = if (spec.scatter) zones.map { zoneCap(spec) - (rule.used[it] ?: 0) } else emptyList()
-        return Demand(
-            spec.amount.cores,
-            spec.amount.cards,
-            spec.amount.ram,
+        return ResourceRequest(
+            spec.resources.cores,
+            spec.resources.gpus,
+            spec.resources.memoryGb,
             spec.types?.toList() ?: emptyList(),
             zones,
             spec.spot,
@@ -91,7 +91,7 @@
     fun fetchS(
         spec: JobSpec,
         m: Machine,
-        f: Flavor,
+        f: MachineType,
     ): Double {
         if (spec.image in m.images) return 0.0
         val whole = spec.imageGb / f.pullGbPerS
@@ -105,26 +105,26 @@
     fun score(
         spec: JobSpec,
         m: Machine,
-        f: Flavor,
-        free: Amount,
+        f: MachineType,
+        free: Resources,
     ): Double {
         var s = fetchS(spec, m, f)
-        val left = free - spec.amount
+        val left = free - spec.resources
         val share =
             maxOf(
-                left.cards / maxOf(f.amount.cards, 1.0),
-                if (f.amount.cards > 0 &&
-                    spec.amount.cards > 0
+                left.gpus / maxOf(f.resources.gpus, 1.0),
+                if (f.resources.gpus > 0 &&
+                    spec.resources.gpus > 0
                 ) {
                     0.0
                 } else {
-                    left.cores / f.amount.cores
+                    left.cores / f.resources.cores
                 },
             )
         s += share * FIT_WEIGHT
-        if (spec.amount.cards == 0.0 && f.amount.cards > 0) {
-            val perCard = f.amount.cores / f.amount.cards * CORES_KEPT
-            if (left.cores < left.cards * perCard) s += STARVES_CARDS
+        if (spec.resources.gpus == 0.0 && f.resources.gpus > 0) {
+            val perCard = f.resources.cores / f.resources.gpus * CORES_KEPT
+            if (left.cores < left.gpus * perCard) s += STARVES_CARDS
         }
         if (m.spot && spec.spot) s -= SPOT_BONUS
         return s
--- a/src/main/kotlin/micatally/placement/PlacementView.kt
+++ b/src/main/kotlin/micatally/placement/PlacementView.kt
@@ -1,8 +1,8 @@
 package micatally.placement
 
 import micatally.settings.Settings
-import micatally.wire.Amount
-import micatally.wire.Demand
+import micatally.wire.Resources
+import micatally.wire.ResourceRequest
 import micatally.wire.JobSpec
 import micatally.worker.Machine
 import micatally.worker.Machines
@@ -14,17 +14,17 @@
 ) {
     private val hosts = (settings.peers.map { it.host } + settings.host).sorted()
     private val ownIndex = hosts.indexOf(settings.host)
-    private val turnMs = settings.reportMs / TURNS_A_REPORT
+    private val turnMs = settings.heartbeatIntervalMs / TURNS_A_REPORT
 
     /** Services of other owners that found no room. */
-    var foreignServices: List<Demand> = emptyList()
+    var foreignServices: List<ResourceRequest> = emptyList()
         private set
 
     /** Gangs that found no room, of other owners and, in the present round, of this one. */
-    private var foreignGangs: List<Demand> = emptyList()
-    private val ownGangs = ArrayList<Demand>()
+    private var foreignGangs: List<ResourceRequest> = emptyList()
+    private val ownGangs = ArrayList<ResourceRequest>()
 
-    fun gangWaits(demand: Demand) {
+    fun gangWaits(demand: ResourceRequest) {
         ownGangs.add(demand)
     }
 
@@ -34,7 +34,7 @@
      * Whoever starts now leaves the room alone that more important waiters of this list fit in: a service of another owner,
      * or a gang, whose room would otherwise be filled again by single tasks before there is enough of it.
      */
-    fun waitersBefore(priority: Int): List<Demand> =
+    fun waitersBefore(priority: Int): List<ResourceRequest> =
         (foreignServices + foreignGangs + ownGangs).filter { it.priority < priority }
 
     /**
@@ -45,34 +45,34 @@
     private var openWithCards: List<Machine> = emptyList()
 
     fun beginRound(
-        foreign: List<Demand>,
+        foreign: List<ResourceRequest>,
         now: Long,
     ) {
         foreignServices = foreign.filter { it.service }
         foreignGangs = foreign.filter { it.isGang }
-        val usable = machines.byName.values.filter { isUsable(it, now) && freeOf(it).cores > Amount.SLACK }
+        val usable = machines.byName.values.filter { isUsable(it, now) && freeOf(it).cores > Resources.SLACK }
         open = usable
-        openWithCards = usable.filter { freeOf(it).cards > Amount.SLACK }
+        openWithCards = usable.filter { freeOf(it).gpus > Resources.SLACK }
     }
 
     fun endRound() {
         open = null
     }
 
-    private fun freeOf(m: Machine): Amount = machines.total(m)?.let { it - m.used } ?: Amount.NONE
+    private fun freeOf(m: Machine): Resources = machines.total(m)?.let { it - m.used } ?: Resources.NONE
 
     /** The machines worth a look for a task of this job. */
     fun among(spec: JobSpec): Collection<Machine> {
-        val inRound = open?.takeIf { spec.amount.cores > 0 } ?: return machines.byName.values
-        return if (spec.amount.cards > 0) openWithCards else inRound
+        val inRound = open?.takeIf { spec.resources.cores > 0 } ?: return machines.byName.values
+        return if (spec.resources.gpus > 0) openWithCards else inRound
     }
 
     fun isUsable(
         m: Machine,
         now: Long,
     ): Boolean {
-        val isInService = !m.deleted && !m.draining && !m.recalled && m.session > 0 && m.addr.isNotEmpty()
-        val isHeard = now - m.heardAt < settings.leaseMs / 2 + settings.reportMs
+        val isInService = !m.deleted && !m.draining && !m.hasSpotNotice && m.incarnation > 0 && m.addr.isNotEmpty()
+        val isHeard = now - m.heardAt < settings.leaseMs / 2 + settings.heartbeatIntervalMs
         return isInService && isHeard && now >= m.unreachableUntil && now >= m.fullUntil &&
             now >= m.health.excludedUntil
     }
@@ -101,7 +101,7 @@
     val owners get() = hosts.size
 
     fun mayUse(
-        demand: Demand,
+        demand: ResourceRequest,
         m: Machine,
     ): Boolean {
         val isType = demand.types.isEmpty() || m.type in demand.types
--- a/src/main/kotlin/micatally/placement/Preemption.kt
+++ b/src/main/kotlin/micatally/placement/Preemption.kt
@@ -5,8 +5,8 @@
 import micatally.job.StopReason
 import micatally.queue.Queues
 import micatally.settings.Settings
-import micatally.wire.Amount
-import micatally.wire.Flavor
+import micatally.wire.Resources
+import micatally.wire.MachineType
 import micatally.wire.JobSpec
 import micatally.worker.Machine
 import micatally.worker.Orders
@@ -14,12 +14,12 @@
 
 /** A waiting task that fits nowhere, of this owner or of another one. */
 class Need(
-    val amount: Amount,
+    val resources: Resources,
     val priority: Int,
     val queue: Int,
     val name: String,
     val fits: (Machine) -> Boolean,
-    val score: (Machine, Flavor, Amount) -> Double,
+    val score: (Machine, MachineType, Resources) -> Double,
 ) {
     companion object {
         fun of(
@@ -27,7 +27,7 @@
             rule: Placement.ZoneRule,
             queue: Int,
         ) = Need(
-            spec.amount,
+            spec.resources,
             spec.priority.ordinal,
             queue,
             spec.ref,
@@ -47,7 +47,7 @@
     private val log = LoggerFactory.getLogger("micatally.placement")
 
     /** Room that stops under way will leave, as far as it is meant for a waiter already; worked out anew each round. */
-    private val promised = HashMap<String, Amount>()
+    private val promised = HashMap<String, Resources>()
     private val stoppedForPeersAt = HashMap<String, Long>()
 
     fun beginRound() = promised.clear()
@@ -63,21 +63,21 @@
         var bestScore = Double.MAX_VALUE
         for (m in view.machines.byName.values) {
             if (!view.isUsable(m, now) || !need.fits(m)) continue
-            val f = view.machines.flavors[m.type] ?: continue
-            var free = f.amount - m.used - (promised[m.name] ?: Amount.NONE)
+            val f = view.machines.machineTypes[m.type] ?: continue
+            var free = f.resources - m.used - (promised[m.name] ?: Resources.NONE)
             // Room that is on its way already.
-            for (a in m.attempts) if (a.stop != null) free = free + (a.job.spec?.amount ?: Amount.NONE)
-            if (need.amount.fitsIn(free)) {
-                promised.merge(m.name, need.amount, Amount::plus)
+            for (a in m.attempts) if (a.stop != null) free = free + (a.job.spec?.resources ?: Resources.NONE)
+            if (need.resources.fitsIn(free)) {
+                promised.merge(m.name, need.resources, Resources::plus)
                 return true
             }
             val victims = ArrayList<Attempt>()
             for (a in m.attempts.filter { mayStop(it, need, f, now) }.sortedByDescending { it.runningSince ?: 0L }) {
                 victims.add(a)
-                free = free + a.job.spec!!.amount
-                if (need.amount.fitsIn(free)) break
+                free = free + a.job.spec!!.resources
+                if (need.resources.fitsIn(free)) break
             }
-            if (!need.amount.fitsIn(free) || victims.isEmpty()) continue
+            if (!need.resources.fitsIn(free) || victims.isEmpty()) continue
             val score = need.score(m, f, free) + victims.size
             if (score < bestScore) {
                 best = victims
@@ -86,7 +86,7 @@
         }
         val m = best.firstOrNull()?.machine ?: return false
         stop(best, need, now)
-        promised.merge(m.name, need.amount, Amount::plus)
+        promised.merge(m.name, need.resources, Resources::plus)
         orders.poke(m)
         return true
     }
@@ -94,7 +94,7 @@
     private fun mayStop(
         a: Attempt,
         need: Need,
-        flavor: Flavor,
+        flavor: MachineType,
         now: Long,
     ): Boolean {
         val spec = a.job.spec ?: return false
@@ -122,15 +122,15 @@
     /** Another owner's service still waits though that owner has stopped what it could: now it is this one's turn. The
      * turns go round, so that not all make room for the same waiter. */
     fun makeRoomForPeers(now: Long) {
-        val turnMs = settings.reportMs * 2
+        val turnMs = settings.heartbeatIntervalMs * 2
         if (!view.isOwnTurn(now, turnMs)) return
         for (d in view.foreignServices) {
-            val key = "${d.image}/${d.cards}/${d.cores}"
+            val key = "${d.image}/${d.gpus}/${d.cores}"
             if (now - (stoppedForPeersAt[key] ?: Long.MIN_VALUE / 2) < turnMs * view.owners) continue
             stoppedForPeersAt[key] = now
-            val amount = Amount(d.cores, d.cards, d.ram)
+            val resources = Resources(d.cores, d.gpus, d.memoryGb)
             val need =
-                Need(amount, d.priority, 0, "a peer's ${d.image}", { m -> view.mayUse(d, m) }, { m, f, free ->
+                Need(resources, d.priority, 0, "a peer's ${d.image}", { m -> view.mayUse(d, m) }, { m, f, free ->
                     (
                         if (d.image in
                             m.images
@@ -140,7 +140,7 @@
                             30.0
                         }
                     ) +
-                        (free - amount).cards / maxOf(1.0, f.amount.cards)
+                        (free - resources).gpus / maxOf(1.0, f.resources.gpus)
                 })
             for (i in 0 until minOf(d.count, STOPS_A_ROUND)) if (!makeRoom(need, now)) break
         }
--- a/src/main/kotlin/micatally/placement/ReplicaMoves.kt
+++ b/src/main/kotlin/micatally/placement/ReplicaMoves.kt
@@ -42,7 +42,7 @@
             if (task.first != job.ref || task.second in job.attempts) continue
             each.remove()
             if (!to.release(task.first, task.second) || job.done[task.second] || !quota.allows(job)) continue
-            if (!view.isUsable(to, now) || !spec.amount.fitsIn((view.machines.total(to) ?: continue) - to.used) ||
+            if (!view.isUsable(to, now) || !spec.resources.fitsIn((view.machines.total(to) ?: continue) - to.used) ||
                 !Placement.zones(job, spec).allows(to.zone)
             ) {
                 continue
@@ -58,21 +58,21 @@
         moved.entries.removeIf { (task, to) -> !to.promised(task.first, task.second) }
         val draining =
             view.machines.byName.values.filter {
-                it.draining && !it.deleted && !it.recalled &&
+                it.draining && !it.deleted && !it.hasSpotNotice &&
                     it.attempts.isNotEmpty()
             }
         if (draining.isEmpty() || checking) return
         val most = maxOf(1, draining.size / MACHINES_A_MOVE)
         moving.removeIf { !it.a.live || it.a.stop != null || !it.to.promised(it.a.job.ref, it.a.taskIndex) }
         // The peers have heard of a promise after a while; whoever was faster has the room.
-        val due = moving.filter { now - it.at >= settings.reportMs / 2 }
+        val due = moving.filter { now - it.at >= settings.heartbeatIntervalMs / 2 }
         if (due.isNotEmpty()) {
             moving.removeAll(due.toSet())
             checking = true
             scope.launch {
                 val ok =
                     try {
-                        withTimeoutOrNull(settings.reportMs / 4) { stateAnswers() } ?: false
+                        withTimeoutOrNull(settings.heartbeatIntervalMs / 4) { stateAnswers() } ?: false
                     } finally {
                         checking =
                             false
@@ -102,7 +102,7 @@
                 }
                 // It is gone before it starts elsewhere, so its own place does not count against its zone.
                 val to = MachineChoice(view, a.job, spec, now, withImage = true, moving = a).next() ?: continue
-                to.promise(a.job.ref, a.taskIndex, spec.amount, now + settings.leaseMs)
+                to.promise(a.job.ref, a.taskIndex, spec.resources, now + settings.leaseMs)
                 moving.add(Move(a, to, now))
                 under++
             }
--- a/src/main/kotlin/micatally/placement/Rounds.kt
+++ b/src/main/kotlin/micatally/placement/Rounds.kt
@@ -11,8 +11,8 @@
 import micatally.queue.Queues
 import micatally.quota.Quota
 import micatally.settings.Settings
-import micatally.wire.Amount
-import micatally.wire.Demand
+import micatally.wire.Resources
+import micatally.wire.ResourceRequest
 import micatally.wire.JobSpec
 import micatally.worker.Machines
 import micatally.worker.Orders
@@ -33,15 +33,15 @@
     private val nowMs: () -> Long,
 ) {
     private val log = LoggerFactory.getLogger("micatally.placement")
-    private val gapMs = maxOf(5L, settings.reportMs / 40)
-    private val budgetMs = maxOf(5L, settings.reportMs / 40)
+    private val gapMs = maxOf(5L, settings.heartbeatIntervalMs / 40)
+    private val budgetMs = maxOf(5L, settings.heartbeatIntervalMs / 40)
     private var asked = false
     private var lastAt = 0L
     private var nextAt = 0L
     private var resumeAfter: String? = null
 
     /** What other owners could not place. An owner can stop only its own tasks, and does so for them too. */
-    var foreign: () -> List<Demand> = { emptyList() }
+    var foreign: () -> List<ResourceRequest> = { emptyList() }
     private val view = PlacementView(settings, machines)
     private val preemption = Preemption(settings, view, queues, orders)
     private val moves = ReplicaMoves(scope, settings, view, owner, store, quota, orders, nowMs)
@@ -63,14 +63,14 @@
     }
 
     /** What found no room in the last full round, by job. A round that has not come to its end yet does not show. */
-    var unplaced: Map<String, Demand> = emptyMap()
+    var unplaced: Map<String, ResourceRequest> = emptyMap()
         private set
-    private var finding = LinkedHashMap<String, Demand>()
+    private var finding = LinkedHashMap<String, ResourceRequest>()
 
     /** What a waiting task looks like to the machines. Within one round room only shrinks, so what found none is not
      * looked for again: with hundreds of machines and waiters the search would take the whole of the processor. */
     private data class Shape(
-        val amount: Amount,
+        val resources: Resources,
         val types: Set<String>?,
         val zones: List<String>,
         val spot: Boolean,
@@ -85,7 +85,7 @@
         spec: JobSpec,
         rule: Placement.ZoneRule,
     ) = Shape(
-        spec.amount,
+        spec.resources,
         spec.types,
         settings.zones.filter {
             rule.allows(it)
--- a/src/main/kotlin/micatally/placement/WholePlacement.kt
+++ b/src/main/kotlin/micatally/placement/WholePlacement.kt
@@ -10,7 +10,7 @@
 import micatally.job.Owner
 import micatally.quota.Quota
 import micatally.settings.Settings
-import micatally.wire.Demand
+import micatally.wire.ResourceRequest
 import micatally.wire.JobSpec
 import micatally.worker.Machine
 
@@ -21,7 +21,7 @@
     private val owner: Owner,
     private val store: JobStore,
     private val quota: Quota,
-    private val onNoRoom: (Job, Demand) -> Unit,
+    private val onNoRoom: (Job, ResourceRequest) -> Unit,
 ) {
     /** A whole run of a gang, or tasks that a run which waits has lost. */
     fun placeGang(
@@ -88,7 +88,7 @@
         count: Int,
         candidates: List<GangCandidate<Machine>>,
         now: Long,
-    ): Demand {
+    ): ResourceRequest {
         val demand = Placement.demand(spec, rule, settings.zones, count)
         if (!spec.together || demand.zones.isEmpty()) return demand
         val fitting = candidates.groupBy { it.zone }.mapValues { (_, list) -> list.sumOf { minOf(it.capacity, count) } }
--- a/src/main/kotlin/micatally/quota/LedgerUse.kt
+++ b/src/main/kotlin/micatally/quota/LedgerUse.kt
@@ -25,7 +25,7 @@
         // A record without a spec is that of a job that is over and has no attempts.
         val spec = job.spec ?: return
         val id = AllotmentId(job.ledger.name, spec.team)
-        used[id] = of(id) + Share(spec.amount.cores, spec.amount.cards) * tasks
+        used[id] = of(id) + Share(spec.resources.cores, spec.resources.gpus) * tasks
     }
 
     fun forget(ledger: String) {
--- a/src/main/kotlin/micatally/quota/Quota.kt
+++ b/src/main/kotlin/micatally/quota/Quota.kt
@@ -74,7 +74,7 @@
         val stored = allotments(team.name)
         if (stored.isOver(team)) return false
         val id = AllotmentId(job.ledger.name, team.name)
-        val need = Share(spec.amount.cores, spec.amount.cards) * tasks
+        val need = Share(spec.resources.cores, spec.resources.gpus) * tasks
         val hasRoom = team.covers(writer.usable(id, stored.of(id.ledger).share), use.of(id) + need)
         if (!hasRoom) askForMore(job.ledger, team, AllotmentWish.MoreRoom(need, job.pendingCount / tasks))
         return hasRoom
--- a/src/main/kotlin/micatally/quota/Share.kt
+++ b/src/main/kotlin/micatally/quota/Share.kt
@@ -5,26 +5,26 @@
 /** Cores and cards, the two things that teams are limited in. */
 data class Share(
     val cores: Double,
-    val cards: Double,
+    val gpus: Double,
 ) {
-    operator fun plus(other: Share) = Share(cores + other.cores, cards + other.cards)
+    operator fun plus(other: Share) = Share(cores + other.cores, gpus + other.gpus)
 
-    operator fun minus(other: Share) = Share(cores - other.cores, cards - other.cards)
+    operator fun minus(other: Share) = Share(cores - other.cores, gpus - other.gpus)
 
-    operator fun times(factor: Int) = Share(cores * factor, cards * factor)
+    operator fun times(factor: Int) = Share(cores * factor, gpus * factor)
 
-    operator fun times(factor: Double) = Share(cores * factor, cards * factor)
+    operator fun times(factor: Double) = Share(cores * factor, gpus * factor)
 
     /** The smaller of both, each dimension by itself. */
-    fun atMost(other: Share) = Share(minOf(cores, other.cores), minOf(cards, other.cards))
+    fun atMost(other: Share) = Share(minOf(cores, other.cores), minOf(gpus, other.gpus))
 
     /** The greater of both, each dimension by itself. */
-    fun atLeast(other: Share) = Share(maxOf(cores, other.cores), maxOf(cards, other.cards))
+    fun atLeast(other: Share) = Share(maxOf(cores, other.cores), maxOf(gpus, other.gpus))
 
     /** Whether one dimension is above that of [other] by more than rounding. */
-    fun exceeds(other: Share) = cores > other.cores + ROUNDING || cards > other.cards + ROUNDING
+    fun exceeds(other: Share) = cores > other.cores + ROUNDING || gpus > other.gpus + ROUNDING
 
-    override fun toString() = "$cores/$cards"
+    override fun toString() = "$cores/$gpus"
 
     companion object {
         val NONE = Share(0.0, 0.0)
@@ -35,14 +35,14 @@
 }
 
 /** Whether the team is limited at all. */
-val Team.isLimited get() = coresMax > 0 || cardsMax > 0
+val Team.isLimited get() = coresMax > 0 || gpusMax > 0
 
 /** The limit; 0 in a dimension in which there is none. */
-val Team.limit get() = Share(maxOf(coresMax, 0.0), maxOf(cardsMax, 0.0))
+val Team.limit get() = Share(maxOf(coresMax, 0.0), maxOf(gpusMax, 0.0))
 
 /** The part of [share] that the team is limited in: the other dimension has no allotment. */
 fun Team.limitedPart(share: Share) =
-    Share(if (coresMax > 0) share.cores else 0.0, if (cardsMax > 0) share.cards else 0.0)
+    Share(if (coresMax > 0) share.cores else 0.0, if (gpusMax > 0) share.gpus else 0.0)
 
 /** Whether [allotted] has room for [use]. */
 fun Team.covers(
--- a/src/main/kotlin/micatally/quota/TeamAllotments.kt
+++ b/src/main/kotlin/micatally/quota/TeamAllotments.kt
@@ -68,7 +68,7 @@
             JsonArray(
                 listOfNotNull(
                     JsonPrimitive(row.share.cores),
-                    JsonPrimitive(row.share.cards),
+                    JsonPrimitive(row.share.gpus),
                     if (row.isShort) JsonPrimitive(1) else null,
                 ),
             )
--- a/src/main/kotlin/micatally/scale/ConfigurationLoad.kt
+++ b/src/main/kotlin/micatally/scale/ConfigurationLoad.kt
@@ -82,7 +82,7 @@
     }
 
     private suspend fun change(team: Team) {
-        val lowered = Team(team.name, team.cores, team.coresMax * LOWERED, team.cards, team.cardsMax)
+        val lowered = Team(team.name, team.cores, team.coresMax * LOWERED, team.gpus, team.gpusMax)
         val wanted = if (presentOf(team.name).coresMax < team.coresMax) team else lowered
         val sentAtMs = nowMs()
         val setting = wanted.toSetting()
--- a/src/main/kotlin/micatally/scale/JobPlan.kt
+++ b/src/main/kotlin/micatally/scale/JobPlan.kt
@@ -97,7 +97,7 @@
             put("grid", jobs.priority)
             put("laps", jobs.tasks)
             put("cores", jobs.cores)
-            put("cards", jobs.cards)
+            put("cards", jobs.gpus)
             put("ram_gb", jobs.ramGb)
             put("livery", image)
             put("size_gb", jobs.imageGb)
--- a/src/main/kotlin/micatally/scale/ScaleRun.kt
+++ b/src/main/kotlin/micatally/scale/ScaleRun.kt
@@ -16,8 +16,8 @@
 import micatally.standin.FleetPlan
 import micatally.standin.LoopbackFleet
 import micatally.state.StateLimits
-import micatally.wire.Amount
-import micatally.wire.Flavor
+import micatally.wire.Resources
+import micatally.wire.MachineType
 import micatally.wire.bytes
 import java.nio.file.Files
 import java.nio.file.Path
@@ -56,7 +56,7 @@
     private val teams =
         List(scenario.teams.count) {
             val plan = scenario.teams
-            Team(JobPlan.teamName(it), plan.cores, plan.coresMax, plan.cards, plan.cardsMax)
+            Team(JobPlan.teamName(it), plan.cores, plan.coresMax, plan.gpus, plan.gpusMax)
         }
     private val cancelMs = (scenario.workers.cancelSeconds * MS).toLong()
     private val leaseMs = (scenario.workers.leaseSeconds * MS).toLong()
@@ -73,11 +73,11 @@
             userLoop::nowMs,
         )
     private val history = RunHistory(jobs, configuration::teamInForce, cancelMs, latencies, workerLoop::nowMs)
-    private val flavors =
+    private val machineTypes =
         scenario.workers.types.map {
-            Flavor(
+            MachineType(
                 label = it.name,
-                amount = Amount(it.cores, it.cards, it.ramGb),
+                resources = Resources(it.cores, it.gpus, it.ramGb),
                 cacheGb = CACHE_GB,
                 pullGbPerS = it.pullGbPerSecond,
                 hourly = it.cores,
@@ -122,10 +122,10 @@
             )
         return FleetPlan(
             zones = scenario.zones,
-            flavors = flavors,
+            machineTypes = machineTypes,
             teams = teams,
             machinesOfEachKind = scenario.workerCount,
-            reportMs = (scenario.workers.reportSeconds * MS).toLong(),
+            heartbeatIntervalMs = (scenario.workers.reportSeconds * MS).toLong(),
             leaseMs = leaseMs,
             cancelMs = cancelMs,
             bootMs = (scenario.workers.bootSeconds * MS).toLong(),
@@ -212,7 +212,7 @@
 
     private fun startWorkers() {
         workerLoop.scope.launch {
-            for ((type, flavor) in scenario.workers.types.zip(flavors)) {
+            for ((type, flavor) in scenario.workers.types.zip(machineTypes)) {
                 for ((i, zone) in scenario.zones.withIndex()) {
                     val share = type.count / scenario.zones.size + if (i < type.count % scenario.zones.size) 1 else 0
                     fleet.cloud.addRunning(flavor, zone, false, share)
--- a/src/main/kotlin/micatally/scale/Scenario.kt
+++ b/src/main/kotlin/micatally/scale/Scenario.kt
@@ -1,5 +1,6 @@
 package micatally.scale
 
+import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
 /** A scenario that can't be read or makes no sense; the text names the key. */
@@ -56,7 +57,7 @@
     val name: String,
     val count: Int,
     val cores: Double,
-    val cards: Double = 0.0,
+    @SerialName("cards") val gpus: Double = 0.0,
     val ramGb: Double,
     val pullGbPerSecond: Double = 2.0,
 )
@@ -67,8 +68,8 @@
     val count: Int,
     val cores: Double = 0.0,
     val coresMax: Double = 0.0,
-    val cards: Double = 0.0,
-    val cardsMax: Double = 0.0,
+    @SerialName("cards") val gpus: Double = 0.0,
+    @SerialName("cardsMax") val gpusMax: Double = 0.0,
 )
 
 /** The limits of the state service, which its stand-in enforces. */
@@ -104,7 +105,7 @@
     val priority: String,
     val tasks: Int,
     val cores: Double,
-    val cards: Double = 0.0,
+    @SerialName("cards") val gpus: Double = 0.0,
     val ramGb: Double = 1.0,
     val images: Int = 1,
     val imageGb: Double = 0.1,
--- a/src/main/kotlin/micatally/scale/ScenarioFile.kt
+++ b/src/main/kotlin/micatally/scale/ScenarioFile.kt
@@ -123,7 +123,7 @@
         require(jobs.format in FORMATS) { "jobs $name: format must be one of ${FORMATS.joinToString(", ")}" }
         require(jobs.priority in PRIORITIES) { "jobs $name: priority must be one of ${PRIORITIES.joinToString(", ")}" }
         require(jobs.tasks > 0 && jobs.images > 0) { "jobs $name: tasks and images must be above 0" }
-        require(jobs.cores >= 0 && jobs.cards >= 0 && jobs.ramGb >= 0) { "jobs $name: amounts must not be negative" }
+        require(jobs.cores >= 0 && jobs.gpus >= 0 && jobs.ramGb >= 0) { "jobs $name: amounts must not be negative" }
         require(jobs.atStart >= 0 && jobs.perSecond >= 0) { "jobs $name: atStart and perSecond must not be negative" }
         require(jobs.cancelShare in 0.0..1.0) { "jobs $name: cancelShare must be from 0 to 1" }
         require(jobs.runSpread in 0.0..1.0) { "jobs $name: runSpread must be from 0 to 1" }
--- a/src/main/kotlin/micatally/scale/Users.kt
+++ b/src/main/kotlin/micatally/scale/Users.kt
@@ -7,7 +7,7 @@
 import micatally.http.Outcome
 import micatally.standin.MessageObserver
 import micatally.wire.JobAnswer
-import micatally.wire.WireError
+import micatally.wire.MalformedMessage
 import micatally.wire.bytes
 import micatally.wire.parseObject
 import micatally.wire.textOrNull
@@ -142,7 +142,7 @@
     private fun statusWord(body: ByteArray): String? =
         try {
             parseObject(body).textOrNull("status")
-        } catch (e: WireError) {
+        } catch (e: MalformedMessage) {
             null
         }
 
--- a/src/main/kotlin/micatally/settings/Settings.kt
+++ b/src/main/kotlin/micatally/settings/Settings.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.serialization.json.JsonObject
 import micatally.state.StateLimits
-import micatally.wire.WireError
+import micatally.wire.MalformedMessage
 import micatally.wire.asObject
 import micatally.wire.asText
 import micatally.wire.child
@@ -28,8 +28,8 @@
     val name: String,
     val cores: Double,
     val coresMax: Double,
-    val cards: Double,
-    val cardsMax: Double,
+    val gpus: Double,
+    val gpusMax: Double,
 )
 
 class Objective(
@@ -49,7 +49,7 @@
     val zones: List<String>,
     val teams: Map<String, Team>,
     val objectives: List<Objective>,
-    val reportMs: Long,
+    val heartbeatIntervalMs: Long,
     val leaseMs: Long,
     val cancelMs: Long,
     val gangWaitMs: Long,
@@ -105,7 +105,7 @@
         fun parse(body: ByteArray): Settings =
             try {
                 read(parseObject(body))
-            } catch (e: WireError) {
+            } catch (e: MalformedMessage) {
                 throw SettingsError(e.message ?: "bad settings")
             }
 
--- a/src/main/kotlin/micatally/settings/TeamJson.kt
+++ b/src/main/kotlin/micatally/settings/TeamJson.kt
@@ -13,11 +13,11 @@
             put("name", team.name)
             put("cpus", team.cores)
             put("cpus_max", team.coresMax)
-            put("gpus", team.cards)
-            put("gpus_max", team.cardsMax)
+            put("gpus", team.gpus)
+            put("gpus_max", team.gpusMax)
         }
 
-    /** @throws micatally.wire.WireError if a field has the wrong type or the name is missing */
+    /** @throws micatally.wire.MalformedMessage if a field has the wrong type or the name is missing */
     fun decode(row: JsonObject) =
         Team(
             row.text("name"),
--- a/src/main/kotlin/micatally/standin/CloudStandin.kt
+++ b/src/main/kotlin/micatally/standin/CloudStandin.kt
@@ -11,7 +11,7 @@
 import micatally.http.HttpRequest
 import micatally.http.HttpResponse
 import micatally.http.errorResponse
-import micatally.wire.Flavor
+import micatally.wire.MachineType
 import micatally.wire.asText
 import micatally.wire.flag
 import micatally.wire.listOrNull
@@ -22,11 +22,11 @@
 /** The cloud as the protocol page describes it; a machine that is up becomes a worker through [boot]. */
 class CloudStandin(
     private val scope: CoroutineScope,
-    private val flavors: List<Flavor>,
+    private val machineTypes: List<MachineType>,
     private val capacity: MutableMap<Triple<String, String, Boolean>, Int>,
     private val lagMs: Long,
     private val nowMs: () -> Long,
-    private val boot: suspend (String, Flavor, String, Boolean) -> WorkerStandin,
+    private val boot: suspend (String, MachineType, String, Boolean) -> WorkerStandin,
 ) {
     private class Car(
         val name: String,
@@ -45,7 +45,7 @@
     private val answered = HashMap<String, List<String>>()
     private var next = 1
     var down = false
-    var bootMs: (Flavor) -> Long = { (it.readyS * 1000).toLong() }
+    var bootMs: (MachineType) -> Long = { (it.readyS * 1000).toLong() }
 
     val workers get() = cars.values.filter { it.removedAt == null && !it.failed }.mapNotNull { it.worker }
 
@@ -62,12 +62,12 @@
                         put(
                             "chassis",
                             JsonArray(
-                                flavors.map { f ->
+                                machineTypes.map { f ->
                                     buildJsonObject {
                                         put("label", f.label)
-                                        put("cores", f.amount.cores)
-                                        put("cards", f.amount.cards)
-                                        put("ram_gb", f.amount.ram)
+                                        put("cores", f.resources.cores)
+                                        put("cards", f.resources.gpus)
+                                        put("ram_gb", f.resources.memoryGb)
                                         put("local_gb", f.cacheGb)
                                         put("pull_gb_per_s", f.pullGbPerS)
                                         put("hourly", f.hourly)
@@ -93,7 +93,7 @@
     private fun rent(o: JsonObject): HttpResponse {
         val booking = o.text("booking")
         answered[booking]?.let { return json(cars(it)) }
-        val f = flavors.find { it.label == o.text("rig") } ?: return errorResponse(400, "no such type")
+        val f = machineTypes.find { it.label == o.text("rig") } ?: return errorResponse(400, "no such type")
         val key = Triple(f.label, o.text("circuit"), o.flag("loaners"))
         val n = minOf(o.long("count").toInt(), capacity[key] ?: 0)
         if (n == 0) return errorResponse(503, "no capacity")
@@ -115,7 +115,7 @@
 
     /** Machines that are up from the start, beside those that are rented later. */
     suspend fun addRunning(
-        flavor: Flavor,
+        flavor: MachineType,
         zone: String,
         spot: Boolean,
         count: Int,
--- a/src/main/kotlin/micatally/standin/LoopbackFleet.kt
+++ b/src/main/kotlin/micatally/standin/LoopbackFleet.kt
@@ -17,7 +17,7 @@
 import micatally.settings.Team
 import micatally.settings.TeamJson
 import micatally.state.StateLimits
-import micatally.wire.Flavor
+import micatally.wire.MachineType
 import kotlin.random.Random
 
 /**
@@ -29,10 +29,10 @@
  */
 class FleetPlan(
     val zones: List<String>,
-    val flavors: List<Flavor>,
+    val machineTypes: List<MachineType>,
     val teams: List<Team>,
     val machinesOfEachKind: Int,
-    val reportMs: Long,
+    val heartbeatIntervalMs: Long,
     val leaseMs: Long,
     val cancelMs: Long,
     val bootMs: Long,
@@ -88,7 +88,7 @@
     val cloud =
         CloudStandin(
             workerLoop.scope,
-            plan.flavors,
+            plan.machineTypes,
             capacity(),
             plan.listLagMs,
             workerLoop::nowMs,
@@ -110,7 +110,7 @@
     private fun capacity(): MutableMap<Triple<String, String, Boolean>, Int> {
         val capacity = HashMap<Triple<String, String, Boolean>, Int>()
         for (zone in plan.zones) {
-            for (flavor in plan.flavors) {
+            for (flavor in plan.machineTypes) {
                 for (spot in listOf(true, false)) capacity[Triple(flavor.label, zone, spot)] = plan.machinesOfEachKind
             }
         }
@@ -148,7 +148,7 @@
 
     private fun worker(
         name: String,
-        flavor: Flavor,
+        flavor: MachineType,
         zone: String,
         spot: Boolean,
     ): WorkerStandin {
@@ -165,9 +165,9 @@
                 flavor.label,
                 zone,
                 spot,
-                flavor.amount,
+                flavor.resources,
                 flavor.pullGbPerS,
-                plan.reportMs,
+                plan.heartbeatIntervalMs,
                 plan.leaseMs,
                 controllers,
                 workerLoop::nowMs,
@@ -244,7 +244,7 @@
             put(
                 "workers",
                 buildJsonObject {
-                    put("report_s", plan.reportMs / 1000.0)
+                    put("report_s", plan.heartbeatIntervalMs / 1000.0)
                     put("lease_s", plan.leaseMs / 1000.0)
                     put("cancel_s", plan.cancelMs / 1000.0)
                 },
--- a/src/main/kotlin/micatally/standin/Rehearsal.kt
+++ b/src/main/kotlin/micatally/standin/Rehearsal.kt
@@ -15,8 +15,8 @@
 import micatally.settings.Settings
 import micatally.settings.Team
 import micatally.state.StateLimits
-import micatally.wire.Amount
-import micatally.wire.Flavor
+import micatally.wire.Resources
+import micatally.wire.MachineType
 import micatally.wire.JobSpec
 import micatally.wire.bytes
 import micatally.wire.parseObject
@@ -65,14 +65,14 @@
         val limits = StateLimits(250.0, 100.0, 16 * 1024, 48)
         return FleetPlan(
             zones = ZONES,
-            flavors =
+            machineTypes =
                 listOf(
-                    Flavor("small", Amount(8.0, 0.0, 32.0), 40.0, 10.0, 1.0, 0.3, 1.0, ZONES),
-                    Flavor("g8", Amount(96.0, 8.0, 768.0), 400.0, 100.0, 30.0, 8.0, 1.0, ZONES),
+                    MachineType("small", Resources(8.0, 0.0, 32.0), 40.0, 10.0, 1.0, 0.3, 1.0, ZONES),
+                    MachineType("g8", Resources(96.0, 8.0, 768.0), 400.0, 100.0, 30.0, 8.0, 1.0, ZONES),
                 ),
             teams = listOf(Team("vision", 50.0, 200.0, 0.0, 0.0)),
             machinesOfEachKind = 20,
-            reportMs = 400,
+            heartbeatIntervalMs = 400,
             leaseMs = 4000,
             cancelMs = 16_000,
             bootMs = 300,
--- a/src/main/kotlin/micatally/standin/RuleChecker.kt
+++ b/src/main/kotlin/micatally/standin/RuleChecker.kt
@@ -2,7 +2,7 @@
 
 import micatally.placement.Placement
 import micatally.settings.Team
-import micatally.wire.Amount
+import micatally.wire.Resources
 import micatally.wire.Format
 import micatally.wire.JobSpec
 
@@ -75,9 +75,9 @@
     fun isAskedToCancel(ref: String) = ref in cancelAsked
 
     private fun used(team: String) =
-        running.map { specs.getValue(it.ref) }.filter { it.team == team }.fold(Amount.NONE) { a, s ->
+        running.map { specs.getValue(it.ref) }.filter { it.team == team }.fold(Resources.NONE) { a, s ->
             a +
-                s.amount
+                s.resources
         }
 
     /** Whether so many more tasks of this job stay within its team's limit. */
@@ -86,9 +86,9 @@
         tasks: Int = 1,
     ): Boolean {
         val team = teamInForce(s.team) ?: return false
-        val next = used(s.team) + s.amount * tasks
+        val next = used(s.team) + s.resources * tasks
         return (team.coresMax <= 0 || next.cores <= team.coresMax + 1e-6) &&
-            (team.cardsMax <= 0 || next.cards <= team.cardsMax + 1e-6)
+            (team.gpusMax <= 0 || next.gpus <= team.gpusMax + 1e-6)
     }
 
     fun started(
@@ -121,7 +121,7 @@
         val team = teamInForce(spec.team) ?: throw RuleViolation("quota", "$t starts for a team that is not there")
         val used = used(spec.team)
         if (team.coresMax > 0 && used.cores > team.coresMax + 1e-6 ||
-            team.cardsMax > 0 && used.cards > team.cardsMax + 1e-6
+            team.gpusMax > 0 && used.gpus > team.gpusMax + 1e-6
         ) {
             throw RuleViolation("quota", "${spec.team} uses $used")
         }
--- a/src/main/kotlin/micatally/standin/WorkerStandin.kt
+++ b/src/main/kotlin/micatally/standin/WorkerStandin.kt
@@ -13,10 +13,10 @@
 import micatally.http.HttpResponse
 import micatally.http.Outcome
 import micatally.http.errorResponse
-import micatally.wire.Amount
+import micatally.wire.Resources
 import micatally.wire.ExitReason
 import micatally.wire.JobSpec
-import micatally.wire.WireError
+import micatally.wire.MalformedMessage
 import micatally.wire.asObject
 import micatally.wire.bytes
 import micatally.wire.listOrNull
@@ -76,9 +76,9 @@
     val type: String,
     val zone: String,
     val spot: Boolean,
-    private val total: Amount,
+    private val total: Resources,
     private val pullGbPerS: Double,
-    private val reportMs: Long,
+    private val heartbeatIntervalMs: Long,
     private val leaseMs: Long,
     private val controllers: Map<String, String>,
     private val nowMs: () -> Long,
@@ -87,7 +87,7 @@
         val ref: String,
         val taskIndex: Int,
         val attempt: Long,
-        val amount: Amount,
+        val resources: Resources,
     ) {
         var status = "pulling"
         var why: String? = null
@@ -148,9 +148,9 @@
 
     /** Machines of a type differ in how fast they fetch images, by up to a third. */
     private val fetchGbPerS = pullGbPerS * Random(name.hashCode()).nextDouble(2.0 / 3, 4.0 / 3)
-    var session = 1L
+    var incarnation = 1L
         private set
-    private var tick = 0L
+    private var sequence = 0L
     var token = 0L
         private set
     private var renewedAt = nowMs()
@@ -162,13 +162,13 @@
             field = v
             if (!v && alive) checkLease()
         }
-    var noticeS: Double? = null
+    var spotNoticeS: Double? = null
     private var reporter: Job? = null
     private var leaser: Job? = null
     private var changed = false
 
     /** What is free beside all that has not ended. */
-    val free get() = tasks.values.filter { it.status != "ended" }.fold(total) { a, t -> a - t.amount }
+    val free get() = tasks.values.filter { it.status != "ended" }.fold(total) { a, t -> a - t.resources }
     val onMachine get() = tasks.values.filter { alive && (it.isOnMachine) }
 
     fun start() {
@@ -202,7 +202,7 @@
         if (nowMs() - renewedAt <= leaseMs) return
         for (t in tasks.values.toList()) drop(t)
         tasks.clear()
-        session++
+        incarnation++
         renewedAt = nowMs()
         changed = true
     }
@@ -214,10 +214,10 @@
             put("rig", type)
             put("circuit", zone)
             put("loaners", spot)
-            put("stint", session)
-            put("tick", ++tick)
+            put("stint", incarnation)
+            put("tick", ++sequence)
             put("baton", token)
-            put("recall_s", noticeS)
+            put("recall_s", spotNoticeS)
             put(
                 "laps",
                 JsonArray(
@@ -237,12 +237,12 @@
     private suspend fun reportLoop() {
         val names = controllers.keys.sorted()
         var at = random.nextInt(names.size)
-        delay(random.nextLong(maxOf(1L, reportMs)))
+        delay(random.nextLong(maxOf(1L, heartbeatIntervalMs)))
         while (true) {
             while (hung) delay(50)
             checkLease()
             val sent = nowMs()
-            val mySession = session
+            val mySession = incarnation
             changed = false
             val out = http.call(controllers.getValue(names[at]), "POST", "/v1/report", report().bytes(), 4000)
             while (hung) delay(50)
@@ -250,13 +250,13 @@
             if (out is Outcome.Answer && out.status == 200) {
                 val o = parseObject(out.body)
                 val t = o.longOrNull("baton") ?: 0L
-                if (t >= token && mySession == session && nowMs() - sent <= 4000) {
+                if (t >= token && mySession == incarnation && nowMs() - sent <= 4000) {
                     token = t
                     renewedAt = maxOf(renewedAt, sent)
                     execute(o)
                 }
-                val until = nowMs() + reportMs * 3 / 4 + random.nextLong(reportMs / 2 + 1)
-                delay(minOf(500L, reportMs / 2))
+                val until = nowMs() + heartbeatIntervalMs * 3 / 4 + random.nextLong(heartbeatIntervalMs / 2 + 1)
+                delay(minOf(500L, heartbeatIntervalMs / 2))
                 while (nowMs() < until && !changed) delay(50)
             } else {
                 val marshal =
@@ -265,7 +265,7 @@
                     ) {
                         try {
                             parseObject(out.body).textOrNull("marshal")
-                        } catch (e: WireError) {
+                        } catch (e: MalformedMessage) {
                             null
                         }
                     } else {
@@ -293,7 +293,7 @@
         val o = parseObject(r.body)
         val t = o.longOrNull("baton") ?: return errorResponse(400, "baton is missing")
         val s = o.longOrNull("stint") ?: return errorResponse(400, "stint is missing")
-        if (t < token || s != session) return HttpResponse(409, report().bytes())
+        if (t < token || s != incarnation) return HttpResponse(409, report().bytes())
         token = t
         execute(o)
         return HttpResponse(200, report().bytes())
@@ -328,14 +328,14 @@
     private fun run(id: Triple<String, Int, Long>) {
         if (id in tasks) return
         val spec = world.spec(id.first)
-        val t = Task(id.first, id.second, id.third, spec?.amount ?: Amount.NONE)
+        val t = Task(id.first, id.second, id.third, spec?.resources ?: Resources.NONE)
         tasks[id] = t
         changed = true
         val live = tasks.values.filter { it !== t && it.status != "ended" }
         when {
             spec == null || t.taskIndex !in 0 until spec.taskCount -> end(t, "unknown")
             live.any { it.ref == t.ref && it.taskIndex == t.taskIndex } -> end(t, "in_use")
-            !t.amount.fitsIn(live.fold(total) { a, b -> a - b.amount }) -> end(t, "full")
+            !t.resources.fitsIn(live.fold(total) { a, b -> a - b.resources }) -> end(t, "full")
             else ->
                 t.job =
                     scope.launch {
--- a/src/main/kotlin/micatally/wire/Cloud.kt
+++ b/src/main/kotlin/micatally/wire/CloudMessages.kt
@@ -3,9 +3,9 @@
 import kotlinx.serialization.json.JsonObject
 
 /** A machine type of the cloud's. */
-class Flavor(
+class MachineType(
     val label: String,
-    val amount: Amount,
+    val resources: Resources,
     val cacheGb: Double,
     val pullGbPerS: Double,
     val hourly: Double,
@@ -16,12 +16,12 @@
     fun price(spot: Boolean) = if (spot) spotHourly else hourly
 
     companion object {
-        fun parseAll(o: JsonObject): List<Flavor> =
-            (o.listOrNull("chassis") ?: throw WireError("chassis is missing")).map {
+        fun parseAll(o: JsonObject): List<MachineType> =
+            (o.listOrNull("chassis") ?: throw MalformedMessage("chassis is missing")).map {
                 val f = it.asObject()
-                Flavor(
+                MachineType(
                     f.text("label"),
-                    Amount(f.number("cores"), f.numberOrNull("cards") ?: 0.0, f.number("ram_gb")),
+                    Resources(f.number("cores"), f.numberOrNull("cards") ?: 0.0, f.number("ram_gb")),
                     f.numberOrNull("local_gb") ?: 0.0,
                     f.numberOrNull("pull_gb_per_s") ?: 1.0,
                     f.number("hourly"),
--- a/src/main/kotlin/micatally/wire/ConfigurationMessages.kt
+++ b/src/main/kotlin/micatally/wire/ConfigurationMessages.kt
@@ -9,8 +9,8 @@
     @ProtoNumber(1) val name: String,
     @ProtoNumber(2) val cores: Double = 0.0,
     @ProtoNumber(3) val coresMax: Double = 0.0,
-    @ProtoNumber(4) val cards: Double = 0.0,
-    @ProtoNumber(5) val cardsMax: Double = 0.0,
+    @ProtoNumber(4) val gpus: Double = 0.0,
+    @ProtoNumber(5) val gpusMax: Double = 0.0,
 )
 
 /**
--- a/src/main/kotlin/micatally/wire/Jobs.kt
+++ b/src/main/kotlin/micatally/wire/JobMessages.kt
@@ -24,21 +24,21 @@
 }
 
 /** What a task takes of its machine. */
-data class Amount(
+data class Resources(
     val cores: Double,
-    val cards: Double,
-    val ram: Double,
+    val gpus: Double,
+    val memoryGb: Double,
 ) {
-    operator fun plus(o: Amount) = Amount(cores + o.cores, cards + o.cards, ram + o.ram)
+    operator fun plus(o: Resources) = Resources(cores + o.cores, gpus + o.gpus, memoryGb + o.memoryGb)
 
-    operator fun minus(o: Amount) = Amount(cores - o.cores, cards - o.cards, ram - o.ram)
+    operator fun minus(o: Resources) = Resources(cores - o.cores, gpus - o.gpus, memoryGb - o.memoryGb)
 
-    operator fun times(n: Int) = Amount(cores * n, cards * n, ram * n)
+    operator fun times(n: Int) = Resources(cores * n, gpus * n, memoryGb * n)
 
-    fun fitsIn(o: Amount) = cores <= o.cores + SLACK && cards <= o.cards + SLACK && ram <= o.ram + SLACK
+    fun fitsIn(o: Resources) = cores <= o.cores + SLACK && gpus <= o.gpus + SLACK && memoryGb <= o.memoryGb + SLACK
 
     /** How many of it fit in [room]; a dimension that it does not take sets no bound. */
-    fun countIn(room: Amount): Int {
+    fun countIn(room: Resources): Int {
         fun count(
             one: Double,
             all: Double,
@@ -49,13 +49,13 @@
         } else {
             ((all + SLACK) / one).toInt().coerceAtLeast(0)
         }
-        return minOf(count(cores, room.cores), count(cards, room.cards), count(ram, room.ram))
+        return minOf(count(cores, room.cores), count(gpus, room.gpus), count(memoryGb, room.memoryGb))
     }
 
     companion object {
         /** Sums of decimal amounts are compared with this much room for rounding. */
         const val SLACK = 1e-6
-        val NONE = Amount(0.0, 0.0, 0.0)
+        val NONE = Resources(0.0, 0.0, 0.0)
     }
 }
 
@@ -67,7 +67,7 @@
     val format: Format,
     val priority: Priority,
     val taskCount: Int,
-    val amount: Amount,
+    val resources: Resources,
     val image: String,
     val imageGb: Double,
     val types: Set<String>?,
@@ -118,31 +118,31 @@
 
         fun parse(o: JsonObject): JobSpec {
             val ref = o.text("ref")
-            if (!validRef(ref)) throw WireError("ref must look like j-000412")
+            if (!validRef(ref)) throw MalformedMessage("ref must look like j-000412")
             val taskCount = o.long("laps")
-            if (taskCount !in 1..MAX_TASKS) throw WireError("laps must be from 1 to $MAX_TASKS")
+            if (taskCount !in 1..MAX_TASKS) throw MalformedMessage("laps must be from 1 to $MAX_TASKS")
             val types =
                 o
                     .listOrNull("chassis")
                     ?.map {
                         try {
                             it.asText()
-                        } catch (e: WireError) {
-                            throw WireError("chassis must hold strings")
+                        } catch (e: MalformedMessage) {
+                            throw MalformedMessage("chassis must hold strings")
                         }
                     }?.toSet()
-            if (types != null && types.isEmpty()) throw WireError("chassis must not be empty")
+            if (types != null && types.isEmpty()) throw MalformedMessage("chassis must not be empty")
             val image = word(o, "livery")
             return JobSpec(
                 ref,
                 word(o, "lane"),
                 word(o, "crew"),
                 Format.entries.find { it.word == o.text("format") }
-                    ?: throw WireError("format must be sweep, daemon or gang"),
+                    ?: throw MalformedMessage("format must be sweep, daemon or gang"),
                 Priority.entries.find { it.word == o.text("grid") }
-                    ?: throw WireError("grid must be production, high, standard or low"),
+                    ?: throw MalformedMessage("grid must be production, high, standard or low"),
                 taskCount.toInt(),
-                Amount(amount(o, "cores"), amount(o, "cards"), amount(o, "ram_gb")),
+                Resources(amount(o, "cores"), amount(o, "cards"), amount(o, "ram_gb")),
                 image,
                 amount(o, "size_gb"),
                 types,
@@ -153,7 +153,7 @@
                 amount(o, "lap_time_s"),
                 amount(o, "sector_s"),
                 amount(o, "pit_stop_s"),
-                o.numberOrNull("flag_s")?.also { if (it < 0) throw WireError("flag_s must not be negative") },
+                o.numberOrNull("flag_s")?.also { if (it < 0) throw MalformedMessage("flag_s must not be negative") },
                 JsonObject(o.filterKeys { it in FIELDS }),
             )
         }
@@ -162,14 +162,14 @@
             o: JsonObject,
             name: String,
         ) = o.text(name).also {
-            if (it.isEmpty() || it.length > 200) throw WireError("$name must have 1 to 200 characters")
+            if (it.isEmpty() || it.length > 200) throw MalformedMessage("$name must have 1 to 200 characters")
         }
 
         private fun amount(
             o: JsonObject,
             name: String,
         ) = o.number(name).also {
-            if (it < 0) throw WireError("$name must not be negative")
+            if (it < 0) throw MalformedMessage("$name must not be negative")
         }
     }
 }
--- a/src/main/kotlin/micatally/wire/Json.kt
+++ b/src/main/kotlin/micatally/wire/Json.kt
@@ -11,7 +11,7 @@
 import kotlinx.serialization.json.longOrNull
 
 /** Thrown when a message from outside is not what the protocol describes; the text names the field. */
-class WireError(
+class MalformedMessage(
     message: String,
 ) : Exception(message)
 
@@ -22,65 +22,65 @@
         try {
             Json.parseToJsonElement(body.decodeToString())
         } catch (e: Exception) {
-            throw WireError("the body is not JSON")
+            throw MalformedMessage("the body is not JSON")
         }
-    return element as? JsonObject ?: throw WireError("the body is not a JSON object")
+    return element as? JsonObject ?: throw MalformedMessage("the body is not a JSON object")
 }
 
 fun JsonObject.present(name: String): JsonElement? = this[name]?.takeUnless { it is JsonNull }
 
 fun JsonObject.textOrNull(name: String): String? {
     val value = present(name) ?: return null
-    return (value as? JsonPrimitive)?.takeIf { it.isString }?.content ?: throw WireError("$name must be a string")
+    return (value as? JsonPrimitive)?.takeIf { it.isString }?.content ?: throw MalformedMessage("$name must be a string")
 }
 
-fun JsonObject.text(name: String): String = textOrNull(name) ?: throw WireError("$name is missing")
+fun JsonObject.text(name: String): String = textOrNull(name) ?: throw MalformedMessage("$name is missing")
 
 fun JsonObject.numberOrNull(name: String): Double? {
     val value = present(name) ?: return null
     val number = (value as? JsonPrimitive)?.takeUnless { it.isString }?.doubleOrNull
-    if (number == null || !number.isFinite()) throw WireError("$name must be a finite number")
+    if (number == null || !number.isFinite()) throw MalformedMessage("$name must be a finite number")
     return number
 }
 
-fun JsonObject.number(name: String): Double = numberOrNull(name) ?: throw WireError("$name is missing")
+fun JsonObject.number(name: String): Double = numberOrNull(name) ?: throw MalformedMessage("$name is missing")
 
 fun JsonObject.longOrNull(name: String): Long? {
     val value = present(name) ?: return null
-    val primitive = (value as? JsonPrimitive)?.takeUnless { it.isString } ?: throw WireError("$name must be an integer")
+    val primitive = (value as? JsonPrimitive)?.takeUnless { it.isString } ?: throw MalformedMessage("$name must be an integer")
     primitive.longOrNull?.let { return it }
     val number = primitive.doubleOrNull
     if (number == null || number != Math.rint(number) ||
         Math.abs(number) > 9.0e15
     ) {
-        throw WireError("$name must be an integer")
+        throw MalformedMessage("$name must be an integer")
     }
     return number.toLong()
 }
 
-fun JsonObject.long(name: String): Long = longOrNull(name) ?: throw WireError("$name is missing")
+fun JsonObject.long(name: String): Long = longOrNull(name) ?: throw MalformedMessage("$name is missing")
 
 fun JsonObject.flag(name: String): Boolean {
-    val value = present(name) ?: throw WireError("$name is missing")
+    val value = present(name) ?: throw MalformedMessage("$name is missing")
     return (value as? JsonPrimitive)?.takeUnless { it.isString }?.booleanOrNull
-        ?: throw WireError("$name must be true or false")
+        ?: throw MalformedMessage("$name must be true or false")
 }
 
 fun JsonObject.listOrNull(name: String): List<JsonElement>? {
     val value = present(name) ?: return null
-    return value as? JsonArray ?: throw WireError("$name must be a list")
+    return value as? JsonArray ?: throw MalformedMessage("$name must be a list")
 }
 
 fun JsonObject.child(name: String): JsonObject? {
     val value = present(name) ?: return null
-    return value as? JsonObject ?: throw WireError("$name must be an object")
+    return value as? JsonObject ?: throw MalformedMessage("$name must be an object")
 }
 
-fun JsonElement.asObject(): JsonObject = this as? JsonObject ?: throw WireError("an object was expected")
+fun JsonElement.asObject(): JsonObject = this as? JsonObject ?: throw MalformedMessage("an object was expected")
 
 fun JsonElement.asText(): String =
-    (this as? JsonPrimitive)?.takeIf { it.isString }?.content ?: throw WireError("a string was expected")
+    (this as? JsonPrimitive)?.takeIf { it.isString }?.content ?: throw MalformedMessage("a string was expected")
 
-fun JsonElement.asLong(): Long = (this as? JsonPrimitive)?.longOrNull ?: throw WireError("an integer was expected")
+fun JsonElement.asLong(): Long = (this as? JsonPrimitive)?.longOrNull ?: throw MalformedMessage("an integer was expected")
 
 fun JsonElement.bytes(): ByteArray = toString().encodeToByteArray()
--- a/src/main/kotlin/micatally/wire/Peers.kt
+++ b/src/main/kotlin/micatally/wire/PeerMessages.kt
@@ -5,7 +5,7 @@
 
 /** A task line of a report, handed on to other controllers. */
 @Serializable
-class NoteTask(
+class TaskStatus(
     @ProtoNumber(1) val ref: String,
     @ProtoNumber(2) val taskIndex: Int,
     @ProtoNumber(3) val attempt: Long,
@@ -16,39 +16,39 @@
 
 /** A worker's report as handed on by the controller that got it. */
 @Serializable
-class MachineNote(
+class MachineStatus(
     @ProtoNumber(1) val machine: String,
     @ProtoNumber(2) val addr: String,
     @ProtoNumber(3) val type: String,
     @ProtoNumber(4) val zone: String,
     @ProtoNumber(5) val spot: Boolean,
-    @ProtoNumber(6) val session: Long,
-    @ProtoNumber(7) val tick: Long,
-    @ProtoNumber(8) val noticeS: Double = -1.0,
-    @ProtoNumber(9) val tasks: List<NoteTask> = emptyList(),
+    @ProtoNumber(6) val incarnation: Long,
+    @ProtoNumber(7) val sequence: Long,
+    @ProtoNumber(8) val spotNoticeS: Double = -1.0,
+    @ProtoNumber(9) val tasks: List<TaskStatus> = emptyList(),
     /** How long ago the report came, in milliseconds. */
     @ProtoNumber(10) val ageMs: Long = 0,
     /** The tick of the report in which its tasks last changed: who has heard of none as late lacks something. */
-    @ProtoNumber(11) val changedTick: Long = 0,
+    @ProtoNumber(11) val changedAtSequence: Long = 0,
 )
 
 /** What one owner holds on one machine, together with the images that its own tasks ran with there and their sizes. */
 @Serializable
-data class HeldRoom(
+data class HeldCapacity(
     @ProtoNumber(1) val machine: String,
     @ProtoNumber(2) val cores: Double = 0.0,
-    @ProtoNumber(3) val cards: Double = 0.0,
-    @ProtoNumber(4) val ram: Double = 0.0,
+    @ProtoNumber(3) val gpus: Double = 0.0,
+    @ProtoNumber(4) val memoryGb: Double = 0.0,
     @ProtoNumber(5) val images: List<String> = emptyList(),
     @ProtoNumber(6) val imagesGb: List<Double> = emptyList(),
 )
 
 /** Tasks of one shape that find no room. */
 @Serializable
-data class Demand(
+data class ResourceRequest(
     @ProtoNumber(1) val cores: Double,
-    @ProtoNumber(2) val cards: Double,
-    @ProtoNumber(3) val ram: Double,
+    @ProtoNumber(2) val gpus: Double,
+    @ProtoNumber(3) val memoryGb: Double,
     @ProtoNumber(4) val types: List<String> = emptyList(),
     @ProtoNumber(5) val zones: List<String> = emptyList(),
     @ProtoNumber(6) val spot: Boolean = false,
@@ -68,21 +68,21 @@
  * Through the state service it goes in pieces of one value each: piece [bucket] of [buckets] holds all rooms whose
  * machines fall in it, and the first one holds the demand. */
 @Serializable
-class RoomSummary(
+class CapacitySummary(
     @ProtoNumber(1) val host: String,
     @ProtoNumber(2) val process: String,
     @ProtoNumber(3) val number: Long,
-    @ProtoNumber(4) val rooms: List<HeldRoom> = emptyList(),
-    @ProtoNumber(5) val demand: List<Demand> = emptyList(),
+    @ProtoNumber(4) val rooms: List<HeldCapacity> = emptyList(),
+    @ProtoNumber(5) val demand: List<ResourceRequest> = emptyList(),
     @ProtoNumber(6) val base: Long = 0,
     @ProtoNumber(7) val bucket: Int = 0,
     @ProtoNumber(8) val buckets: Int = 0,
     /** Services that were submitted here lately, by shape: what may come next. */
-    @ProtoNumber(9) val recent: List<Demand> = emptyList(),
+    @ProtoNumber(9) val recent: List<ResourceRequest> = emptyList(),
 )
 
 @Serializable
-class NewsAnswer(
+class PeerDeltaResponse(
     /** The changes did not join on to what the receiver has: it needs the whole summary. */
     @ProtoNumber(1) val needsWhole: Boolean = false,
     /** The epoch that the answering node knows, if it knows all withdrawn tasks of its ledgers; 0 if it doesn't. */
@@ -106,13 +106,13 @@
 )
 
 @Serializable
-class PeerNews(
-    @ProtoNumber(1) val notes: List<MachineNote> = emptyList(),
-    @ProtoNumber(2) val summary: RoomSummary? = null,
+class PeerDelta(
+    @ProtoNumber(1) val notes: List<MachineStatus> = emptyList(),
+    @ProtoNumber(2) val summary: CapacitySummary? = null,
     /** Machines that the sender wants deleted, because they are silent or fail what they start. */
     @ProtoNumber(3) val retire: List<String> = emptyList(),
     /** Machines that the sender has heard itself, without their tasks. */
-    @ProtoNumber(4) val heard: List<MachineNote> = emptyList(),
+    @ProtoNumber(4) val heard: List<MachineStatus> = emptyList(),
     /** Whether the sender has proof of contact with the state service from just now. */
     @ProtoNumber(5) val stateContact: Boolean = false,
     @ProtoNumber(6) val host: String = "",
@@ -120,17 +120,17 @@
 
 /** What a node writes to the state service for nodes that can't be told directly. */
 @Serializable
-class HeardList(
-    @ProtoNumber(1) val notes: List<MachineNote>,
+class HeartbeatAcknowledgements(
+    @ProtoNumber(1) val notes: List<MachineStatus>,
 )
 
 @Serializable
-class PeerAsk(
+class PeerJobRequest(
     @ProtoNumber(1) val ref: String,
 )
 
 @Serializable
-class PeerAnswer(
+class PeerJobResponse(
     @ProtoNumber(1) val known: Boolean = false,
     @ProtoNumber(2) val status: String = "",
     @ProtoNumber(3) val done: Int = 0,
--- a/src/main/kotlin/micatally/wire/Workers.kt
+++ b/src/main/kotlin/micatally/wire/WorkerMessages.kt
@@ -56,21 +56,21 @@
 }
 
 /** A worker's report; the protocol's stint is the session, its tick the order of messages, its baton the token. */
-class Report(
+class Heartbeat(
     val machine: String,
     val addr: String,
     val type: String,
     val zone: String,
     val spot: Boolean,
-    val session: Long,
-    val tick: Long,
+    val incarnation: Long,
+    val sequence: Long,
     val token: Long,
-    val noticeS: Double?,
+    val spotNoticeS: Double?,
     val tasks: List<ListedTask>,
 ) {
     companion object {
-        fun parse(o: JsonObject): Report =
-            Report(
+        fun parse(o: JsonObject): Heartbeat =
+            Heartbeat(
                 o.text("car"),
                 o.text("addr"),
                 o.text("rig"),
@@ -87,7 +87,7 @@
             val name = o.text("lap")
             val slash = name.lastIndexOf('/')
             val taskIndex = if (slash < 0) null else name.substring(slash + 1).toIntOrNull()
-            if (taskIndex == null) throw WireError("lap must look like j-000412/3")
+            if (taskIndex == null) throw MalformedMessage("lap must look like j-000412/3")
             val saved = (o["saved"] as? JsonPrimitive)?.booleanOrNull ?: false
             return ListedTask(
                 name.substring(0, slash),
@@ -101,7 +101,7 @@
     }
 }
 
-enum class Verb(
+enum class CommandType(
     val word: String,
 ) {
     RUN("run"),
@@ -110,7 +110,7 @@
 }
 
 class Command(
-    val verb: Verb,
+    val type: CommandType,
     val ref: String,
     val taskIndex: Int,
     val attempt: Long,
@@ -118,25 +118,25 @@
 ) {
     fun json() =
         buildJsonObject {
-            put("call", verb.word)
+            put("call", type.word)
             put("lap", "$ref/$taskIndex")
             put("start", attempt)
             if (graceS != null) put("cooldown_s", graceS)
         }
 }
 
-fun ordersBody(
+fun commandRequest(
     token: Long,
-    session: Long,
+    incarnation: Long,
     commands: List<Command>,
 ): JsonObject =
     buildJsonObject {
         put("baton", token)
-        put("stint", session)
+        put("stint", incarnation)
         put("radio", JsonArray(commands.map { it.json() }))
     }
 
-fun reportAnswer(
+fun heartbeatResponse(
     token: Long,
     commands: List<Command>,
 ): JsonObject =
--- a/src/main/kotlin/micatally/worker/Machine.kt
+++ b/src/main/kotlin/micatally/worker/Machine.kt
@@ -1,7 +1,7 @@
 package micatally.worker
 
 import micatally.job.Attempt
-import micatally.wire.Amount
+import micatally.wire.Resources
 import micatally.wire.ListedTask
 
 /** One attempt's name on a machine. */
@@ -42,11 +42,11 @@
         this.spot = spot
     }
 
-    var session = 0L
-    var tick = 0L
+    var incarnation = 0L
+    var sequence = 0L
 
     /** The tick with which the tasks last changed. */
-    var changedTick = 0L
+    var changedAtSequence = 0L
     var tasks: List<ListedTask> = emptyList()
 
     /** When any node heard from it first, as far as this one knows; 0: not yet. */
@@ -83,20 +83,20 @@
 
     /** How many connections to it hung in a row. */
     var dark = 0
-    var noticeAt: Long? = null
+    var spotNoticeAt: Long? = null
     var deleted = false
     var draining = false
 
     /** This node's attempts that are not proven gone, and what they take. */
     val attempts = LinkedHashSet<Attempt>()
-    var ownUsed = Amount.NONE
+    var ownUsed = Resources.NONE
         private set
 
     /** What other owners said they hold here. */
-    private val othersUsed = HashMap<String, Amount>()
+    private val othersUsed = HashMap<String, Resources>()
 
     /** What all owners hold here, kept as a sum: a round looks at it for every machine. */
-    var used = Amount.NONE
+    var used = Resources.NONE
         private set
 
     /** Images that were seen here, most recent last. */
@@ -131,10 +131,10 @@
     /** One and the same for each machine, so that it is waited for once. */
     fun retry(make: () -> Unit): () -> Unit = again ?: make.also { again = it }
 
-    val recalled get() = noticeAt != null
+    val hasSpotNotice get() = spotNoticeAt != null
 
     private class Promise(
-        val amount: Amount,
+        val resources: Resources,
         val until: Long,
     )
 
@@ -145,11 +145,11 @@
     fun promise(
         ref: String,
         taskIndex: Int,
-        amount: Amount,
+        resources: Resources,
         until: Long,
     ) {
-        if (promises.put(ref to taskIndex, Promise(amount, until)) == null) {
-            ownUsed = ownUsed + amount
+        if (promises.put(ref to taskIndex, Promise(resources, until)) == null) {
+            ownUsed = ownUsed + resources
             sum()
         }
     }
@@ -160,7 +160,7 @@
         taskIndex: Int,
     ): Boolean {
         val p = promises.remove(ref to taskIndex) ?: return false
-        ownUsed = if (attempts.isEmpty() && promises.isEmpty()) Amount.NONE else ownUsed - p.amount
+        ownUsed = if (attempts.isEmpty() && promises.isEmpty()) Resources.NONE else ownUsed - p.resources
         sum()
         return true
     }
@@ -190,7 +190,7 @@
 
     fun attach(a: Attempt) {
         if (attempts.add(a)) {
-            a.job.spec?.let { ownUsed = ownUsed + it.amount }
+            a.job.spec?.let { ownUsed = ownUsed + it.resources }
             sum()
         }
     }
@@ -203,18 +203,18 @@
         freedAt = nowMs
         freedBy = null
         ownUsed =
-            if (attempts.isEmpty() && promises.isEmpty()) Amount.NONE else ownUsed - (a.job.spec?.amount ?: Amount.NONE)
+            if (attempts.isEmpty() && promises.isEmpty()) Resources.NONE else ownUsed - (a.job.spec?.resources ?: Resources.NONE)
         sum()
     }
 
     /** What another owner holds here; nothing takes its entry away. */
     fun others(
         host: String,
-        amount: Amount,
+        resources: Resources,
         nowMs: Long,
     ) {
-        val old = (if (amount == Amount.NONE) othersUsed.remove(host) else othersUsed.put(host, amount)) ?: Amount.NONE
-        if (!old.fitsIn(amount)) {
+        val old = (if (resources == Resources.NONE) othersUsed.remove(host) else othersUsed.put(host, resources)) ?: Resources.NONE
+        if (!old.fitsIn(resources)) {
             freedAt = nowMs
             freedBy = host
         }
--- a/src/main/kotlin/micatally/worker/Orders.kt
+++ b/src/main/kotlin/micatally/worker/Orders.kt
@@ -14,10 +14,10 @@
 import micatally.ledger.Membership
 import micatally.settings.Settings
 import micatally.wire.Command
-import micatally.wire.Report
-import micatally.wire.Verb
+import micatally.wire.Heartbeat
+import micatally.wire.CommandType
 import micatally.wire.bytes
-import micatally.wire.ordersBody
+import micatally.wire.commandRequest
 import micatally.wire.parseObject
 import org.slf4j.LoggerFactory
 
@@ -54,7 +54,7 @@
 ) {
     private val log = LoggerFactory.getLogger("micatally.worker")
     private val answerMs = settings.leaseMs * 4 / 10
-    private val killEveryMs = settings.reportMs
+    private val killEveryMs = settings.heartbeatIntervalMs
     private val killedAt = HashMap<Attempt, Long>()
     private val gate = OrderGate(settings.ordersAtOnce)
 
@@ -90,7 +90,7 @@
         val listed = m.tasks.associateBy { AttemptId(it.ref, it.taskIndex, it.attempt) }
         for (a in m.attempts.toList()) {
             if (!a.maySend || a.job.ledger.state != LedgerState.ACTIVE) continue
-            if (a.session != m.session) continue
+            if (a.incarnation != m.incarnation) continue
             val id = AttemptId(a.job.ref, a.taskIndex, a.number)
             val entry = listed[id]
             // Another node holds the ledger by now, and this one has confirmed the cancellation to it.
@@ -113,7 +113,7 @@
                 if (last == null ||
                     now - last >= killEveryMs
                 ) {
-                    commands.add(Command(Verb.KILL, a.job.ref, a.taskIndex, a.number, graceS(a, stop)))
+                    commands.add(Command(CommandType.KILL, a.job.ref, a.taskIndex, a.number, graceS(a, stop)))
                 }
             } else if (a.state == AttemptState.RECORDED) {
                 if (!membership.mayStart) continue
@@ -121,7 +121,7 @@
                     ask = true
                     continue
                 }
-                commands.add(Command(Verb.RUN, a.job.ref, a.taskIndex, a.number))
+                commands.add(Command(CommandType.RUN, a.job.ref, a.taskIndex, a.number))
                 covered.add(a)
             } else if (a.state == AttemptState.ORDERED && entry == null) {
                 covered.add(a)
@@ -129,7 +129,7 @@
                 if (a.sentAt == null || book.isSuspended(a.job.ref)) {
                     ask = true
                 } else if (membership.mayStart) {
-                    commands.add(Command(Verb.RUN, a.job.ref, a.taskIndex, a.number))
+                    commands.add(Command(CommandType.RUN, a.job.ref, a.taskIndex, a.number))
                 }
             } else {
                 covered.add(a)
@@ -141,7 +141,7 @@
             val a = book.attempt(t.ref, t.taskIndex)
             if (a != null && a.number == t.attempt && a.machine === m) continue
             if (!t.ended) {
-                commands.add(Command(Verb.KILL, t.ref, t.taskIndex, t.attempt, 0.0))
+                commands.add(Command(CommandType.KILL, t.ref, t.taskIndex, t.attempt, 0.0))
                 continue
             }
             // A clear makes the worker forget, and a copy of the run that comes after it would start the task again.
@@ -150,7 +150,7 @@
                 if (m.confirmedToken >=
                     1
                 ) {
-                    commands.add(Command(Verb.CLEAR, t.ref, t.taskIndex, t.attempt))
+                    commands.add(Command(CommandType.CLEAR, t.ref, t.taskIndex, t.attempt))
                 } else {
                     ask = true
                 }
@@ -168,7 +168,7 @@
                 covered.filter { a ->
                     a.state != AttemptState.RECORDED ||
                         sent.any {
-                            it.verb == Verb.RUN && it.ref == a.job.ref && it.taskIndex == a.taskIndex &&
+                            it.type == CommandType.RUN && it.ref == a.job.ref && it.taskIndex == a.taskIndex &&
                                 it.attempt == a.number
                         }
                 },
@@ -212,8 +212,8 @@
             m.mustAsk = true
             m.poked = true
             m.failuresInRow++
-            val pause = minOf(settings.reportMs * m.failuresInRow / 4, settings.reportMs * 2)
-            m.unreachableUntil = nowMs() + pause + settings.reportMs
+            val pause = minOf(settings.heartbeatIntervalMs * m.failuresInRow / 4, settings.heartbeatIntervalMs * 2)
+            m.unreachableUntil = nowMs() + pause + settings.heartbeatIntervalMs
             if (m.failuresInRow == 1 || m.failuresInRow % 10 == 0) {
                 log.info("no answer from {}: {} in a row", m.name, m.failuresInRow)
             }
@@ -235,18 +235,18 @@
         if (m.deleted) return true
         // Without the lease a node can't tell whether its ledgers are still its own; the token guards, this saves work.
         val b = build(m) ?: return true
-        val session = m.session
+        val incarnation = m.incarnation
         markSent(m, b.commands)
         m.mustAsk = false
-        val out = http.call(m.addr, "POST", "/orders", ordersBody(b.token, session, b.commands).bytes(), answerMs)
+        val out = http.call(m.addr, "POST", "/orders", commandRequest(b.token, incarnation, b.commands).bytes(), answerMs)
         if (out is Outcome.Answer && (out.status == 200 || out.status == 409)) {
             m.failuresInRow = 0
             m.unreachableUntil = 0
-            answered(m, b, out.status, session, Report.parse(parseObject(out.body)))
+            answered(m, b, out.status, incarnation, Heartbeat.parse(parseObject(out.body)))
             return true
         }
         if (out is Outcome.Silence || out is Outcome.TooLarge) {
-            for (c in b.commands.filter { it.verb == Verb.RUN }) {
+            for (c in b.commands.filter { it.type == CommandType.RUN }) {
                 m.unansweredRuns[AttemptId(c.ref, c.taskIndex, c.attempt)] = b.token
             }
         }
@@ -260,13 +260,13 @@
         val now = nowMs()
         for (c in commands) {
             val attempt = attemptOf(m, c) ?: continue
-            when (c.verb) {
-                Verb.RUN -> {
+            when (c.type) {
+                CommandType.RUN -> {
                     attempt.sentAt = now
                     attempt.become(AttemptState.ORDERED, now)
                 }
-                Verb.KILL -> killedAt[attempt] = now
-                Verb.CLEAR -> {}
+                CommandType.KILL -> killedAt[attempt] = now
+                CommandType.CLEAR -> {}
             }
         }
     }
@@ -275,12 +275,12 @@
         m: Machine,
         b: Batch,
         status: Int,
-        session: Long,
-        r: Report,
+        incarnation: Long,
+        r: Heartbeat,
     ) {
         if (status == 409) {
             machines.absorb(r, true)
-            if (r.session == session) {
+            if (r.incarnation == incarnation) {
                 m.mustAsk = true
                 if (r.token > b.token) {
                     m.poked = false
@@ -296,7 +296,7 @@
         machines.absorb(r, true)
         val listed = r.tasks.associateBy { AttemptId(it.ref, it.taskIndex, it.attempt) }
         for (a in b.covered) {
-            if (!a.live || a.state < AttemptState.ORDERED || a.session != session) continue
+            if (!a.live || a.state < AttemptState.ORDERED || a.incarnation != incarnation) continue
             val id = AttemptId(a.job.ref, a.taskIndex, a.number)
             val e = listed[id]
             // Its place in the list is known from our own request, made after the intent. A run whose answer was lost
--- a/src/main/kotlin/micatally/worker/WorkerReach.kt
+++ b/src/main/kotlin/micatally/worker/WorkerReach.kt
@@ -8,8 +8,8 @@
 import micatally.http.HttpCaller
 import micatally.http.Outcome
 import micatally.settings.Settings
-import micatally.wire.Report
-import micatally.wire.WireError
+import micatally.wire.Heartbeat
+import micatally.wire.MalformedMessage
 import micatally.wire.parseObject
 import org.slf4j.LoggerFactory
 
@@ -32,7 +32,7 @@
     private val nowMs: () -> Long,
 ) {
     private val log = LoggerFactory.getLogger("micatally.worker")
-    private val quietMs = maxOf(settings.reportMs * 2, settings.leaseMs / 4)
+    private val quietMs = maxOf(settings.heartbeatIntervalMs * 2, settings.leaseMs / 4)
     private val askMs = settings.leaseMs / 16
     private var isAsking = false
     private var failedRounds = 0
@@ -92,7 +92,7 @@
     private fun isHeardByOthers(
         m: Machine,
         now: Long,
-    ) = !m.deleted && m.session > 0 && m.addr.isNotEmpty() && now - m.heardAt < quietMs
+    ) = !m.deleted && m.incarnation > 0 && m.addr.isNotEmpty() && now - m.heardAt < quietMs
 
     private fun ask(machinesToAsk: List<Machine>) {
         if (isAsking) return
@@ -118,8 +118,8 @@
         val out = http.call(m.addr, "GET", "/show", null, askMs)
         if (out !is Outcome.Answer || out.status != 200) return false
         try {
-            machines.absorb(Report.parse(parseObject(out.body)), false)
-        } catch (e: WireError) {
+            machines.absorb(Heartbeat.parse(parseObject(out.body)), false)
+        } catch (e: MalformedMessage) {
             log.info("machine {} answers what is no report: {}", m.name, e.message)
         }
         return true
--- a/src/test/kotlin/micatally/compatibility/MessagesTest.kt
+++ b/src/test/kotlin/micatally/compatibility/MessagesTest.kt
@@ -40,7 +40,7 @@
 import micatally.state.Transaction
 import micatally.state.TransactionResult
 import micatally.state.Urgency
-import micatally.wire.Amount
+import micatally.wire.Resources
 import micatally.wire.AppliedVersion
 import micatally.wire.ChangeAnswer
 import micatally.wire.ChangeStatus
@@ -48,12 +48,12 @@
 import micatally.wire.ConfigurationChange
 import micatally.wire.ConfigurationStatus
 import micatally.wire.ConfigurationView
-import micatally.wire.Demand
+import micatally.wire.ResourceRequest
 import micatally.wire.ExitReason
-import micatally.wire.Flavor
+import micatally.wire.MachineType
 import micatally.wire.Format
-import micatally.wire.HeardList
-import micatally.wire.HeldRoom
+import micatally.wire.HeartbeatAcknowledgements
+import micatally.wire.HeldCapacity
 import micatally.wire.HistoryAnswer
 import micatally.wire.HistoryEntry
 import micatally.wire.JobAnswer
@@ -61,26 +61,26 @@
 import micatally.wire.LineError
 import micatally.wire.ListedMachine
 import micatally.wire.ListedTask
-import micatally.wire.MachineNote
-import micatally.wire.NewsAnswer
-import micatally.wire.NoteTask
-import micatally.wire.PeerAnswer
-import micatally.wire.PeerAsk
-import micatally.wire.PeerNews
+import micatally.wire.MachineStatus
+import micatally.wire.PeerDeltaResponse
+import micatally.wire.TaskStatus
+import micatally.wire.PeerJobResponse
+import micatally.wire.PeerJobRequest
+import micatally.wire.PeerDelta
 import micatally.wire.Priority
-import micatally.wire.Report
+import micatally.wire.Heartbeat
 import micatally.wire.RollbackRequest
-import micatally.wire.RoomSummary
+import micatally.wire.CapacitySummary
 import micatally.wire.StatusRequest
 import micatally.wire.TeamSetting
-import micatally.wire.Verb
-import micatally.wire.WireError
+import micatally.wire.CommandType
+import micatally.wire.MalformedMessage
 import micatally.wire.WithdrawnTask
 import micatally.wire.WithdrawnTaskList
 import micatally.wire.bytes
-import micatally.wire.ordersBody
+import micatally.wire.commandRequest
 import micatally.wire.parseObject
-import micatally.wire.reportAnswer
+import micatally.wire.heartbeatResponse
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertNull
@@ -145,7 +145,7 @@
         assertEquals(Format.ARRAY, spec.format)
         assertEquals(Priority.HIGH, spec.priority)
         assertEquals(16, spec.taskCount)
-        assertEquals(listOf(2.5, 1.0, 6.5), listOf(spec.amount.cores, spec.amount.cards, spec.amount.ram))
+        assertEquals(listOf(2.5, 1.0, 6.5), listOf(spec.resources.cores, spec.resources.gpus, spec.resources.memoryGb))
         assertEquals("img-07", spec.image)
         assertEquals(6.2, spec.imageGb)
         assertEquals(setOf("g8", "small"), spec.types)
@@ -161,7 +161,7 @@
         val whole = json("users/submit.json")
         val optional = setOf("chassis", "circuit", "flag_s")
         for (field in whole.keys - optional) {
-            val error = assertThrows(WireError::class.java) { JobSpec.parse(JsonObject(whole - field)) }
+            val error = assertThrows(MalformedMessage::class.java) { JobSpec.parse(JsonObject(whole - field)) }
             assertEquals("$field is missing", error.message)
         }
         val least = JobSpec.parse(JsonObject(whole - optional))
@@ -307,14 +307,14 @@
 
     @Test
     fun `a report is read`() {
-        val report = Report.parse(json("workers/report.json"))
+        val report = Heartbeat.parse(json("workers/report.json"))
         assertEquals("m-000231", report.machine)
         assertEquals("10.1.0.232:9000", report.addr)
         assertEquals("g8", report.type)
         assertEquals("a", report.zone)
         assertTrue(report.spot)
-        assertEquals(listOf(3L, 88L, 41L), listOf(report.session, report.tick, report.token))
-        assertEquals(25.5, report.noticeS)
+        assertEquals(listOf(3L, 88L, 41L), listOf(report.incarnation, report.sequence, report.token))
+        assertEquals(25.5, report.spotNoticeS)
         val expected =
             listOf(
                 ListedTask("j-000412", 3, 2, "running", null, false),
@@ -345,20 +345,20 @@
         assertEquals(words, ExitReason.entries.map { it.word })
         assertEquals(words, words.map { ExitReason.of(it)!!.word })
         assertEquals(ExitReason.IN_USE, ExitReason.of("in_use"))
-        assertEquals(listOf("run", "kill", "clear"), Verb.entries.map { it.word })
+        assertEquals(listOf("run", "kill", "clear"), CommandType.entries.map { it.word })
     }
 
     private val commands =
         listOf(
-            Command(Verb.RUN, "j-000412", 4, 2),
-            Command(Verb.KILL, "j-000377", 1, 1, 10.0),
-            Command(Verb.CLEAR, "j-000398", 0, 1),
+            Command(CommandType.RUN, "j-000412", 4, 2),
+            Command(CommandType.KILL, "j-000377", 1, 1, 10.0),
+            Command(CommandType.CLEAR, "j-000398", 0, 1),
         )
 
     @Test
     fun `commands in the answer to a report and in orders`() {
-        assertEquals(text("workers/answer.json"), reportAnswer(41, commands).bytes().decodeToString())
-        assertEquals(text("orders/orders.json"), ordersBody(41, 3, commands).bytes().decodeToString())
+        assertEquals(text("workers/answer.json"), heartbeatResponse(41, commands).bytes().decodeToString())
+        assertEquals(text("orders/orders.json"), commandRequest(41, 3, commands).bytes().decodeToString())
     }
 
     @Test
@@ -446,11 +446,11 @@
     fun `machine types are asked for and read`() =
         runTest {
             val recorder = Recorder(answer(200, "cloud/flavors.json"))
-            val type = Flavor.parseAll(cloud(recorder).flavors()!!).single()
+            val type = MachineType.parseAll(cloud(recorder).machineTypes()!!).single()
             assertEquals(listOf("GET /flavors"), recorder.requests)
             assertNull(recorder.body)
             assertEquals("g8", type.label)
-            assertEquals(Amount(96.0, 8.0, 768.0), type.amount)
+            assertEquals(Resources(96.0, 8.0, 768.0), type.resources)
             assertEquals(listOf(200.0, 1.5), listOf(type.cacheGb, type.pullGbPerS))
             assertEquals(listOf(12.0, 4.5, 45.0), listOf(type.hourly, type.spotHourly, type.readyS))
             assertEquals(listOf("a", "b"), type.zones)
@@ -625,25 +625,25 @@
     }
 
     private val noteTasks =
-        listOf(NoteTask("j-000412", 3, 2, "running"), NoteTask("j-000398", 7, 5, "ended", "stopped", true))
+        listOf(TaskStatus("j-000412", 3, 2, "running"), TaskStatus("j-000398", 7, 5, "ended", "stopped", true))
     private val note =
-        MachineNote("m-000231", "10.1.0.232:9000", "g8", "a", true, 3, 88, 25.5, noteTasks, 1500, 77)
-    private val room = HeldRoom("m-000231", 2.5, 1.0, 6.5, listOf("img-07", "img-08"), listOf(6.2, 3.5))
+        MachineStatus("m-000231", "10.1.0.232:9000", "g8", "a", true, 3, 88, 25.5, noteTasks, 1500, 77)
+    private val room = HeldCapacity("m-000231", 2.5, 1.0, 6.5, listOf("img-07", "img-08"), listOf(6.2, 3.5))
     private val demand =
-        Demand(2.5, 1.0, 6.5, listOf("g8"), listOf("a", "b"), true, 12, 2, true, 240.5, "img-07", listOf(4, 5), true)
+        ResourceRequest(2.5, 1.0, 6.5, listOf("g8"), listOf("a", "b"), true, 12, 2, true, 240.5, "img-07", listOf(4, 5), true)
     private val summary =
-        RoomSummary("pitbox-1", "p-9", 17, listOf(room), listOf(demand), 16, 2, 5, listOf(Demand(1.5, 2.5, 3.5)))
+        CapacitySummary("pitbox-1", "p-9", 17, listOf(room), listOf(demand), 16, 2, 5, listOf(ResourceRequest(1.5, 2.5, 3.5)))
     private val allNews =
-        PeerNews(listOf(note), summary, listOf("m-1", "m-2"), listOf(note), true, "pitbox-1")
+        PeerDelta(listOf(note), summary, listOf("m-1", "m-2"), listOf(note), true, "pitbox-1")
     private val withdrawn = WithdrawnTask("m-000231", "j-000412", 3, 2)
 
-    private fun assertNote(read: MachineNote) {
+    private fun assertNote(read: MachineStatus) {
         assertEquals(listOf("m-000231", "10.1.0.232:9000", "g8"), listOf(read.machine, read.addr, read.type))
         assertEquals("a", read.zone)
         assertTrue(read.spot)
-        assertEquals(listOf(3L, 88L), listOf(read.session, read.tick))
-        assertEquals(25.5, read.noticeS)
-        assertEquals(listOf(1500L, 77L), listOf(read.ageMs, read.changedTick))
+        assertEquals(listOf(3L, 88L), listOf(read.incarnation, read.sequence))
+        assertEquals(25.5, read.spotNoticeS)
+        assertEquals(listOf(1500L, 77L), listOf(read.ageMs, read.changedAtSequence))
         assertEquals(
             listOf(
                 listOf("j-000412", 3, 2L, "running", "", false),
@@ -653,8 +653,8 @@
         )
     }
 
-    private fun assertDemand(read: Demand) {
-        assertEquals(listOf(2.5, 1.0, 6.5), listOf(read.cores, read.cards, read.ram))
+    private fun assertDemand(read: ResourceRequest) {
+        assertEquals(listOf(2.5, 1.0, 6.5), listOf(read.cores, read.gpus, read.memoryGb))
         assertEquals(listOf("g8"), read.types)
         assertEquals(listOf("a", "b"), read.zones)
         assertEquals(listOf(true, true, true), listOf(read.spot, read.service, read.isGang))
@@ -664,17 +664,17 @@
         assertEquals(listOf(4, 5), read.zoneRoom)
     }
 
-    private fun assertSummary(read: RoomSummary) {
+    private fun assertSummary(read: CapacitySummary) {
         assertEquals(listOf("pitbox-1", "p-9"), listOf(read.host, read.process))
         assertEquals(listOf(17L, 16L), listOf(read.number, read.base))
         assertEquals(listOf(2, 5), listOf(read.bucket, read.buckets))
         val held = read.rooms.single()
         assertEquals("m-000231", held.machine)
-        assertEquals(listOf(2.5, 1.0, 6.5), listOf(held.cores, held.cards, held.ram))
+        assertEquals(listOf(2.5, 1.0, 6.5), listOf(held.cores, held.gpus, held.memoryGb))
         assertEquals(listOf("img-07", "img-08"), held.images)
         assertEquals(listOf(6.2, 3.5), held.imagesGb)
         assertDemand(read.demand.single())
-        assertEquals(listOf(Demand(1.5, 2.5, 3.5)), read.recent)
+        assertEquals(listOf(ResourceRequest(1.5, 2.5, 3.5)), read.recent)
     }
 
     private fun assertWithdrawn(read: WithdrawnTask) =
@@ -692,7 +692,7 @@
         assertNote(news.heard.single())
         assertTrue(news.stateContact)
         assertEquals("pitbox-1", news.host)
-        val answer = kept("peers/news-answer.hex", NewsAnswer(true, 41, listOf(withdrawn)))
+        val answer = kept("peers/news-answer.hex", PeerDeltaResponse(true, 41, listOf(withdrawn)))
         assertTrue(answer.needsWhole)
         assertEquals(41L, answer.epoch)
         assertWithdrawn(answer.kills.single())
@@ -700,29 +700,29 @@
 
     @Test
     fun `what controllers leave for each other in the state service`() {
-        assertNote(kept("peers/heard.hex", HeardList(listOf(note))).notes.single())
+        assertNote(kept("peers/heard.hex", HeartbeatAcknowledgements(listOf(note))).notes.single())
         assertSummary(kept("peers/summary.hex", summary))
         assertWithdrawn(kept("peers/kills.hex", WithdrawnTaskList(listOf(withdrawn))).kills.single())
     }
 
     @Test
     fun `questions between controllers`() {
-        assertEquals("j-000412", kept("peers/ask.hex", PeerAsk("j-000412")).ref)
-        val answer = kept("peers/answer.hex", PeerAnswer(true, "running", 3, 13))
+        assertEquals("j-000412", kept("peers/ask.hex", PeerJobRequest("j-000412")).ref)
+        val answer = kept("peers/answer.hex", PeerJobResponse(true, "running", 3, 13))
         assertEquals(listOf(true, "running", 3, 13), listOf(answer.known, answer.status, answer.done, answer.running))
     }
 
     @Test
     fun `fields that are left out`() {
-        val least = kept("peers/note-least.hex", MachineNote("m-1", "", "g8", "a", false, 0, 0))
-        assertEquals(listOf(-1.0, 0L, 0L), listOf(least.noticeS, least.ageMs, least.changedTick))
+        val least = kept("peers/note-least.hex", MachineStatus("m-1", "", "g8", "a", false, 0, 0))
+        assertEquals(listOf(-1.0, 0L, 0L), listOf(least.spotNoticeS, least.ageMs, least.changedAtSequence))
         assertEquals(0, least.tasks.size)
-        kept("peers/empty.hex", PeerNews())
-        kept("peers/empty.hex", NewsAnswer())
-        kept("peers/empty.hex", PeerAnswer())
+        kept("peers/empty.hex", PeerDelta())
+        kept("peers/empty.hex", PeerDeltaResponse())
+        kept("peers/empty.hex", PeerJobResponse())
         kept("peers/empty.hex", StatusRequest())
         assertTrue(kept("peers/empty.hex", HistoryAnswer()).isAvailable)
-        val demand = kept("peers/demand-least.hex", Demand(1.5, 2.5, 3.5))
+        val demand = kept("peers/demand-least.hex", ResourceRequest(1.5, 2.5, 3.5))
         assertEquals(listOf(false, 1, 0, false), listOf(demand.spot, demand.count, demand.priority, demand.service))
     }
 
@@ -815,7 +815,7 @@
             assertEquals(listOf(team), view.teams)
             assertEquals(
                 listOf("vision", 16.5, 60.5, 2.5, 20.5),
-                view.teams.single().run { listOf(name, cores, coresMax, cards, cardsMax) },
+                view.teams.single().run { listOf(name, cores, coresMax, gpus, gpusMax) },
             )
             val answer =
                 configuration("/config/apply", "configuration/change.hex", "configuration/answer.hex") { apply(change) }
@@ -914,13 +914,13 @@
         assertEquals(setOf("vision"), s.teams.keys)
         assertEquals(
             listOf("vision", 16.5, 60.5, 2.5, 20.5),
-            s.teams.getValue("vision").run { listOf(name, cores, coresMax, cards, cardsMax) },
+            s.teams.getValue("vision").run { listOf(name, cores, coresMax, gpus, gpusMax) },
         )
         assertEquals(
             listOf(listOf("start", "train", 90.5), listOf("price", null, null)),
             s.objectives.map { listOf(it.kind, it.jobClass, it.withinS) },
         )
-        assertEquals(listOf(1500L, 10_500L, 30_500L), listOf(s.reportMs, s.leaseMs, s.cancelMs))
+        assertEquals(listOf(1500L, 10_500L, 30_500L), listOf(s.heartbeatIntervalMs, s.leaseMs, s.cancelMs))
         assertEquals(listOf(35_500L, 4500L), listOf(s.gangWaitMs, s.gangPeerMs))
         assertEquals(StateLimits(240.0, 90.0, 8 * 1024, 32), s.stateLimits)
         assertEquals(listOf(4.5, 0.25), listOf(s.cloudRps, s.coreShare))
--- a/src/test/kotlin/micatally/compatibility/StoredValuesTest.kt
+++ b/src/test/kotlin/micatally/compatibility/StoredValuesTest.kt
@@ -33,9 +33,9 @@
 import micatally.state.RateBudget
 import micatally.state.StateStoreClient
 import micatally.upgrade.UpgradePlan
-import micatally.wire.Flavor
-import micatally.wire.HeardList
-import micatally.wire.RoomSummary
+import micatally.wire.MachineType
+import micatally.wire.HeartbeatAcknowledgements
+import micatally.wire.CapacitySummary
 import micatally.wire.parseObject
 import micatally.wire.text
 import micatally.worker.Machine
@@ -99,7 +99,7 @@
                 "job/" to Keys.JOB,
                 "final/" to Keys.FINAL,
                 "c/archive/" to Keys.ARCHIVE,
-                "flavors" to Keys.FLAVORS,
+                "flavors" to Keys.MACHINE_TYPES,
                 "part/" to Keys.JOB_PART,
                 "c/config" to Keys.CONFIG,
                 "config/change/" to Keys.CONFIG_CHANGE,
@@ -138,7 +138,7 @@
         for (p in JobRecord.placed(record)) {
             val machine = machines.getOrPut(p.machine) { Machine(p.machine, p.addr, p.type, p.zone, p.spot) }
             job.attempts[p.taskIndex] =
-                Attempt(job, p.taskIndex, p.number, machine, p.session, job.service, AttemptState.ORDERED)
+                Attempt(job, p.taskIndex, p.number, machine, p.incarnation, job.service, AttemptState.ORDERED)
         }
         return job
     }
@@ -223,9 +223,9 @@
     fun `bookings and machine types`() {
         for (rent in stored("c-rent")) assertUnchanged(rent, Booking.parse(rent.key, rent.value).toJson())
         assertTrue(stored("c-rent").any { Booking.parse(it.key, it.value).machines.isNotEmpty() })
-        val types = Flavor.parseAll(stored("flavors").single().value)
+        val types = MachineType.parseAll(stored("flavors").single().value)
         assertEquals(listOf("small", "g8"), types.map { it.label })
-        assertEquals(listOf(8.0, 96.0), types.map { it.amount.cores })
+        assertEquals(listOf(8.0, 96.0), types.map { it.resources.cores })
         assertEquals(listOf(0.3, 6.0), listOf(types[0].spotHourly, types[0].readyS))
         assertEquals(listOf("a", "b", "c"), types[1].zones)
     }
@@ -253,12 +253,12 @@
     @Test
     fun `summaries of room and of machines that were heard`() {
         for (room in stored("s-room")) {
-            val summary = ProtoBuf.decodeFromByteArray<RoomSummary>(bytesOf(room))
+            val summary = ProtoBuf.decodeFromByteArray<CapacitySummary>(bytesOf(room))
             assertEquals(room.text, written(ProtoBuf.encodeToByteArray(summary)), room.key)
             assertEquals(room.key.split('/')[2], summary.host)
         }
         for (heard in stored("s-heard")) {
-            val list = ProtoBuf.decodeFromByteArray<HeardList>(bytesOf(heard))
+            val list = ProtoBuf.decodeFromByteArray<HeartbeatAcknowledgements>(bytesOf(heard))
             assertEquals(heard.text, written(ProtoBuf.encodeToByteArray(list)), heard.key)
         }
     }
@@ -277,7 +277,7 @@
         assertEquals("more for \"vision\"", change.reason)
         assertEquals(listOf("vision", "newcomer"), change.set.map { it.name })
         assertEquals(listOf("cards"), change.remove)
-        assertEquals(listOf(1.0, 50.0, 0.0, 20.0), change.set[0].run { listOf(cores, coresMax, cards, cardsMax) })
+        assertEquals(listOf(1.0, 50.0, 0.0, 20.0), change.set[0].run { listOf(cores, coresMax, gpus, gpusMax) })
     }
 
     @Test
--- a/src/test/kotlin/micatally/fleet/RentPlanTest.kt
+++ b/src/test/kotlin/micatally/fleet/RentPlanTest.kt
@@ -1,29 +1,29 @@
 package micatally.fleet
 
-import micatally.wire.Amount
-import micatally.wire.Demand
-import micatally.wire.Flavor
+import micatally.wire.Resources
+import micatally.wire.ResourceRequest
+import micatally.wire.MachineType
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
 class RentPlanTest {
-    private val small = Flavor("small", Amount(8.0, 0.0, 32.0), 40.0, 0.1, 0.62, 0.2, 30.0, listOf("a"))
-    private val large = Flavor("large", Amount(32.0, 0.0, 64.0), 70.0, 0.1, 2.01, 0.5, 15.0, listOf("a", "b"))
-    private val cards = Flavor("cards", Amount(96.0, 8.0, 768.0), 400.0, 1.7, 27.0, 7.0, 30.0, listOf("a", "b", "c"))
+    private val small = MachineType("small", Resources(8.0, 0.0, 32.0), 40.0, 0.1, 0.62, 0.2, 30.0, listOf("a"))
+    private val large = MachineType("large", Resources(32.0, 0.0, 64.0), 70.0, 0.1, 2.01, 0.5, 15.0, listOf("a", "b"))
+    private val gpus = MachineType("cards", Resources(96.0, 8.0, 768.0), 400.0, 1.7, 27.0, 7.0, 30.0, listOf("a", "b", "c"))
 
     private fun gateway(
         count: Int,
         room: List<Int>,
-    ) = Demand(2.0, 0.0, 2.7, zones = listOf("a", "b", "c"), count = count, service = true, zoneRoom = room)
+    ) = ResourceRequest(2.0, 0.0, 2.7, zones = listOf("a", "b", "c"), count = count, service = true, zoneRoom = room)
 
     private fun plan(
-        demands: List<Demand>,
+        demands: List<ResourceRequest>,
         coming: MutableList<RentPlan.Room> = ArrayList(),
     ) = RentPlan.plan(
         demands,
         coming,
-        listOf(small, large, cards),
+        listOf(small, large, gpus),
         Market({
             false
         }, { 1.0 }),
@@ -45,14 +45,14 @@
      * since the cores of all its cards were kept. Its job was accepted and waited for good. */
     @Test
     fun `a task without cards that fits no other machine gets one with cards`() {
-        val p = plan(listOf(Demand(40.0, 0.0, 8.0, count = 2)))
+        val p = plan(listOf(ResourceRequest(40.0, 0.0, 8.0, count = 2)))
         assertEquals(setOf("cards"), p.keys.map { it.type }.toSet())
         assertEquals(1, p.values.sum(), "both fit on one")
     }
 
     @Test
     fun `tasks without cards leave the cores that cards need`() {
-        val room = RentPlan.Room("cards", "c", false, cards.amount)
+        val room = RentPlan.Room("cards", "c", false, gpus.resources)
         plan(listOf(gateway(60, emptyList())), arrayListOf(room))
         assertTrue(room.free.cores >= 8 * 12 * 0.7 - 1e-6, "${room.free}")
     }
--- a/src/test/kotlin/micatally/quota/QuotaFleet.kt
+++ b/src/test/kotlin/micatally/quota/QuotaFleet.kt
@@ -83,11 +83,11 @@
     private fun spec(
         team: String,
         cores: Double,
-        cards: Double,
+        gpus: Double,
     ) = JobSpec.parse(
         JsonObject(
             Rehearsal.job(nextTask++, "sweep", 1) +
-                mapOf("crew" to JsonPrimitive(team), "cores" to JsonPrimitive(cores), "cards" to JsonPrimitive(cards)),
+                mapOf("crew" to JsonPrimitive(team), "cores" to JsonPrimitive(cores), "cards" to JsonPrimitive(gpus)),
         ),
     )
 
@@ -190,7 +190,7 @@
             task: Share,
             count: Int,
         ) {
-            val spec = spec(team, task.cores, task.cards)
+            val spec = spec(team, task.cores, task.gpus)
             val job = Job(spec.ref, spec, ledger, count, 0, JobState.OPEN)
             repeat(count) {
                 if (!quota.allows(job)) return
@@ -210,7 +210,7 @@
                     JsonObject(
                         mapOf(
                             "cores" to JsonPrimitive(share.cores),
-                            "cards" to JsonPrimitive(share.cards),
+                            "cards" to JsonPrimitive(share.gpus),
                         ),
                     )
                 val result =
--- a/src/test/kotlin/micatally/quota/QuotaScheduleTest.kt
+++ b/src/test/kotlin/micatally/quota/QuotaScheduleTest.kt
@@ -93,7 +93,7 @@
         /** When all is quiet and everything has ended, one ledger gets the whole of a limit. */
         private fun checkRoomIsFound() {
             val team = teams.first()
-            val whole = Share(1.0, team.cardsMax)
+            val whole = Share(1.0, team.gpusMax)
             repeat(QUIET_STEPS) {
                 repeat(10) { fleet.endOne() }
                 for (controller in fleet.controllers) {
@@ -105,7 +105,7 @@
                 holder.tryToStart(holder.ledgers.getValue("ledger-0"), team.name, whole, 1)
                 fleet.runFor(STEP_MS)
                 check()
-                if (fleet.onMachines(team.name, "ledger-0").cards >= team.cardsMax) return
+                if (fleet.onMachines(team.name, "ledger-0").gpus >= team.gpusMax) return
             }
             assertTrue(
                 false,
--- a/src/test/kotlin/micatally/scale/RunHistoryTest.kt
+++ b/src/test/kotlin/micatally/scale/RunHistoryTest.kt
@@ -8,7 +8,7 @@
 import micatally.standin.GangTimes
 import micatally.standin.WorkerStandin
 import micatally.standin.WorkerWorld
-import micatally.wire.Amount
+import micatally.wire.Resources
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -71,7 +71,7 @@
             "box",
             "a",
             false,
-            Amount(8.0, 0.0, 8.0),
+            Resources(8.0, 0.0, 8.0),
             1.0,
             1000,
             10_000,
@@ -93,7 +93,7 @@
 
     @Test
     fun `a team beyond its limit in force breaks the run`() {
-        val history = history(coresMax = sweep.amount.cores)
+        val history = history(coresMax = sweep.resources.cores)
         history.started(machine("m-1"), sweep.ref, 0)
         assertNull(history.violation)
         history.started(machine("m-1"), sweep.ref, 1)
--- a/src/test/kotlin/micatally/scale/ScenarioTest.kt
+++ b/src/test/kotlin/micatally/scale/ScenarioTest.kt
@@ -43,7 +43,7 @@
         for (name in ScenarioFile.BUNDLED) ScenarioFile.load(name)
         val target = ScenarioFile.load("target")
         assertEquals(1700, target.workerCount)
-        assertEquals(3500.0, target.workers.types.sumOf { it.count * it.cards })
+        assertEquals(3500.0, target.workers.types.sumOf { it.count * it.gpus })
     }
 
     @Test
--- a/src/test/kotlin/micatally/sim/ConfigurationTest.kt
+++ b/src/test/kotlin/micatally/sim/ConfigurationTest.kt
@@ -127,7 +127,7 @@
         f.rules.running
             .map { f.rules.specs.getValue(it.ref) }
             .filter { it.team == team }
-            .sumOf { it.amount.cores }
+            .sumOf { it.resources.cores }
 
     @Test
     fun `the settings file is stored once, and a change is in force within a second`() =
@@ -254,7 +254,7 @@
             inForce(0, 2)
             val stopped = usedCores("vision")
             // What had been sent is on its way: it gets there within a report.
-            f.runFor(f.settings[0].reportMs)
+            f.runFor(f.settings[0].heartbeatIntervalMs)
             f.limitsInForce["vision"] = lowered
             assertTrue(stopped > 20, "$stopped cores are used when the limit is in force")
             val late = submit(2, "daemon", 2, "loaners" to false)
@@ -277,7 +277,7 @@
         assertFalse(status(0, 2).isInForce)
         inForce(0, 2)
         assertTrue(f.now - at <= f.lease, "${f.now - at} ms")
-        f.runFor(f.settings[0].reportMs)
+        f.runFor(f.settings[0].heartbeatIntervalMs)
         f.limitsInForce["vision"] = Team("vision", 1.0, 20.0, 0.0, 20.0)
         f.runFor(f.lease)
         assertEquals(ChangeStatus.APPLIED, apply(2, change(2, team("vision", 60.0))).status)
@@ -368,7 +368,7 @@
             cancel(doomed, listOf(0, 1, 2))
             assertEquals(ChangeStatus.APPLIED, apply(0, change(1, remove = listOf("vision"))).status)
             inForce(0, 2)
-            f.runFor(f.settings[0].reportMs)
+            f.runFor(f.settings[0].heartbeatIntervalMs)
             f.limitsInForce.remove("vision")
             f.runFor(f.lease * 4)
             assertEquals(2, tasks(running).size, "what runs goes on")
--- a/src/test/kotlin/micatally/sim/GangTest.kt
+++ b/src/test/kotlin/micatally/sim/GangTest.kt
@@ -7,7 +7,7 @@
 import micatally.standin.OnMachine
 import micatally.wire.ExitReason
 import micatally.wire.ListedTask
-import micatally.wire.Report
+import micatally.wire.Heartbeat
 import micatally.wire.bytes
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
@@ -204,7 +204,7 @@
             val ref = gang(0, 3, "sector_s" to 60.0, "pit_stop_s" to 1.0, "loaners" to true, runMs = 15_000)
             untilSeenRunning(ref)
             f.runFor(4000)
-            worker(tasks(ref).first().machine).noticeS = 8.0
+            worker(tasks(ref).first().machine).spotNoticeS = 8.0
             runUntil(f.lease, "it is saved") { f.gangs.savedStops == 1 }
             assertEquals(0, f.gangs.toldTooLate)
             assertTrue(f.gangs.safeProgressMs(ref) >= 3000)
@@ -229,7 +229,7 @@
                     .of(second)!!
                     .failuresInRow > 0
             }
-            worker(first).noticeS = 8.0
+            worker(first).spotNoticeS = 8.0
             f.runFor(3000)
             assertEquals(setOf("running"), statuses(ref).toSet())
             f.net.deaf.remove(second)
@@ -248,7 +248,7 @@
             else -> untilSeenRunning(ref)
         }
         if (phase != GangPhase.PLACING) f.runFor(500)
-        if (phase == GangPhase.STOPPING) worker(tasks(ref).first().machine).noticeS = 8.0
+        if (phase == GangPhase.STOPPING) worker(tasks(ref).first().machine).spotNoticeS = 8.0
         if (phase == GangPhase.ENDING) worker(tasks(ref).first().machine).hung = true
         runUntil(f.lease, "it is $phase") { phase(ref) == phase }
         return ref
@@ -386,7 +386,7 @@
                     .machine
             val listed = m.tasks + ListedTask(ref, pending, 500, ListedTask.ENDED, ExitReason.DONE.word, false)
             machines.absorb(
-                Report(m.name, m.addr, m.type, m.zone, m.spot, m.session, m.tick + 1, 0, null, listed),
+                Heartbeat(m.name, m.addr, m.type, m.zone, m.spot, m.incarnation, m.sequence + 1, 0, null, listed),
                 false,
             )
             assertTrue(job.done[pending])
--- a/src/test/kotlin/micatally/sim/GapTest.kt
+++ b/src/test/kotlin/micatally/sim/GapTest.kt
@@ -101,7 +101,7 @@
         if (variant == Variant.PEER_RESTARTS_AFTER_CONFIRMING) restartAfterConfirming(f.nodes - 1)
         val refusedAt = f.now
         f.runFor(f.lease / 20)
-        val before = machines.associateWith { worker(it).session }
+        val before = machines.associateWith { worker(it).incarnation }
         if (variant == Variant.OUTAGE_FIRST) {
             // The first confirmations are under way when the outage begins.
             for (r in doomed) cancel(r, others)
@@ -135,7 +135,7 @@
         // The rules were looked at after every step; and what nobody cancelled lives on where that is possible.
         if (variant == Variant.REFUSED || variant == Variant.OUTAGE_SECONDS_LATER) {
             for (r in kept) assertEquals(2, tasks(r).size, "$r was not cancelled and lives on")
-            assertTrue(machines.all { worker(it).session == before[it] }, "the workers' leases lived on")
+            assertTrue(machines.all { worker(it).incarnation == before[it] }, "the workers' leases lived on")
         }
         f.state.down = false
         for (c in cuts) heal(c)
--- a/src/test/kotlin/micatally/sim/MeetingsTest.kt
+++ b/src/test/kotlin/micatally/sim/MeetingsTest.kt
@@ -782,7 +782,7 @@
             f.runFor(f.lease / 3)
             f.net.keepReports = false
             // The next sessions: all leases end.
-            val before = f.cloud.workers.associate { it.name to it.session }
+            val before = f.cloud.workers.associate { it.name to it.incarnation }
             val machines =
                 f.cloud.workers
                     .map { it.name }
@@ -790,7 +790,7 @@
             f.net.mute.addAll(machines)
             f.runFor(f.lease * 5 / 4)
             f.net.mute.clear()
-            assertTrue(f.cloud.workers.any { it.session > (before[it.name] ?: Long.MAX_VALUE) }, "sessions ended")
+            assertTrue(f.cloud.workers.any { it.incarnation > (before[it.name] ?: Long.MAX_VALUE) }, "sessions ended")
             f.runFor(f.lease)
             f.net.deliverKept(listOf("n0", "n1", "n2"))
             cancel(refs[1], listOf(0, 1, 2))
--- a/src/test/kotlin/micatally/sim/SimFleet.kt
+++ b/src/test/kotlin/micatally/sim/SimFleet.kt
@@ -35,8 +35,8 @@
 import micatally.state.StateLimits
 import micatally.upgrade.FormatVersion
 import micatally.upgrade.UpgradePlan
-import micatally.wire.Amount
-import micatally.wire.Flavor
+import micatally.wire.Resources
+import micatally.wire.MachineType
 import micatally.wire.JobSpec
 import micatally.wire.asObject
 import micatally.wire.bytes
@@ -95,20 +95,20 @@
     val now get() = scheduler.currentTime
     private val zones = listOf("a", "b", "c")
     val net = SimNet(scope, Random(seed + 1))
-    private val flavors =
+    private val machineTypes =
         listOf(
-            Flavor("small", Amount(8.0, 0.0, 32.0), 40.0, 1.0, 1.0, 0.3, 6.0, zones),
-            Flavor("g8", Amount(96.0, 8.0, 768.0), 400.0, 10.0, 30.0, 8.0, 6.0, zones),
+            MachineType("small", Resources(8.0, 0.0, 32.0), 40.0, 1.0, 1.0, 0.3, 6.0, zones),
+            MachineType("g8", Resources(96.0, 8.0, 768.0), 400.0, 10.0, 30.0, 8.0, 6.0, zones),
         )
     val state = StateStandin(limits) { now }
     private val workerHosts = HashMap<String, SimNet.Host>()
     val cloud =
         CloudStandin(
             scope,
-            flavors,
+            machineTypes,
             zones
                 .flatMap { z ->
-                    flavors.flatMap { f ->
+                    machineTypes.flatMap { f ->
                         listOf(true, false).map {
                             Triple(f.label, z, it) to
                                 8
@@ -432,7 +432,7 @@
 
     private fun boot(
         name: String,
-        f: Flavor,
+        f: MachineType,
         zone: String,
         spot: Boolean,
     ): WorkerStandin {
@@ -449,9 +449,9 @@
                 f.label,
                 zone,
                 spot,
-                f.amount,
+                f.resources,
                 f.pullGbPerS,
-                settings[0].reportMs,
+                settings[0].heartbeatIntervalMs,
                 settings[0].leaseMs,
                 controllers,
             ) {
@@ -533,7 +533,7 @@
             }
         val rooms =
             allowed.groupBy { it.zone }.mapValues { (_, list) ->
-                minOf(list.sumOf { s.amount.countIn(it.free).toLong() }, Placement.zoneCap(s).toLong())
+                minOf(list.sumOf { s.resources.countIn(it.free).toLong() }, Placement.zoneCap(s).toLong())
             }
         return if (s.together) rooms.values.any { it >= s.taskCount } else rooms.values.sum() >= s.taskCount
     }
@@ -544,7 +544,7 @@
         val workers =
             cloud.workers.filter {
                 !it.hung && it.name !in net.deaf && it.name !in net.mute &&
-                    it.noticeS == null &&
+                    it.spotNoticeS == null &&
                     !it.sick
             }
         for (ref in rules.acceptedJobs) {
@@ -567,7 +567,7 @@
                         rules.underLimit(s) &&
                         workers.any { w ->
                             (s.types == null || w.type in s.types) && (!w.spot || s.spot) && allowed(w.zone) &&
-                                s.amount.fitsIn(w.free)
+                                s.resources.fitsIn(w.free)
                         }
                 }
             if (!fits) {
@@ -705,7 +705,7 @@
     fun job(n: Int): JobSpec {
         val gang = n >= GANGS_FROM
         val service = !gang && random.nextInt(3) == 0
-        val cards = if (random.nextInt(3) == 0) random.nextInt(1, 4).toDouble() else 0.0
+        val gpus = if (random.nextInt(3) == 0) random.nextInt(1, 4).toDouble() else 0.0
         val taskCount =
             if (service) {
                 random.nextInt(1, 4)
@@ -732,7 +732,7 @@
                 put("grid", listOf("production", "high", "standard", "low").random(random))
                 put("laps", taskCount)
                 put("cores", random.nextInt(1, 5).toDouble())
-                put("cards", cards)
+                put("cards", gpus)
                 put("ram_gb", 4.0)
                 put("livery", "img-${random.nextInt(3)}")
                 put("size_gb", 3.0)
--- a/src/test/kotlin/micatally/upgrade/FormatTest.kt
+++ b/src/test/kotlin/micatally/upgrade/FormatTest.kt
@@ -18,12 +18,12 @@
 import micatally.ledger.LedgerState
 import micatally.state.KeyValue
 import micatally.state.Listing
-import micatally.wire.HeardList
-import micatally.wire.NewsAnswer
-import micatally.wire.PeerAnswer
-import micatally.wire.PeerAsk
-import micatally.wire.PeerNews
-import micatally.wire.RoomSummary
+import micatally.wire.HeartbeatAcknowledgements
+import micatally.wire.PeerDeltaResponse
+import micatally.wire.PeerJobResponse
+import micatally.wire.PeerJobRequest
+import micatally.wire.PeerDelta
+import micatally.wire.CapacitySummary
 import micatally.wire.WithdrawnTaskList
 import micatally.worker.Machine
 import org.junit.jupiter.api.Assertions.assertArrayEquals
@@ -61,7 +61,7 @@
         for (p in JobRecord.placed(record)) {
             val m = machines.getOrPut(p.machine) { Machine(p.machine, p.addr, p.type, p.zone, p.spot) }
             job.attempts[p.taskIndex] =
-                Attempt(job, p.taskIndex, p.number, m, p.session, job.service, AttemptState.ORDERED)
+                Attempt(job, p.taskIndex, p.number, m, p.incarnation, job.service, AttemptState.ORDERED)
         }
         return job
     }
@@ -81,7 +81,7 @@
             assertEquals(
                 job.attempts.values
                     .map {
-                        listOf<Any>(it.machine.name, it.session, it.taskIndex, it.number)
+                        listOf<Any>(it.machine.name, it.incarnation, it.taskIndex, it.number)
                     }.toSet(),
                 former.attempts.toSet(),
                 key,
@@ -122,11 +122,11 @@
         fun bytes(name: String) = Base64.getDecoder().decode((messages.getValue(name) as JsonPrimitive).content)
         assertArrayEquals(
             bytes("PeerNews"),
-            ProtoBuf.encodeToByteArray(ProtoBuf.decodeFromByteArray<PeerNews>(bytes("PeerNews"))),
+            ProtoBuf.encodeToByteArray(ProtoBuf.decodeFromByteArray<PeerDelta>(bytes("PeerNews"))),
         )
         assertArrayEquals(
             bytes("NewsAnswer"),
-            ProtoBuf.encodeToByteArray(ProtoBuf.decodeFromByteArray<NewsAnswer>(bytes("NewsAnswer"))),
+            ProtoBuf.encodeToByteArray(ProtoBuf.decodeFromByteArray<PeerDeltaResponse>(bytes("NewsAnswer"))),
         )
         assertArrayEquals(
             bytes("KillList"),
@@ -134,19 +134,19 @@
         )
         assertArrayEquals(
             bytes("HeardList"),
-            ProtoBuf.encodeToByteArray(ProtoBuf.decodeFromByteArray<HeardList>(bytes("HeardList"))),
+            ProtoBuf.encodeToByteArray(ProtoBuf.decodeFromByteArray<HeartbeatAcknowledgements>(bytes("HeardList"))),
         )
         assertArrayEquals(
             bytes("PeerAsk"),
-            ProtoBuf.encodeToByteArray(ProtoBuf.decodeFromByteArray<PeerAsk>(bytes("PeerAsk"))),
+            ProtoBuf.encodeToByteArray(ProtoBuf.decodeFromByteArray<PeerJobRequest>(bytes("PeerAsk"))),
         )
         assertArrayEquals(
             bytes("PeerAnswer"),
-            ProtoBuf.encodeToByteArray(ProtoBuf.decodeFromByteArray<PeerAnswer>(bytes("PeerAnswer"))),
+            ProtoBuf.encodeToByteArray(ProtoBuf.decodeFromByteArray<PeerJobResponse>(bytes("PeerAnswer"))),
         )
         for ((key, value) in under(Keys.ROOM)) {
             val room = Base64.getDecoder().decode((value.getValue("b") as JsonPrimitive).content)
-            assertArrayEquals(room, ProtoBuf.encodeToByteArray(ProtoBuf.decodeFromByteArray<RoomSummary>(room)), key)
+            assertArrayEquals(room, ProtoBuf.encodeToByteArray(ProtoBuf.decodeFromByteArray<CapacitySummary>(room)), key)
         }
     }
 
