--- a/src/main/kotlin/micatally/api/UserApi.kt
+++ b/src/main/kotlin/micatally/api/UserApi.kt
@@ -54,7 +54,7 @@
     private val nowMs: () -> Long,
 ) {
     /** Which ledger a job belongs to never changes. */
-    private val ledgerOf = CacheBuilder.newBuilder().maximumSize(20_000).build<String, String>()
+    private val shardOf = CacheBuilder.newBuilder().maximumSize(20_000).build<String, String>()
 
     /** Users wait five seconds for a submission or a cancellation, and what can't be done is answered before that. */
     private val durableMs = minOf(settings.leaseMs * 3 / 10, 4000L)
@@ -121,20 +121,20 @@
         ) {
             return knownOr(ref) { later("gangs are served once all controllers are upgraded") }
         }
-        val ledger = owner.own()
-        if (ledger == null || !stateReachable ||
+        val shard = owner.own()
+        if (shard == null || !stateReachable ||
             !membership.leaseHolds()
         ) {
             return later("no contact with the state service")
         }
-        if (owner.isLoadOverdue(ledger)) return knownOr(ref) { later("the ledger can't be loaded") }
+        if (owner.isLoadOverdue(shard)) return knownOr(ref) { later("the ledger can't be loaded") }
         if (reach.isCutOff && owner.job(ref) == null) return knownOr(ref) { later("no contact with the workers") }
         if (state.waitingWrites > settings.stateWriteRps) return later("too many submissions at once")
         owner.job(ref)?.let {
             // Of a ledger that it has taken over this node can't tell whether it is still its own.
-            return if (it.ledger === ledger) waitFor(it, 200) else knownOr(ref) { later("not stored yet") }
+            return if (it.shard === shard) waitFor(it, 200) else knownOr(ref) { later("not stored yet") }
         }
-        val job = owner.create(spec, ledger)
+        val job = owner.create(spec, shard)
         rounds.placeJob(job, nowMs())
         store.touch(job, true)
         return waitFor(job, 201)
@@ -204,7 +204,7 @@
         if (job.durableState == JobState.NEW || job.endUnderWay || !membership.leaseHolds()) return null
         // This node's lease keeps others from its own ledger only: a ledger that it took over goes back to its host the
         // moment that host starts again, so of its jobs only the state service can tell.
-        if (job.ledger.name != settings.host || !owner.withdrawals.mayConfirm(job)) return null
+        if (job.shard.name != settings.host || !owner.withdrawals.mayConfirm(job)) return null
         return job.answer()
     }
 
@@ -224,7 +224,7 @@
             lookup.read(ref, Urgency.ACCEPTANCE)
         },
     ): Look {
-        val cached = ledgerOf.getIfPresent(ref)
+        val cached = shardOf.getIfPresent(ref)
         if (cached != null) askHolder(cached, Peers.QUERY, ref)?.let { return Look.Known(it) }
         if (!stateReachable) return Look.Unclear
         return when (val found = read()) {
@@ -243,7 +243,7 @@
         ref: String,
         record: JsonObject,
     ): Look {
-        ledgerOf.put(ref, JobRecord.ledgerOf(record))
+        shardOf.put(ref, JobRecord.shardOf(record))
         // Withdrawn, but not all controllers know of it yet: only its owner can tell when they do.
         if (!JobRecord.isWithdrawalConfirmable(record)) return Look.Unclear
         return Look.Known(fromRecord(ref, record))
@@ -275,11 +275,11 @@
     }
 
     private suspend fun askHolder(
-        ledger: String,
+        shard: String,
         what: String,
         ref: String,
     ): JobAnswer? {
-        val host = membership.cluster.holder(ledger)?.host ?: return null
+        val host = membership.cluster.leader(shard)?.host ?: return null
         if (host == settings.host || !membership.cluster.isLive(host) || !peers.reaches(host)) return null
         val a = peers.ask(host, what, ref, askMs) ?: return null
         return JobAnswer(ref, a.status, a.done, a.running).also { owner.rememberFinal(it) }
@@ -290,7 +290,7 @@
         owner.final(ref)?.let { return brief(it) }
         withdrawHere(ref)?.let { return brief(it) }
         if (owner.job(ref) != null) return later("the cancellation is not known everywhere yet")
-        val cached = ledgerOf.getIfPresent(ref)
+        val cached = shardOf.getIfPresent(ref)
         if (cached == null) {
             when (val r = look(ref)) {
                 Look.Missing -> return errorResponse(404, "no such job")
@@ -303,9 +303,9 @@
                     }
             }
         }
-        val ledger = ledgerOf.getIfPresent(ref) ?: return later("the job's owner is not known")
+        val shard = shardOf.getIfPresent(ref) ?: return later("the job's owner is not known")
         withdrawHere(ref)?.let { return brief(it) }
-        return askHolder(ledger, Peers.CANCEL, ref)?.let { brief(it) } ?: later("the job's owner can't be reached")
+        return askHolder(shard, Peers.CANCEL, ref)?.let { brief(it) } ?: later("the job's owner can't be reached")
     }
 
     private fun brief(a: JobAnswer) = HttpResponse(200, a.brief().bytes())
--- a/src/main/kotlin/micatally/fleet/FleetManager.kt
+++ b/src/main/kotlin/micatally/fleet/FleetManager.kt
@@ -116,7 +116,7 @@
 
     private suspend fun acquire(lease: Long) {
         val live = Keys.live(settings.host)
-        val holder =
+        val leader =
             buildJsonObject {
                 put("host", settings.host)
                 put("process", membership.process)
@@ -124,7 +124,7 @@
         val result =
             state.transact(1, Urgency.SUMMARY) {
                 val conditions = listOf(Compare(Keys.FLEET, 0), Compare(live, cluster.modRevision(live)))
-                Transaction(conditions, listOf(Put(Keys.FLEET, holder, lease)))
+                Transaction(conditions, listOf(Put(Keys.FLEET, leader, lease)))
             }
         if (result !is TransactionResult.Applied) {
             delay(settings.liveMs / TRIES_A_LIFE)
--- a/src/main/kotlin/micatally/job/Job.kt
+++ b/src/main/kotlin/micatally/job/Job.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.coroutines.CompletableDeferred
 import micatally.gang.Gang
-import micatally.ledger.Ledger
+import micatally.ledger.JobShard
 import micatally.wire.JobAnswer
 import micatally.wire.JobSpec
 import java.util.BitSet
@@ -14,7 +14,7 @@
 class Job(
     val ref: String,
     val spec: JobSpec?,
-    val ledger: Ledger,
+    val shard: JobShard,
     val taskCount: Int,
     val submittedAt: Long,
     startState: JobState,
--- a/src/main/kotlin/micatally/job/JobRecord.kt
+++ b/src/main/kotlin/micatally/job/JobRecord.kt
@@ -6,7 +6,7 @@
 import kotlinx.serialization.json.buildJsonArray
 import kotlinx.serialization.json.buildJsonObject
 import kotlinx.serialization.json.put
-import micatally.ledger.Ledger
+import micatally.ledger.JobShard
 import micatally.wire.JobSpec
 import micatally.wire.MalformedMessage
 import micatally.wire.asLong
@@ -39,7 +39,7 @@
 
     fun encode(job: Job): JsonObject =
         buildJsonObject {
-            put("l", job.ledger.name)
+            put("l", job.shard.name)
             put(
                 "e",
                 when (job.state) {
@@ -50,7 +50,7 @@
             )
             put("k", job.taskCount)
             // Under which hold on the ledger it was written: the record of a new job that is found there is this node's own only then.
-            put("c", job.ledger.hold)
+            put("c", job.shard.term)
             val final = job.state == JobState.DONE || job.state == JobState.WITHDRAWN
             if (job.spec != null && !(final && job.attempts.isEmpty())) put("s", job.spec.source)
             if (job.doneCount > 0) put("d", ranges(job.done))
@@ -125,12 +125,12 @@
         val number: Long,
     )
 
-    fun ledgerOf(o: JsonObject) = o.text("l")
+    fun shardOf(o: JsonObject) = o.text("l")
 
     /** Also of a record that can't be read otherwise; null if it names none. */
-    fun ledgerOrNull(o: JsonObject) = (o["l"] as? JsonPrimitive)?.content
+    fun shardOrNull(o: JsonObject) = (o["l"] as? JsonPrimitive)?.content
 
-    fun holdOf(o: JsonObject) = (o["c"])?.asText() ?: ""
+    fun termOf(o: JsonObject) = (o["c"])?.asText() ?: ""
 
     /** @throws MalformedMessage if the record is of a form that this program does not know */
     fun state(o: JsonObject) =
@@ -169,12 +169,12 @@
     fun decode(
         ref: String,
         o: JsonObject,
-        ledger: Ledger,
+        shard: JobShard,
         modRevision: Long,
     ): Job {
         val spec = o.child("s")?.let { JobSpec.parse(it) }
         val state = state(o)
-        val job = Job(ref, spec, ledger, o.long("k").toInt(), o.longOrNull("t") ?: 0L, state)
+        val job = Job(ref, spec, shard, o.long("k").toInt(), o.longOrNull("t") ?: 0L, state)
         val d = o.listOrNull("d") ?: emptyList()
         for (i in d.indices step 2) {
             for (taskIndex in d[i].asLong().toInt() until d[i + 1].asLong().toInt()) {
--- a/src/main/kotlin/micatally/job/JobStore.kt
+++ b/src/main/kotlin/micatally/job/JobStore.kt
@@ -5,7 +5,7 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import micatally.ledger.Keys
-import micatally.ledger.Ledger
+import micatally.ledger.JobShard
 import micatally.recovery.RecordLookup
 import micatally.state.Compare
 import micatally.state.ReadResult
@@ -29,7 +29,7 @@
     private val log = LoggerFactory.getLogger("micatally.job")
     private val lookup = RecordLookup(state, mayBeArchived)
     var onDurable: (Job, List<Attempt>) -> Unit = { _, _ -> }
-    var onLedgerLost: (Ledger) -> Unit = {}
+    var onShardLost: (JobShard) -> Unit = {}
 
     /** Attempts that are decided but not stored find no room in their job's record. */
     var onRecordFull: (Job, List<Attempt>) -> Unit = { _, _ -> }
@@ -88,7 +88,7 @@
     fun drop(job: Job) {
         job.become(JobState.DROPPED)
         settle(job, false)
-        if (job.ledger.mine) onDropped(job)
+        if (job.shard.mine) onDropped(job)
     }
 
     private fun write(job: Job) {
@@ -103,7 +103,7 @@
     }
 
     private suspend fun writeLoop(job: Job) {
-        while (job.state != JobState.DROPPED && job.ledger.mine && job.durableVersion < job.version) {
+        while (job.state != JobState.DROPPED && job.shard.mine && job.durableVersion < job.version) {
             if (!writeOnce(job)) return
         }
     }
@@ -124,7 +124,7 @@
         var snapshot: Snapshot? = null
         val result =
             state.transact(expectedChanges(job), urgency) {
-                snapshot = if (job.state == JobState.DROPPED || !job.ledger.mine) null else snapshot(job)
+                snapshot = if (job.state == JobState.DROPPED || !job.shard.mine) null else snapshot(job)
                 snapshot?.let { Transaction(conditions(job), it.write.changes) }
             }
         return when (result) {
@@ -133,8 +133,8 @@
                 true
             }
             is TransactionResult.Failed ->
-                if (Keys.ledger(job.ledger.name) in result.keys) {
-                    onLedgerLost(job.ledger)
+                if (Keys.shard(job.shard.name) in result.keys) {
+                    onShardLost(job.shard)
                     false
                 } else {
                     reread(job)
@@ -158,7 +158,7 @@
     /** A new job is nowhere: the record of one that is over may have been archived. */
     private fun conditions(job: Job) =
         listOfNotNull(
-            Compare(Keys.ledger(job.ledger.name), job.ledger.holder.modRevision),
+            Compare(Keys.shard(job.shard.name), job.shard.leader.modRevision),
             Compare(Keys.job(job.ref), job.modRevision),
             if (job.modRevision == 0L && mayBeArchived()) Compare(Keys.final(job.ref), 0L) else null,
         )
@@ -218,7 +218,7 @@
     /** The record is not the one last seen: an earlier write of ours was carried out after all, or, for a new job,
      * another node has accepted it. */
     private suspend fun reread(job: Job): Boolean {
-        while (job.ledger.mine && job.state != JobState.DROPPED) {
+        while (job.shard.mine && job.state != JobState.DROPPED) {
             when (val read = lookup.read(job.ref, Urgency.INTENT)) {
                 is ReadResult.Unavailable -> delay(pauseMs)
                 is ReadResult.Missing -> {
@@ -232,8 +232,8 @@
                         drop(job)
                         return false
                     }
-                    if (JobRecord.ledgerOf(o) != job.ledger.name ||
-                        (job.modRevision == 0L && JobRecord.holdOf(o) != job.ledger.hold)
+                    if (JobRecord.shardOf(o) != job.shard.name ||
+                        (job.modRevision == 0L && JobRecord.termOf(o) != job.shard.term)
                     ) {
                         log.info("job {} was accepted elsewhere", job.ref)
                         drop(job)
--- a/src/main/kotlin/micatally/job/Owner.kt
+++ b/src/main/kotlin/micatally/job/Owner.kt
@@ -7,10 +7,10 @@
 import micatally.gang.GangOwner
 import micatally.gang.GangSupervisor
 import micatally.gang.GangTiming
-import micatally.ledger.Holder
+import micatally.ledger.ShardLeader
 import micatally.ledger.Keys
-import micatally.ledger.Ledger
-import micatally.ledger.LedgerState
+import micatally.ledger.JobShard
+import micatally.ledger.ShardState
 import micatally.ledger.Membership
 import micatally.quota.Quota
 import micatally.settings.Settings
@@ -40,8 +40,8 @@
 ) : OrderBook,
     GangOwner {
     private val log = LoggerFactory.getLogger("micatally.job")
-    private val loader = LedgerLoader(settings, LedgerRecords(state), machines, store, this, nowMs)
-    val ledgers = HashMap<String, Ledger>()
+    private val loader = ShardLoader(settings, ShardRecords(state), machines, store, this, nowMs)
+    val shards = HashMap<String, JobShard>()
     lateinit var orders: Orders
     lateinit var quota: Quota
     var wake: () -> Unit = {}
@@ -64,11 +64,11 @@
         }
     }
 
-    fun own(): Ledger? = ledgers[settings.host]?.takeIf { it.mine }
+    fun own(): JobShard? = shards[settings.host]?.takeIf { it.mine }
 
     fun job(ref: String): Job? {
         var unstored: Job? = null
-        for (l in ledgers.values) {
+        for (l in shards.values) {
             if (l.mine) {
                 l.jobs[ref]?.let {
                     if (it.durableState !=
@@ -85,16 +85,16 @@
     }
 
     fun openJobs(): List<Job> =
-        ledgers.values
+        shards.values
             .filter {
-                it.state == LedgerState.ACTIVE
+                it.state == ShardState.ACTIVE
             }.flatMap { l -> l.jobs.values.filter { it.wantsTasks } }
 
     /** A job that is not stored yet may turn out to be another owner's, whose tasks are then no strays: it was submitted there
      * before, and repeated here. */
     override fun mine(ref: String) =
-        ledgers.values.any { l ->
-            l.state == LedgerState.ACTIVE &&
+        shards.values.any { l ->
+            l.state == ShardState.ACTIVE &&
                 l.jobs[ref]?.let { it.durableState != JobState.NEW } == true
         }
 
@@ -104,7 +104,7 @@
     ) = job(ref)?.attempts?.get(taskIndex)
 
     /** Whether all jobs of this node's ledgers are known here. */
-    val settled get() = own() != null && ledgers.values.all { it.state == LedgerState.ACTIVE }
+    val settled get() = own() != null && shards.values.all { it.state == ShardState.ACTIVE }
 
     /** Jobs that were cancelled, until their tasks are gone. */
     val withdrawals = Withdrawals(scope, settings, membership.cluster, store, nowMs)
@@ -113,35 +113,35 @@
 
     fun acquired(
         name: String,
-        holder: Holder,
+        leader: ShardLeader,
     ) {
-        ledgers[name]?.let { if (it.mine) lose(it) }
-        val l = Ledger(name, holder, nowMs())
-        ledgers[name] = l
+        shards[name]?.let { if (it.mine) lose(it) }
+        val l = JobShard(name, leader, nowMs())
+        shards[name] = l
         scope.launch { loader.load(l) }
     }
 
     /** The shared keys have changed: drop what is another node's now. */
-    fun checkLedgers() {
-        for (l in ledgers.values.toList()) {
+    fun checkShards() {
+        for (l in shards.values.toList()) {
             if (!l.mine) continue
-            val h = membership.cluster.holder(l.name)
-            if (h == null || h.modRevision != l.holder.modRevision) lose(l)
+            val h = membership.cluster.leader(l.name)
+            if (h == null || h.modRevision != l.leader.modRevision) lose(l)
         }
-        for (name in membership.cluster.ledgers()) {
-            val h = membership.cluster.holder(name) ?: continue
+        for (name in membership.cluster.shards()) {
+            val h = membership.cluster.leader(name) ?: continue
             if (h.host == settings.host && h.process == membership.process &&
-                ledgers[name]?.mine != true
+                shards[name]?.mine != true
             ) {
                 acquired(name, h)
             }
         }
     }
 
-    fun lose(l: Ledger) {
+    fun lose(l: JobShard) {
         if (!l.mine) return
         log.info("ledger {} lost with {} jobs", l.name, l.jobs.size)
-        l.become(LedgerState.LOST)
+        l.become(ShardState.LOST)
         for (j in l.jobs.values) {
             for (a in j.attempts.values) {
                 a.machine.detach(a, nowMs())
@@ -151,12 +151,12 @@
             store.drop(j)
         }
         l.jobs.clear()
-        ledgers.remove(l.name, l)
+        shards.remove(l.name, l)
         quota.forget(l.name)
     }
 
     /** Whether the ledger's jobs should be known by now and are not: a new job of it might never be started. */
-    fun isLoadOverdue(l: Ledger) = loader.isOverdue(l)
+    fun isLoadOverdue(l: JobShard) = loader.isOverdue(l)
 
     /** An attempt counts from now on: on its machine, and against the limit of its team. */
     internal fun attach(a: Attempt) {
@@ -197,7 +197,7 @@
             if (withdrawals.mayConfirm(job)) rememberFinal(job.answer())
             if (job.attempts.isEmpty() && job.durableVersion == job.version) {
                 // Kept in memory for a while so that its ended entries are still cleared from the machines.
-                val l = job.ledger
+                val l = job.shard
                 scope.launch {
                     delay(settings.leaseMs * 2)
                     if (job.attempts.isEmpty()) l.jobs.remove(job.ref, job)
@@ -245,7 +245,7 @@
         attempt.machine.detach(attempt, now)
         job.attempts.remove(attempt.taskIndex, attempt)
         // What a ledger used is forgotten with it; its next holder has counted anew.
-        if (job.ledger.mine) quota.release(job)
+        if (job.shard.mine) quota.release(job)
         log.info("task {} gone: {}", attempt, end)
         if (job.state == JobState.DROPPED) return
         if (end.proof == GoneProof.COMPLETED) {
@@ -431,10 +431,10 @@
     /** Creates a job of this node's own ledger; the caller waits for the store. */
     fun create(
         spec: JobSpec,
-        ledger: Ledger,
+        shard: JobShard,
     ): Job {
-        val job = Job(spec.ref, spec, ledger, spec.taskCount, wallMs(), JobState.NEW)
-        ledger.jobs[spec.ref] = job
+        val job = Job(spec.ref, spec, shard, spec.taskCount, wallMs(), JobState.NEW)
+        shard.jobs[spec.ref] = job
         if (spec.isService) arrivals.add(spec)
         log.info(
             "job {} of {} lane {}: {} tasks of {} cores {} cards",
@@ -451,7 +451,7 @@
     /** The job is not this node's after all. None of its tasks was ever sent: that takes a record that is durable. */
     fun forget(job: Job) {
         for (a in job.attempts.values.toList()) gone(a, AttemptEnd(GoneProof.NEVER_SENT, "job not accepted"))
-        job.ledger.jobs.remove(job.ref, job)
+        job.shard.jobs.remove(job.ref, job)
     }
 
     fun withdraw(job: Job) {
@@ -477,8 +477,8 @@
     fun sweep() {
         val now = nowMs()
         for (j in withdrawals.unfinished) {
-            if (j.ledger.state ==
-                LedgerState.ACTIVE
+            if (j.shard.state ==
+                ShardState.ACTIVE
             ) {
                 for (a in j.attempts.values) a.stop(StopReason.WITHDRAWN, now)
             }
@@ -489,7 +489,7 @@
             if (m.attempts.any {
                     it.stop != null || it.state == AttemptState.RECORDED ||
                         it.state == AttemptState.ORDERED ||
-                        m.confirmedToken < it.job.ledger.holder.epoch
+                        m.confirmedToken < it.job.shard.leader.epoch
                 } ||
                 m.mustAsk ||
                 m.tasks.any { it.ended && mine(it.ref) }
--- a/src/main/kotlin/micatally/job/LedgerLoader.kt
+++ b/src/main/kotlin/micatally/job/ShardLoader.kt
@@ -2,17 +2,17 @@
 
 import kotlinx.coroutines.delay
 import kotlinx.serialization.json.JsonObject
-import micatally.ledger.Ledger
-import micatally.ledger.LedgerState
+import micatally.ledger.JobShard
+import micatally.ledger.ShardState
 import micatally.settings.Settings
 import micatally.wire.WithdrawnTask
 import micatally.worker.Machines
 import org.slf4j.LoggerFactory
 
 /** Brings the jobs of a ledger that this node has just acquired from the state service into memory. */
-class LedgerLoader(
+class ShardLoader(
     private val settings: Settings,
-    private val records: LedgerRecords,
+    private val records: ShardRecords,
     private val machines: Machines,
     private val store: JobStore,
     private val owner: Owner,
@@ -21,12 +21,12 @@
     private val log = LoggerFactory.getLogger("micatally.job")
 
     /** Whether the ledger's jobs should be known by now and are not: a new job of it might never be started. */
-    fun isOverdue(l: Ledger) =
-        l.state == LedgerState.LOADING &&
-            (l.isUnreadable || nowMs() - l.acquiredAtMs > settings.leaseMs / LOADS_A_LEASE)
+    fun isOverdue(l: JobShard) =
+        l.state == ShardState.LOADING &&
+            (l.isUnreadable || nowMs() - l.leaderSinceMs > settings.leaseMs / LOADS_A_LEASE)
 
     /** Tries until the ledger is loaded or lost. */
-    suspend fun load(l: Ledger) {
+    suspend fun load(l: JobShard) {
         while (l.mine) {
             if (tryLoad(l)) return
             delay(settings.heartbeatIntervalMs / 8)
@@ -34,7 +34,7 @@
     }
 
     /** False if the records can't be had, or can't be read: then nothing of the ledger moves, and the log names the record. */
-    private suspend fun tryLoad(l: Ledger): Boolean {
+    private suspend fun tryLoad(l: JobShard): Boolean {
         try {
             val records = records.of(l) { ref, record -> settled(l, ref, record) } ?: return false
             if (!l.mine) return true
@@ -44,17 +44,17 @@
             l.isUnreadable = true
             return false
         }
-        l.become(LedgerState.ACTIVE)
-        val tookMs = nowMs() - l.acquiredAtMs
-        log.info("ledger {} loaded at epoch {}: {} jobs in {} ms", l.name, l.holder.epoch, l.jobs.size, tookMs)
+        l.become(ShardState.ACTIVE)
+        val tookMs = nowMs() - l.leaderSinceMs
+        log.info("ledger {} loaded at epoch {}: {} jobs in {} ms", l.name, l.leader.epoch, l.jobs.size, tookMs)
         reconcileMachines()
         owner.wake()
         return true
     }
 
     private fun adopt(
-        l: Ledger,
-        record: LedgerRecord,
+        l: JobShard,
+        record: ShardRecord,
     ) {
         val ref = record.ref
         // Whoever's job it is: a node that has just started must stop its tasks where it hears them.
@@ -65,7 +65,7 @@
                 },
             )
         }
-        if (JobRecord.ledgerOf(record.stored) != l.name) return
+        if (JobRecord.shardOf(record.stored) != l.name) return
         if (isKnown(l, ref, record.stored)) return
         val plain = record.plain ?: return
         val job = JobRecord.decode(ref, plain, l, record.modRevision)
@@ -85,19 +85,19 @@
     /** Whether the job is here already. One that was accepted here while the list was on its way is; one whose user has just
      * repeated here what was accepted before is given up: then the record counts, or nobody would own the job. */
     private fun isKnown(
-        l: Ledger,
+        l: JobShard,
         ref: String,
         record: JsonObject,
     ): Boolean {
         val present = l.jobs[ref] ?: return false
-        if (present.durableState != JobState.NEW || JobRecord.holdOf(record) == l.hold) return true
+        if (present.durableState != JobState.NEW || JobRecord.termOf(record) == l.term) return true
         store.drop(present)
         return false
     }
 
     /** A job of the ledger that is over, with nothing left to do. */
     private fun settled(
-        l: Ledger,
+        l: JobShard,
         ref: String,
         record: JsonObject,
     ) {
--- a/src/main/kotlin/micatally/job/LedgerRecords.kt
+++ b/src/main/kotlin/micatally/job/ShardRecords.kt
@@ -3,7 +3,7 @@
 import kotlinx.coroutines.CancellationException
 import kotlinx.serialization.json.JsonObject
 import micatally.ledger.Keys
-import micatally.ledger.Ledger
+import micatally.ledger.JobShard
 import micatally.state.KeyValue
 import micatally.state.StateStoreClient
 import micatally.state.Urgency
@@ -16,7 +16,7 @@
  *
  * @property plain its unpacked form; null for open and done jobs of other ledgers, which nobody asks for here
  */
-class LedgerRecord(
+class ShardRecord(
     val ref: String,
     val stored: JsonObject,
     val plain: JsonObject?,
@@ -50,7 +50,7 @@
     }
 
 /** Reads the records of jobs for a ledger that has just been acquired. */
-class LedgerRecords(
+class ShardRecords(
     private val state: StateStoreClient,
 ) {
     private val log = LoggerFactory.getLogger("micatally.job")
@@ -64,38 +64,38 @@
      * fit in memory: the ledger's are shown to [onSettled] as they come, and not kept.
      */
     suspend fun of(
-        ledger: Ledger,
+        shard: JobShard,
         onSettled: (ref: String, record: JsonObject) -> Unit,
-    ): List<LedgerRecord>? {
+    ): List<ShardRecord>? {
         val open = ArrayList<KeyValue>()
         state.eachPage(Keys.JOB, Urgency.LEASE) { page ->
-            for (item in page) visit(item, ledger, open, onSettled)
+            for (item in page) visit(item, shard, open, onSettled)
         } ?: return null
-        return unpacked(open, ledger)
+        return unpacked(open, shard)
     }
 
     /** What can't be read of another ledger is its holder's matter: the tasks of its withdrawn jobs stand in kill lists too. */
     private fun visit(
         item: KeyValue,
-        ledger: Ledger,
+        shard: JobShard,
         open: MutableList<KeyValue>,
         onSettled: (ref: String, record: JsonObject) -> Unit,
     ) {
         try {
-            readable(refOf(item)) { sort(item, ledger, open, onSettled) }
+            readable(refOf(item)) { sort(item, shard, open, onSettled) }
         } catch (e: UnreadableRecord) {
-            if (JobRecord.ledgerOrNull(item.value) == ledger.name) throw e
+            if (JobRecord.shardOrNull(item.value) == shard.name) throw e
             if (unreadable.add(refOf(item))) log.error("{}", e.message)
         }
     }
 
     private fun sort(
         item: KeyValue,
-        ledger: Ledger,
+        shard: JobShard,
         open: MutableList<KeyValue>,
         onSettled: (ref: String, record: JsonObject) -> Unit,
     ) {
-        val isOwn = JobRecord.ledgerOf(item.value) == ledger.name
+        val isOwn = JobRecord.shardOf(item.value) == shard.name
         if (!JobRecord.isSettled(item.value)) {
             if (isOwn || JobRecord.state(item.value) == JobState.WITHDRAWN) open.add(item)
         } else if (isOwn) {
@@ -111,20 +111,20 @@
      */
     private suspend fun unpacked(
         items: List<KeyValue>,
-        ledger: Ledger,
-    ): List<LedgerRecord>? {
+        shard: JobShard,
+    ): List<ShardRecord>? {
         val isSplit = items.any { RecordPacking.overflowCount(it.value) > 0 }
         val parts = if (isSplit) state.list(Keys.JOB_PART, Urgency.LEASE) ?: return null else null
         val partOf = parts?.items?.associateBy { it.key } ?: emptyMap()
         return items.map { item ->
             val ref = refOf(item)
-            val isOwn = JobRecord.ledgerOf(item.value) == ledger.name
+            val isOwn = JobRecord.shardOf(item.value) == shard.name
             val overflow = (0 until RecordPacking.overflowCount(item.value)).map { partOf[Keys.jobPart(ref, it)] }
             val isWhole = overflow.all { it != null && it.modRevision == item.modRevision }
-            if (!isWhole && isOwn && ref !in ledger.jobs) return null
+            if (!isWhole && isOwn && ref !in shard.jobs) return null
             val plain =
                 if (isWhole) readable(ref) { RecordPacking.unpack(item.value, overflow.map { it!!.value }) } else null
-            LedgerRecord(ref, item.value, plain, item.modRevision)
+            ShardRecord(ref, item.value, plain, item.modRevision)
         }
     }
 }
--- a/src/main/kotlin/micatally/job/Withdrawals.kt
+++ b/src/main/kotlin/micatally/job/Withdrawals.kt
@@ -4,7 +4,7 @@
 import kotlinx.coroutines.launch
 import micatally.ledger.Cluster
 import micatally.ledger.Keys
-import micatally.ledger.LedgerState
+import micatally.ledger.ShardState
 import micatally.settings.Settings
 import micatally.wire.WithdrawnTask
 import micatally.wire.asLong
@@ -93,7 +93,7 @@
         job: Job,
         now: Long,
     ): Boolean {
-        val isOwn = job.ledger.state == LedgerState.ACTIVE && job.durableState == JobState.WITHDRAWN
+        val isOwn = job.shard.state == ShardState.ACTIVE && job.durableState == JobState.WITHDRAWN
         val since = now - settings.leaseMs / OVERDUE_SHARE
         return isOwn && !job.confirmableRecorded &&
             job.attempts.values.any { it.stop == StopReason.WITHDRAWN && it.stopSinceMs < since }
--- a/src/main/kotlin/micatally/ledger/Cluster.kt
+++ b/src/main/kotlin/micatally/ledger/Cluster.kt
@@ -16,7 +16,7 @@
     /** The version of the stored forms that may be written, and the version that each host has come up with. */
     const val FORMAT = "c/format"
     const val VERSION = "c/version/"
-    const val LEDGER = "c/ledger/"
+    const val SHARD = "c/ledger/"
     const val LIVE = "c/live/"
     const val TEAM = "c/team/"
 
@@ -68,7 +68,7 @@
         index: Int,
     ) = "$KILL$ref/$index"
 
-    fun ledger(name: String) = LEDGER + name
+    fun shard(name: String) = SHARD + name
 
     fun live(host: String) = LIVE + host
 
@@ -79,7 +79,7 @@
     fun version(host: String) = VERSION + host
 }
 
-class Holder(
+class ShardLeader(
     val host: String,
     val process: String,
     val epoch: Long,
@@ -102,9 +102,9 @@
 
     fun has(key: String) = items.containsKey(key)
 
-    fun holder(ledger: String): Holder? {
-        val i = items[Keys.ledger(ledger)] ?: return null
-        return Holder(
+    fun leader(shard: String): ShardLeader? {
+        val i = items[Keys.shard(shard)] ?: return null
+        return ShardLeader(
             i.value.textOrNull("host") ?: "",
             i.value.textOrNull("process") ?: "",
             i.value.longOrNull("epoch") ?: 0,
@@ -112,7 +112,7 @@
         )
     }
 
-    fun ledgers(): List<String> = under(Keys.LEDGER).map { it.key.removePrefix(Keys.LEDGER) }
+    fun shards(): List<String> = under(Keys.SHARD).map { it.key.removePrefix(Keys.SHARD) }
 
     fun isLive(host: String) = has(Keys.live(host))
 
--- a/src/main/kotlin/micatally/ledger/Ledger.kt
+++ b/src/main/kotlin/micatally/ledger/JobShard.kt
@@ -3,17 +3,17 @@
 import micatally.job.Job
 
 /** ACTIVE: its jobs are known and may be moved. LOST: another node holds it; nothing may be written or sent for it. */
-enum class LedgerState { LOADING, ACTIVE, LOST }
+enum class ShardState { LOADING, ACTIVE, LOST }
 
 /** A ledger in this node's hands: the jobs accepted by one controller.
  *
  * @property acquiredAtMs when this hold on it began, on this node's clock */
-class Ledger(
+class JobShard(
     val name: String,
-    val holder: Holder,
-    val acquiredAtMs: Long = 0,
+    val leader: ShardLeader,
+    val leaderSinceMs: Long = 0,
 ) {
-    var state = LedgerState.LOADING
+    var state = ShardState.LOADING
         private set
     val jobs = HashMap<String, Job>()
 
@@ -21,13 +21,13 @@
     var isUnreadable = false
 
     /** The one place where a ledger changes its state. */
-    fun become(next: LedgerState) {
+    fun become(next: ShardState) {
         check(next.ordinal > state.ordinal) { "ledger $name may not go from $state to $next" }
         state = next
     }
 
     /** Names this hold on the ledger: the process, and the epoch at which it acquired it. A process may lose it and take it back. */
-    val hold = "${holder.process}:${holder.epoch}"
+    val term = "${leader.process}:${leader.epoch}"
 
-    val mine get() = state != LedgerState.LOST
+    val mine get() = state != ShardState.LOST
 }
--- a/src/main/kotlin/micatally/ledger/Membership.kt
+++ b/src/main/kotlin/micatally/ledger/Membership.kt
@@ -102,8 +102,8 @@
     /** True while no other node can have taken this node's ledgers: its lease at the state service cannot have ended. */
     fun leaseHolds(): Boolean = lease != null && nowMs() < leaseProvenAt + settings.liveMs * 97 / 100
 
-    fun holds(ledger: String): Boolean =
-        cluster.holder(ledger)?.let { it.host == settings.host && it.process == process } == true
+    fun holds(shard: String): Boolean =
+        cluster.leader(shard)?.let { it.host == settings.host && it.process == process } == true
 
     fun start() {
         scope.launch { leaseLoop() }
@@ -273,8 +273,8 @@
             } else {
                 ownLostAt = null
             }
-            for (l in cluster.ledgers()) {
-                val h = cluster.holder(l) ?: continue
+            for (l in cluster.shards()) {
+                val h = cluster.leader(l) ?: continue
                 if (!isOrphan(l, h)) {
                     deadSince.remove(l)
                     continue
@@ -293,11 +293,11 @@
     /** Whether the holder has ended: its host has no live key, or another process of it has, which does not know that the
      * former one had taken this ledger over. Its own ledger a new process acquires by itself. */
     private fun isOrphan(
-        ledger: String,
-        h: Holder,
+        shard: String,
+        h: ShardLeader,
     ): Boolean {
         val process = cluster.value(Keys.live(h.host))?.textOrNull("process") ?: return true
-        return process != h.process && ledger != h.host
+        return process != h.process && shard != h.host
     }
 
     /**
@@ -308,26 +308,26 @@
      * of the write: the ledger may have passed to a holder that lives
      */
     suspend fun acquire(
-        ledger: String,
+        shard: String,
         why: String,
-        former: Holder? = null,
+        former: ShardLeader? = null,
     ): Boolean {
         var epoch = 0L
         val r =
             state.transact(2, Urgency.LEASE) {
-                val ledgerModRevision = cluster.modRevision(Keys.ledger(ledger))
-                if (former != null && (former.modRevision != ledgerModRevision || !isOrphan(ledger, former))) return@transact null
+                val shardModRevision = cluster.modRevision(Keys.shard(shard))
+                if (former != null && (former.modRevision != shardModRevision || !isOrphan(shard, former))) return@transact null
                 epoch = cluster.epoch + 1
                 Transaction(
                     listOfNotNull(
                         Compare(Keys.EPOCH, cluster.modRevision(Keys.EPOCH)),
-                        Compare(Keys.ledger(ledger), ledgerModRevision),
+                        Compare(Keys.shard(shard), shardModRevision),
                         former?.let { Compare(Keys.live(it.host), cluster.modRevision(Keys.live(it.host))) },
                     ),
                     listOf(
                         Put(Keys.EPOCH, buildJsonObject { put("n", epoch) }),
                         Put(
-                            Keys.ledger(ledger),
+                            Keys.shard(shard),
                             buildJsonObject {
                                 put("host", settings.host)
                                 put("process", process)
@@ -338,14 +338,14 @@
                 )
             }
         if (r !is TransactionResult.Applied) {
-            log.info("ledger {} not acquired ({}): {}", ledger, why, r::class.simpleName)
+            log.info("ledger {} not acquired ({}): {}", shard, why, r::class.simpleName)
             // The view that the conditions came from was too old, or nobody knows the outcome: look again.
             refresh()
-            return holds(ledger)
+            return holds(shard)
         }
-        log.info("ledger {} acquired at epoch {}: {}", ledger, epoch, why)
+        log.info("ledger {} acquired at epoch {}: {}", shard, epoch, why)
         if (cluster.revision < r.revision) refresh()
-        return holds(ledger)
+        return holds(shard)
     }
 
     /** Raises the epoch alone: what was sent with a lower token can no longer be carried out where the new one is known. */
--- a/src/main/kotlin/micatally/node/Controller.kt
+++ b/src/main/kotlin/micatally/node/Controller.kt
@@ -25,14 +25,14 @@
 import micatally.job.StopReason
 import micatally.ledger.Cluster
 import micatally.ledger.Keys
-import micatally.ledger.LedgerState
+import micatally.ledger.ShardState
 import micatally.ledger.Membership
 import micatally.peer.Peers
 import micatally.placement.Rounds
 import micatally.queue.Queues
 import micatally.quota.Quota
 import micatally.recovery.ArchiveMode
-import micatally.recovery.LoadedLedgers
+import micatally.recovery.LoadedShards
 import micatally.recovery.RecordArchive
 import micatally.recovery.RecordLookup
 import micatally.settings.Operator
@@ -102,7 +102,7 @@
         ConfigurationService(scope, settings, state, membership, upgrade, http, nowMs, wallMs)
     private val forms = RecordForms(settings.stateLimits) { upgrade.isUniform }
     private val archive: RecordArchive =
-        RecordArchive(scope, settings, state, membership, operator.archiveMode, loadedLedgers())
+        RecordArchive(scope, settings, state, membership, operator.archiveMode, loadedShards())
     private val lookup = RecordLookup(state) { archive.mayBeUsed }
     private val store =
         JobStore(scope, state, forms, settings.heartbeatIntervalMs / 4, settings.leaseMs / 10, { archive.mayBeUsed }, nowMs)
@@ -110,7 +110,7 @@
     private val orders = Orders(scope, http, settings, membership, machines, owner, owner.withdrawals.stopList, nowMs)
     private val quota =
         Quota(scope, state, membership.cluster, configuration.teams, {
-            owner.ledgers.values.filter { it.mine }
+            owner.shards.values.filter { it.mine }
         }, settings.controllers) { rounds.wake() }
     val rounds: Rounds =
         Rounds(
@@ -163,9 +163,9 @@
         )
     private val workers = WorkerApi(settings, membership, machines, peers, owner.withdrawals.stopList, nowMs)
 
-    private fun loadedLedgers() =
-        object : LoadedLedgers {
-            override fun loaded(name: String) = owner.ledgers[name]?.takeIf { it.state == LedgerState.ACTIVE }
+    private fun loadedShards() =
+        object : LoadedShards {
+            override fun loaded(name: String) = owner.shards[name]?.takeIf { it.state == ShardState.ACTIVE }
         }
 
     private fun fleetDemand() =
@@ -193,7 +193,7 @@
         store.onDropped = { owner.forget(it) }
         store.onRecordFull = { job, attempts -> owner.giveUp(job, attempts) }
         owner.withdrawals.askPeers = { peers.spread(it) }
-        store.onLedgerLost = { l ->
+        store.onShardLost = { l ->
             owner.lose(l)
             scope.launch { membership.refresh() }
         }
@@ -243,7 +243,7 @@
     private fun sharedChanged(keys: Set<String>) {
         upgrade.sharedChanged()
         configuration.sharedChanged()
-        owner.checkLedgers()
+        owner.checkShards()
         for (k in keys) {
             if (k.startsWith(Keys.GONE)) {
                 val name = k.removePrefix(Keys.GONE)
--- a/src/main/kotlin/micatally/peer/PeerSummaries.kt
+++ b/src/main/kotlin/micatally/peer/PeerSummaries.kt
@@ -70,9 +70,9 @@
         val current =
             membership.cluster.value(Keys.live(s.host))?.textOrNull("process")
                 ?: membership.cluster
-                    .ledgers()
+                    .shards()
                     .mapNotNull {
-                        membership.cluster.holder(
+                        membership.cluster.leader(
                             it,
                         )
                     }.find { it.host == s.host }
@@ -138,7 +138,7 @@
      * ledgers over has to load them before it can say what it holds. */
     fun sharedChanged() {
         if (theirs.isEmpty()) return
-        val holders = membership.cluster.ledgers().mapNotNullTo(HashSet()) { membership.cluster.holder(it)?.host }
+        val holders = membership.cluster.shards().mapNotNullTo(HashSet()) { membership.cluster.leader(it)?.host }
         for (host in theirs.keys) {
             if (host in holders) {
                 orphanedAt.remove(host)
--- a/src/main/kotlin/micatally/quota/AllotmentAudit.kt
+++ b/src/main/kotlin/micatally/quota/AllotmentAudit.kt
@@ -11,7 +11,7 @@
  */
 class AllotmentChange(
     val team: String,
-    val ledger: String,
+    val shard: String,
     val decidedOn: Long,
     val revision: Long,
     val before: Share,
@@ -31,7 +31,7 @@
         log.info(
             "team {} ledger {} allotment {} -> {} use {} decided on {} written at {}",
             change.team,
-            change.ledger,
+            change.shard,
             change.before,
             change.after,
             change.use,
@@ -42,7 +42,7 @@
 
     fun overused(
         team: String,
-        ledger: String,
+        shard: String,
         modRevision: Long,
         allotted: Share,
         use: Share,
@@ -51,7 +51,7 @@
         log.error(
             "team {} ledger {} uses {} above its allotment {} of mark {}",
             team,
-            ledger,
+            shard,
             use,
             allotted,
             modRevision,
--- a/src/main/kotlin/micatally/quota/AllotmentRule.kt
+++ b/src/main/kotlin/micatally/quota/AllotmentRule.kt
@@ -22,7 +22,7 @@
  */
 class AllotmentView(
     val team: Team,
-    val ledger: String,
+    val shard: String,
     val stored: TeamAllotments,
     val use: Share,
     val wasShort: Boolean,
@@ -64,7 +64,7 @@
         view: AllotmentView,
         decision: AllotmentDecision,
     ): Boolean {
-        val stored = view.stored.of(view.ledger)
+        val stored = view.stored.of(view.shard)
         return decision.row.share.exceeds(stored.share) || decision.lowers || decision.row.isShort != stored.isShort
     }
 
@@ -73,12 +73,12 @@
         wish: AllotmentWish.MoreRoom,
     ): AllotmentDecision {
         val team = view.team
-        val stored = view.stored.of(view.ledger).share
+        val stored = view.stored.of(view.shard).share
         // Where another owner waits for the limit, nothing is taken that is not needed now.
-        val isContested = view.stored.isAnotherShort(view.ledger)
+        val isContested = view.stored.isAnotherShort(view.shard)
         val slack = if (isContested) 0.0 else slackOfOne
         val tasks = if (isContested) 1 else wish.tasks.coerceIn(1, TASKS_AT_ONCE)
-        val free = team.limit - view.stored.totalOfOthers(view.ledger)
+        val free = team.limit - view.stored.totalOfOthers(view.shard)
         val wanted = (view.use + wish.task * tasks + team.limit * slack).atMost(free)
         val raised = team.limitedPart(wanted).atLeast(stored)
         val isEnough = team.covers(raised, view.use + wish.task)
@@ -89,8 +89,8 @@
 
     private fun handBack(view: AllotmentView): AllotmentDecision {
         val team = view.team
-        val stored = view.stored.of(view.ledger).share
-        val isWanted = view.stored.isAnotherShort(view.ledger) || view.stored.isOver(team)
+        val stored = view.stored.of(view.shard).share
+        val isWanted = view.stored.isAnotherShort(view.shard) || view.stored.isOver(team)
         val slack = team.limit * (if (isWanted) 0.0 else slackOfOne)
         val kept = team.limitedPart(view.use) + slack
         val lowers = stored.exceeds(kept + slack)
--- a/src/main/kotlin/micatally/quota/AllotmentWriter.kt
+++ b/src/main/kotlin/micatally/quota/AllotmentWriter.kt
@@ -5,8 +5,8 @@
 import kotlinx.coroutines.launch
 import micatally.ledger.Cluster
 import micatally.ledger.Keys
-import micatally.ledger.Ledger
-import micatally.ledger.LedgerState
+import micatally.ledger.JobShard
+import micatally.ledger.ShardState
 import micatally.settings.Team
 import micatally.settings.TeamDirectory
 import micatally.state.Compare
@@ -31,7 +31,7 @@
     private val teams: TeamDirectory,
     private val rule: AllotmentRule,
     private val audit: AllotmentAudit,
-    private val view: (Ledger, Team) -> AllotmentView,
+    private val view: (JobShard, Team) -> AllotmentView,
     private val changed: () -> Unit,
 ) {
     /** The change of a team that is under way. */
@@ -46,8 +46,8 @@
         stored: Share,
     ) = bounds[id]?.let { stored.atMost(it) } ?: stored
 
-    fun forget(ledger: String) {
-        bounds.keys.removeIf { it.ledger == ledger }
+    fun forget(shard: String) {
+        bounds.keys.removeIf { it.shard == shard }
     }
 
     /**
@@ -56,7 +56,7 @@
      * @property isSeen whether the copy shows it, once there is an outcome
      */
     private class Change(
-        val ledger: Ledger,
+        val shard: JobShard,
         val id: AllotmentId,
         val wish: AllotmentWish,
     ) {
@@ -65,7 +65,7 @@
 
     /** Asks for a change; nothing happens while another one of the team is under way. */
     fun request(
-        ledger: Ledger,
+        shard: JobShard,
         team: Team,
         wish: AllotmentWish,
         urgency: Urgency,
@@ -74,7 +74,7 @@
             if (!former.isSeen()) return
             end(former)
         }
-        val change = Change(ledger, AllotmentId(ledger.name, team.name), wish)
+        val change = Change(shard, AllotmentId(shard.name, team.name), wish)
         underWay[team.name] = change
         scope.launch {
             try {
@@ -128,24 +128,24 @@
 
     /** Null if there is nothing to be written any more, or nothing may be. */
     private fun decide(change: Change): Pending? {
-        val ledger = change.ledger
-        if (ledger.state != LedgerState.ACTIVE || !teams.isCurrent) return null
+        val shard = change.shard
+        if (shard.state != ShardState.ACTIVE || !teams.isCurrent) return null
         val team = teams.team(change.id.team)?.takeIf { it.isLimited } ?: return null
-        val view = view(ledger, team)
+        val view = view(shard, team)
         val decision = rule.decide(view, change.wish)
         if (!rule.isWorthWriting(view, decision)) return null
-        return Pending(transaction(ledger, view, decision), view, decision)
+        return Pending(transaction(shard, view, decision), view, decision)
     }
 
     private fun transaction(
-        ledger: Ledger,
+        shard: JobShard,
         view: AllotmentView,
         decision: AllotmentDecision,
     ): Transaction {
         val key = Keys.team(view.team.name)
         val conditions =
-            listOf(Compare(Keys.ledger(ledger.name), ledger.holder.modRevision), Compare(key, view.stored.modRevision))
-        return Transaction(conditions, listOf(Put(key, view.stored.encodeWith(ledger.name, decision.row))))
+            listOf(Compare(Keys.shard(shard.name), shard.leader.modRevision), Compare(key, view.stored.modRevision))
+        return Transaction(conditions, listOf(Put(key, view.stored.encodeWith(shard.name, decision.row))))
     }
 
     private fun bind(
@@ -160,11 +160,11 @@
         revision: Long,
     ) {
         val view = sent.view
-        val before = view.stored.of(view.ledger).share
+        val before = view.stored.of(view.shard).share
         audit.changed(
             AllotmentChange(
                 view.team.name,
-                view.ledger,
+                view.shard,
                 view.stored.modRevision,
                 revision,
                 before,
@@ -178,7 +178,7 @@
         change: Change,
         isShown: () -> Boolean,
     ) {
-        change.isSeen = { !change.ledger.mine || isShown() }
+        change.isSeen = { !change.shard.mine || isShown() }
         while (!change.isSeen()) delay(SEEN_EVERY_MS)
     }
 
@@ -190,10 +190,10 @@
         change: Change,
         sent: Pending,
     ) {
-        val ledger = change.ledger
-        change.isSeen = { !ledger.mine || hasOtherMark(sent) }
+        val shard = change.shard
+        change.isSeen = { !shard.mine || hasOtherMark(sent) }
         while (!change.isSeen()) {
-            val again = state.transact(1, Urgency.SUMMARY) { sent.transact.takeIf { ledger.state == LedgerState.ACTIVE } }
+            val again = state.transact(1, Urgency.SUMMARY) { sent.transact.takeIf { shard.state == ShardState.ACTIVE } }
             if (again is TransactionResult.Applied || again is TransactionResult.Failed) return awaitSeen(change) { hasOtherMark(sent) }
             delay(REPEAT_MS)
         }
--- a/src/main/kotlin/micatally/quota/Quota.kt
+++ b/src/main/kotlin/micatally/quota/Quota.kt
@@ -4,8 +4,8 @@
 import micatally.job.Job
 import micatally.ledger.Cluster
 import micatally.ledger.Keys
-import micatally.ledger.Ledger
-import micatally.ledger.LedgerState
+import micatally.ledger.JobShard
+import micatally.ledger.ShardState
 import micatally.settings.Team
 import micatally.settings.TeamDirectory
 import micatally.state.StateStoreClient
@@ -18,29 +18,29 @@
     state: StateStoreClient,
     private val cluster: Cluster,
     private val teams: TeamDirectory,
-    private val held: () -> Collection<Ledger>,
+    private val held: () -> Collection<JobShard>,
     controllers: Int,
     changed: () -> Unit,
 ) {
     /** Reports changes of allotments, and use above them. */
     val audit = AllotmentAudit()
-    private val use = LedgerUse()
+    private val use = ShardUsage()
     private val rule = AllotmentRule(SLACK / controllers)
     private val writer =
-        AllotmentWriter(scope, state, cluster, teams, rule, audit, { ledger, team -> view(ledger, team) }, changed)
+        AllotmentWriter(scope, state, cluster, teams, rule, audit, { shard, team -> view(shard, team) }, changed)
 
     fun used(
-        ledger: String,
+        shard: String,
         team: String,
-    ) = use.of(AllotmentId(ledger, team))
+    ) = use.of(AllotmentId(shard, team))
 
     fun take(job: Job) = use.take(job)
 
     fun release(job: Job) = use.release(job)
 
-    fun forget(ledger: String) {
-        use.forget(ledger)
-        writer.forget(ledger)
+    fun forget(shard: String) {
+        use.forget(shard)
+        writer.forget(shard)
     }
 
     private val read = HashMap<String, TeamAllotments>()
@@ -53,11 +53,11 @@
     }
 
     private fun view(
-        ledger: Ledger,
+        shard: JobShard,
         team: Team,
     ): AllotmentView {
-        val id = AllotmentId(ledger.name, team.name)
-        return AllotmentView(team, ledger.name, allotments(team.name), use.of(id), isShort(id))
+        val id = AllotmentId(shard.name, team.name)
+        return AllotmentView(team, shard.name, allotments(team.name), use.of(id), isShort(id))
     }
 
     /** Whether the ledger's allotment has room for so many more tasks of this job at once. If not, more is asked for. */
@@ -70,13 +70,13 @@
         if (!teams.isCurrent) return false
         if (!team.isLimited) return true
         // Until its jobs are loaded nobody knows what a ledger uses.
-        if (job.ledger.state != LedgerState.ACTIVE) return false
+        if (job.shard.state != ShardState.ACTIVE) return false
         val stored = allotments(team.name)
         if (stored.isOver(team)) return false
-        val id = AllotmentId(job.ledger.name, team.name)
+        val id = AllotmentId(job.shard.name, team.name)
         val need = Share(spec.resources.cores, spec.resources.gpus) * tasks
-        val hasRoom = team.covers(writer.usable(id, stored.of(id.ledger).share), use.of(id) + need)
-        if (!hasRoom) askForMore(job.ledger, team, AllotmentWish.MoreRoom(need, job.pendingCount / tasks))
+        val hasRoom = team.covers(writer.usable(id, stored.of(id.shard).share), use.of(id) + need)
+        if (!hasRoom) askForMore(job.shard, team, AllotmentWish.MoreRoom(need, job.pendingCount / tasks))
         return hasRoom
     }
 
@@ -84,14 +84,14 @@
     fun isSuspended(teamName: String): Boolean = teams.team(teamName)?.let { allotments(it.name).isOver(it) } ?: true
 
     private fun askForMore(
-        ledger: Ledger,
+        shard: JobShard,
         team: Team,
         wish: AllotmentWish,
     ) {
-        val view = view(ledger, team)
+        val view = view(shard, team)
         val decision = rule.decide(view, wish)
-        if (!decision.isEnough) shortAt[AllotmentId(ledger.name, team.name)] = looks
-        if (rule.isWorthWriting(view, decision)) writer.request(ledger, team, wish, Urgency.INTENT)
+        if (!decision.isEnough) shortAt[AllotmentId(shard.name, team.name)] = looks
+        if (rule.isWorthWriting(view, decision)) writer.request(shard, team, wish, Urgency.INTENT)
     }
 
     /** The look of [handBack] in which a ledger was last found short of a team's limit. */
@@ -111,23 +111,23 @@
     fun limitsChanged() = release()
 
     private fun release() {
-        for (ledger in held().filter { it.state == LedgerState.ACTIVE }) {
-            for (team in teams.all().filter { it.isLimited }) release(ledger, team)
+        for (shard in held().filter { it.state == ShardState.ACTIVE }) {
+            for (team in teams.all().filter { it.isLimited }) release(shard, team)
         }
     }
 
     private fun release(
-        ledger: Ledger,
+        shard: JobShard,
         team: Team,
     ) {
-        val view = view(ledger, team)
-        if (!view.stored.has(ledger.name)) return
+        val view = view(shard, team)
+        if (!view.stored.has(shard.name)) return
         val decision = rule.decide(view, AllotmentWish.HandBack)
-        val stored = view.stored.of(ledger.name)
+        val stored = view.stored.of(shard.name)
         val isShortOver = stored.isShort && !decision.row.isShort
         if (!decision.lowers && !isShortOver) return
         writer.request(
-            ledger,
+            shard,
             team,
             AllotmentWish.HandBack,
             if (decision.lowers) Urgency.SUMMARY else Urgency.INTENT,
@@ -141,7 +141,7 @@
     fun teamChanged(team: String) {
         reportOveruse(team)
         val mine = held().mapTo(HashSet()) { it.name }
-        val short = allotments(team).shortLedgers() - mine
+        val short = allotments(team).shortShards() - mine
         val known = shortKnown.put(team, short) ?: emptySet()
         if (!known.containsAll(short)) release()
     }
@@ -149,10 +149,10 @@
     private fun reportOveruse(teamName: String) {
         val team = teams.team(teamName)?.takeIf { it.isLimited } ?: return
         val stored = allotments(teamName)
-        for (ledger in held().filter { it.state == LedgerState.ACTIVE }) {
-            val allotted = stored.of(ledger.name).share
-            val used = used(ledger.name, teamName)
-            if (!team.covers(allotted, used)) audit.overused(teamName, ledger.name, stored.modRevision, allotted, used)
+        for (shard in held().filter { it.state == ShardState.ACTIVE }) {
+            val allotted = stored.of(shard.name).share
+            val used = used(shard.name, teamName)
+            if (!team.covers(allotted, used)) audit.overused(teamName, shard.name, stored.modRevision, allotted, used)
         }
     }
 
--- a/src/main/kotlin/micatally/quota/LedgerUse.kt
+++ b/src/main/kotlin/micatally/quota/ShardUsage.kt
@@ -4,12 +4,12 @@
 
 /** A team's allotment in one ledger. */
 data class AllotmentId(
-    val ledger: String,
+    val shard: String,
     val team: String,
 )
 
 /** What the attempts of this node's ledgers take, by ledger and team. */
-class LedgerUse {
+class ShardUsage {
     private val used = HashMap<AllotmentId, Share>()
 
     fun of(id: AllotmentId) = used[id] ?: Share.NONE
@@ -24,11 +24,11 @@
     ) {
         // A record without a spec is that of a job that is over and has no attempts.
         val spec = job.spec ?: return
-        val id = AllotmentId(job.ledger.name, spec.team)
+        val id = AllotmentId(job.shard.name, spec.team)
         used[id] = of(id) + Share(spec.resources.cores, spec.resources.gpus) * tasks
     }
 
-    fun forget(ledger: String) {
-        used.keys.removeIf { it.ledger == ledger }
+    fun forget(shard: String) {
+        used.keys.removeIf { it.shard == shard }
     }
 }
--- a/src/main/kotlin/micatally/quota/TeamAllotments.kt
+++ b/src/main/kotlin/micatally/quota/TeamAllotments.kt
@@ -22,27 +22,27 @@
     private val rows: Map<String, AllotmentRow>,
 ) {
     /** The row of a ledger; an empty one if there is none. */
-    fun of(ledger: String) = rows[ledger] ?: NO_ROW
+    fun of(shard: String) = rows[shard] ?: NO_ROW
 
-    fun has(ledger: String) = ledger in rows
+    fun has(shard: String) = shard in rows
 
     fun total() = rows.values.fold(Share.NONE) { sum, row -> sum + row.share }
 
-    fun totalOfOthers(ledger: String) =
-        rows.filterKeys { it != ledger }.values.fold(Share.NONE) { sum, row -> sum + row.share }
+    fun totalOfOthers(shard: String) =
+        rows.filterKeys { it != shard }.values.fold(Share.NONE) { sum, row -> sum + row.share }
 
-    fun shortLedgers(): Set<String> = rows.filterValues { it.isShort }.keys
+    fun shortShards(): Set<String> = rows.filterValues { it.isShort }.keys
 
-    fun isAnotherShort(ledger: String) = rows.any { (name, row) -> row.isShort && name != ledger }
+    fun isAnotherShort(shard: String) = rows.any { (name, row) -> row.isShort && name != shard }
 
     /** Whether more is allotted than the team's limit, which was lowered. */
     fun isOver(team: Team) = !team.covers(team.limit + MARGIN, total())
 
     /** The value of the team's key with this one row changed. */
     fun encodeWith(
-        ledger: String,
+        shard: String,
         row: AllotmentRow,
-    ) = JsonObject((rows + (ledger to row)).mapValues { (_, each) -> encode(each) })
+    ) = JsonObject((rows + (shard to row)).mapValues { (_, each) -> encode(each) })
 
     companion object {
         private val NO_ROW = AllotmentRow(Share.NONE, false)
--- a/src/main/kotlin/micatally/recovery/RecordArchive.kt
+++ b/src/main/kotlin/micatally/recovery/RecordArchive.kt
@@ -9,7 +9,7 @@
 import micatally.job.UnreadableRecord
 import micatally.job.readable
 import micatally.ledger.Keys
-import micatally.ledger.Ledger
+import micatally.ledger.JobShard
 import micatally.ledger.Membership
 import micatally.settings.Settings
 import micatally.state.Compare
@@ -25,9 +25,9 @@
 import org.slf4j.LoggerFactory
 
 /** The ledgers whose jobs this node knows, and the jobs that it still has to do with. */
-interface LoadedLedgers {
+interface LoadedShards {
     /** The ledger if this node holds it and has loaded it. */
-    fun loaded(name: String): Ledger?
+    fun loaded(name: String): JobShard?
 }
 
 /**
@@ -42,7 +42,7 @@
     private val state: StateStoreClient,
     private val membership: Membership,
     private val mode: ArchiveMode,
-    private val ledgers: LoadedLedgers,
+    private val shards: LoadedShards,
 ) {
     private val log = LoggerFactory.getLogger("micatally.recovery")
     private val cluster get() = membership.cluster
@@ -72,13 +72,13 @@
     private suspend fun archive() {
         announce()
         if (!ArchivePlan.mayMove(cluster, hosts)) return
-        val moved = walk(Keys.JOB) { ledger, some -> move(ledger, some) } ?: return
+        val moved = walk(Keys.JOB) { shard, some -> move(shard, some) } ?: return
         if (moved > 0) log.info("{} records of jobs that are over were archived", moved)
     }
 
     private suspend fun restore() {
-        val copied = walk(Keys.FINAL) { ledger, some -> copyBack(ledger, some) } ?: return
-        if (copied == 0 && ledgers.loaded(settings.host) != null) {
+        val copied = walk(Keys.FINAL) { shard, some -> copyBack(shard, some) } ?: return
+        if (copied == 0 && shards.loaded(settings.host) != null) {
             log.info("all archived records of this node's ledgers are back")
         } else {
             log.info("{} archived records were copied back, or are still to be", copied)
@@ -91,9 +91,9 @@
         val key = Keys.archive(settings.host)
         val result =
             state.transact(1, Urgency.SUMMARY) {
-                val holder = cluster.holder(settings.host)
-                if (holder == null || !membership.holds(settings.host)) return@transact null
-                val conditions = listOf(Compare(key, 0), Compare(Keys.ledger(settings.host), holder.modRevision))
+                val leader = cluster.leader(settings.host)
+                if (leader == null || !membership.holds(settings.host)) return@transact null
+                val conditions = listOf(Compare(key, 0), Compare(Keys.shard(settings.host), leader.modRevision))
                 Transaction(conditions, listOf(Put(key, buildJsonObject { put("n", 1) })))
             }
         if (result is TransactionResult.Applied) log.info("announced that this host looks for archived records")
@@ -103,17 +103,17 @@
      * null if not all could be read. */
     private suspend fun walk(
         prefix: String,
-        act: suspend (Ledger, List<KeyValue>) -> Int,
+        act: suspend (JobShard, List<KeyValue>) -> Int,
     ): Int? {
         var after: String? = null
         var count = 0
         while (true) {
             val page = ArrayList<KeyValue>()
             val listing = state.page(prefix, Urgency.SUMMARY, after) { page.addAll(it) } ?: return null
-            for ((ledger, items) in settledByLedger(page, prefix)) {
+            for ((shard, items) in settledByLedger(page, prefix)) {
                 for (some in batches(items)) {
-                    if (!ledger.mine) break
-                    count += act(ledger, some)
+                    if (!shard.mine) break
+                    count += act(shard, some)
                     delay(pauseMs(some.size))
                 }
             }
@@ -125,27 +125,27 @@
     private fun settledByLedger(
         page: List<KeyValue>,
         prefix: String,
-    ): Map<Ledger, List<KeyValue>> {
-        val found = HashMap<Ledger, MutableList<KeyValue>>()
+    ): Map<JobShard, List<KeyValue>> {
+        val found = HashMap<JobShard, MutableList<KeyValue>>()
         for (item in page) {
             val ref = item.key.removePrefix(prefix)
-            val ledger = ledgerOf(ref, item) ?: continue
+            val shard = shardOf(ref, item) ?: continue
             // A job that this node still knows may be written once more.
-            if (ref in ledger.jobs || ref in refused) continue
-            found.getOrPut(ledger) { ArrayList() }.add(item)
+            if (ref in shard.jobs || ref in refused) continue
+            found.getOrPut(shard) { ArrayList() }.add(item)
         }
         return found
     }
 
     /** Null if the record is open, unreadable, or of a ledger that this node does not hold. */
-    private fun ledgerOf(
+    private fun shardOf(
         ref: String,
         item: KeyValue,
-    ): Ledger? =
+    ): JobShard? =
         try {
             readable(
                 ref,
-            ) { if (JobRecord.isSettled(item.value)) ledgers.loaded(JobRecord.ledgerOf(item.value)) else null }
+            ) { if (JobRecord.isSettled(item.value)) shards.loaded(JobRecord.shardOf(item.value)) else null }
         } catch (e: UnreadableRecord) {
             log.debug("not archived: {}", e.message)
             null
@@ -176,43 +176,43 @@
     }
 
     private suspend fun move(
-        ledger: Ledger,
+        shard: JobShard,
         items: List<KeyValue>,
     ): Int {
         val result =
             state.transact(items.size * 2, Urgency.SUMMARY) {
-                if (!ledger.mine || !ArchivePlan.mayMove(cluster, hosts)) return@transact null
+                if (!shard.mine || !ArchivePlan.mayMove(cluster, hosts)) return@transact null
                 val conditions =
                     items.flatMap { listOf(Compare(it.key, it.modRevision), Compare(finalKey(it), 0)) } +
-                        Compare(Keys.ledger(ledger.name), ledger.holder.modRevision) + ArchivePlan.conditions(cluster, hosts)
+                        Compare(Keys.shard(shard.name), shard.leader.modRevision) + ArchivePlan.conditions(cluster, hosts)
                 Transaction(conditions, items.flatMap { listOf(Delete(it.key), Put(finalKey(it), it.value)) })
             }
         return when (result) {
             is TransactionResult.Applied -> items.size
             is TransactionResult.Failed -> {
                 val restored = items.filter { finalKey(it) in result.keys }
-                restored.count { removeCopy(ledger, it) }
+                restored.count { removeCopy(shard, it) }
             }
-            is TransactionResult.TooLarge -> tooLarge(ledger, items)
+            is TransactionResult.TooLarge -> tooLarge(shard, items)
             else -> 0
         }
     }
 
     /** What was copied back is in both places; the copy goes, if the archive has the same. */
     private suspend fun removeCopy(
-        ledger: Ledger,
+        shard: JobShard,
         item: KeyValue,
     ): Boolean {
         val final = state.get(finalKey(item), Urgency.SUMMARY)
         if (final !is ReadResult.Found || final.item.value != item.value) return false
         val result =
             state.transact(1, Urgency.SUMMARY) {
-                if (!ledger.mine || !ArchivePlan.mayMove(cluster, hosts)) return@transact null
+                if (!shard.mine || !ArchivePlan.mayMove(cluster, hosts)) return@transact null
                 val conditions =
                     listOf(
                         Compare(item.key, item.modRevision),
                         Compare(finalKey(item), final.item.modRevision),
-                        Compare(Keys.ledger(ledger.name), ledger.holder.modRevision),
+                        Compare(Keys.shard(shard.name), shard.leader.modRevision),
                     ) + ArchivePlan.conditions(cluster, hosts)
                 Transaction(conditions, listOf(Delete(item.key)))
             }
@@ -221,24 +221,24 @@
 
     /** The limits may have been lowered since the record was written: it stays where it is. */
     private suspend fun tooLarge(
-        ledger: Ledger,
+        shard: JobShard,
         items: List<KeyValue>,
     ): Int {
-        if (items.size > 1) return items.sumOf { move(ledger, listOf(it)) }
+        if (items.size > 1) return items.sumOf { move(shard, listOf(it)) }
         refused.add(items.single().key.removePrefix(Keys.JOB))
         return 0
     }
 
     private suspend fun copyBack(
-        ledger: Ledger,
+        shard: JobShard,
         items: List<KeyValue>,
     ): Int {
         val result =
             state.transact(items.size, Urgency.SUMMARY) {
-                if (!ledger.mine) return@transact null
+                if (!shard.mine) return@transact null
                 val conditions =
                     items.flatMap { listOf(Compare(jobKey(it), 0), Compare(it.key, it.modRevision)) } +
-                        Compare(Keys.ledger(ledger.name), ledger.holder.modRevision)
+                        Compare(Keys.shard(shard.name), shard.leader.modRevision)
                 Transaction(conditions, items.map { Put(jobKey(it), it.value) })
             }
         return when (result) {
@@ -247,7 +247,7 @@
                 val missing = items.filter { jobKey(it) !in result.keys }
                 when {
                     missing.isEmpty() -> 0
-                    missing.size < items.size -> copyBack(ledger, missing)
+                    missing.size < items.size -> copyBack(shard, missing)
                     // The ledger has changed hands; whether they are there is not known.
                     else -> items.size
                 }
--- a/src/main/kotlin/micatally/scale/ScaleRun.kt
+++ b/src/main/kotlin/micatally/scale/ScaleRun.kt
@@ -8,9 +8,9 @@
 import micatally.job.Job
 import micatally.job.JobRecord
 import micatally.job.JobState
-import micatally.ledger.Holder
+import micatally.ledger.ShardLeader
 import micatally.ledger.Keys
-import micatally.ledger.Ledger
+import micatally.ledger.JobShard
 import micatally.settings.Team
 import micatally.standin.ControllerPlace
 import micatally.standin.FleetPlan
@@ -163,12 +163,12 @@
         val records =
             (0 until scenario.storedJobs).associate { i ->
                 val spec = jobs.first().spec
-                val holder = Holder(places[i % places.size].host, "former", 1, 1)
+                val leader = ShardLeader(places[i % places.size].host, "former", 1, 1)
                 val job =
                     Job(
                         "j-%09d".format(FORMER_JOBS + i),
                         spec,
-                        Ledger(holder.host, holder),
+                        JobShard(leader.host, leader),
                         taskCount,
                         0,
                         JobState.DONE,
--- a/src/main/kotlin/micatally/worker/Orders.kt
+++ b/src/main/kotlin/micatally/worker/Orders.kt
@@ -10,7 +10,7 @@
 import micatally.job.AttemptState
 import micatally.job.GoneProof
 import micatally.job.StopReason
-import micatally.ledger.LedgerState
+import micatally.ledger.ShardState
 import micatally.ledger.Membership
 import micatally.settings.Settings
 import micatally.wire.Command
@@ -89,13 +89,13 @@
         val covered = ArrayList<Attempt>()
         val listed = m.tasks.associateBy { AttemptId(it.ref, it.taskIndex, it.attempt) }
         for (a in m.attempts.toList()) {
-            if (!a.maySend || a.job.ledger.state != LedgerState.ACTIVE) continue
+            if (!a.maySend || a.job.shard.state != ShardState.ACTIVE) continue
             if (a.incarnation != m.incarnation) continue
             val id = AttemptId(a.job.ref, a.taskIndex, a.number)
             val entry = listed[id]
             // Another node holds the ledger by now, and this one has confirmed the cancellation to it.
             if (a.stop == null && kills.has(m.name, id)) a.stop(StopReason.WITHDRAWN, now)
-            val reconciled = m.confirmedToken >= a.job.ledger.holder.epoch
+            val reconciled = m.confirmedToken >= a.job.shard.leader.epoch
             val stop = a.stop
             if (stop != null) {
                 if (a.state ==
--- a/src/test/kotlin/micatally/compatibility/StoredValuesTest.kt
+++ b/src/test/kotlin/micatally/compatibility/StoredValuesTest.kt
@@ -20,10 +20,10 @@
 import micatally.job.JobState
 import micatally.job.KillListValue
 import micatally.ledger.Cluster
-import micatally.ledger.Holder
+import micatally.ledger.ShardLeader
 import micatally.ledger.Keys
-import micatally.ledger.Ledger
-import micatally.ledger.LedgerState
+import micatally.ledger.JobShard
+import micatally.ledger.ShardState
 import micatally.peer.SummaryPieces
 import micatally.quota.TeamAllotments
 import micatally.recovery.ArchivePlan
@@ -86,7 +86,7 @@
                 "c/fleet" to Keys.FLEET,
                 "c/format" to Keys.FORMAT,
                 "c/version/" to Keys.VERSION,
-                "c/ledger/" to Keys.LEDGER,
+                "c/ledger/" to Keys.SHARD,
                 "c/live/" to Keys.LIVE,
                 "c/team/" to Keys.TEAM,
                 "s/" to Keys.SUMMARIES,
@@ -112,7 +112,7 @@
                 "c/archive/n0" to Keys.archive("n0"),
                 "part/j-1/2" to Keys.jobPart("j-1", 2),
                 "c/kill/j-1/2" to Keys.killPart("j-1", 2),
-                "c/ledger/n0" to Keys.ledger("n0"),
+                "c/ledger/n0" to Keys.shard("n0"),
                 "c/live/n0" to Keys.live("n0"),
                 "c/kill/j-1" to Keys.kill("j-1"),
                 "c/team/vision" to Keys.team("vision"),
@@ -130,10 +130,10 @@
 
     private fun decoded(stored: Stored): Job {
         val record = stored.value
-        val (process, epoch) = JobRecord.holdOf(record).split(':')
-        val name = JobRecord.ledgerOf(record)
-        val ledger = Ledger(name, Holder(name, process, epoch.toLong(), 1)).also { it.become(LedgerState.ACTIVE) }
-        val job = JobRecord.decode(stored.key.substringAfter('/'), record, ledger, 1)
+        val (process, epoch) = JobRecord.termOf(record).split(':')
+        val name = JobRecord.shardOf(record)
+        val shard = JobShard(name, ShardLeader(name, process, epoch.toLong(), 1)).also { it.become(ShardState.ACTIVE) }
+        val job = JobRecord.decode(stored.key.substringAfter('/'), record, shard, 1)
         val machines = HashMap<String, Machine>()
         for (p in JobRecord.placed(record)) {
             val machine = machines.getOrPut(p.machine) { Machine(p.machine, p.addr, p.type, p.zone, p.spot) }
@@ -173,10 +173,10 @@
     @Test
     fun `epoch, ledgers, live keys and the fleet's holder`() {
         for (epoch in stored("c-epoch")) assertEquals(epoch.text, "{\"n\":${cluster(listOf(epoch)).epoch}}")
-        for (ledger in stored("c-ledger")) {
-            val holder = cluster(listOf(ledger)).holder(ledger.key.removePrefix("c/ledger/"))!!
-            val text = "{\"host\":\"${holder.host}\",\"process\":\"${holder.process}\",\"epoch\":${holder.epoch}}"
-            assertEquals(ledger.text, text)
+        for (shard in stored("c-ledger")) {
+            val leader = cluster(listOf(shard)).leader(shard.key.removePrefix("c/ledger/"))!!
+            val text = "{\"host\":\"${leader.host}\",\"process\":\"${leader.process}\",\"epoch\":${leader.epoch}}"
+            assertEquals(shard.text, text)
         }
         for (live in stored("c-live")) {
             val host = live.key.removePrefix("c/live/")
@@ -213,8 +213,8 @@
     fun `allotments of teams`() {
         for (team in stored("c-team")) {
             val allotments = TeamAllotments.decode(1, team.value)
-            for (ledger in team.value.keys) {
-                assertUnchanged(team, allotments.encodeWith(ledger, allotments.of(ledger)))
+            for (shard in team.value.keys) {
+                assertUnchanged(team, allotments.encodeWith(shard, allotments.of(shard)))
             }
         }
     }
--- a/src/test/kotlin/micatally/job/RecordPackingTest.kt
+++ b/src/test/kotlin/micatally/job/RecordPackingTest.kt
@@ -7,10 +7,10 @@
 import micatally.http.HttpCaller
 import micatally.http.Outcome
 import micatally.ledger.Cluster
-import micatally.ledger.Holder
+import micatally.ledger.ShardLeader
 import micatally.ledger.Keys
-import micatally.ledger.Ledger
-import micatally.ledger.LedgerState
+import micatally.ledger.JobShard
+import micatally.ledger.ShardState
 import micatally.sim.SimFleet
 import micatally.standin.Rehearsal
 import micatally.state.KeyValue
@@ -30,7 +30,7 @@
 /** Records and kill lists that are larger than a value of the state service. */
 class RecordPackingTest {
     private val limits = StateLimits(100.0, 20.0, 1024, 6)
-    private val ledger = Ledger("pitbox-0", Holder("pitbox-0", "p", 1, 1)).also { it.become(LedgerState.ACTIVE) }
+    private val shard = JobShard("pitbox-0", ShardLeader("pitbox-0", "p", 1, 1)).also { it.become(ShardState.ACTIVE) }
 
     private fun job(
         attempts: Int,
@@ -38,7 +38,7 @@
     ): Job {
         val random = Random(attempts)
         val spec = JobSpec.parse(JsonObject(Rehearsal.job(7, "sweep", attempts * 2)))
-        val job = Job(spec.ref, spec, ledger, spec.taskCount, 1000, state)
+        val job = Job(spec.ref, spec, shard, spec.taskCount, 1000, state)
         repeat(attempts) { i ->
             val machine = Machine("m-%06d".format(random.nextInt(500)), "10.0.0.$i:9000", "g8", "a", false)
             job.attempts[i] = Attempt(job, i, i + 1L, machine, 1, 0.0, AttemptState.ORDERED)
@@ -63,7 +63,7 @@
         assertEquals(JobRecord.encode(job), RecordPacking.unpack(main, parts))
         assertEquals(
             listOf("pitbox-0", 0, 150),
-            listOf(JobRecord.ledgerOf(main), JobRecord.doneCount(main), JobRecord.attemptCount(main)),
+            listOf(JobRecord.shardOf(main), JobRecord.doneCount(main), JobRecord.attemptCount(main)),
         )
         assertEquals(false, JobRecord.isSettled(main))
     }
--- a/src/test/kotlin/micatally/job/LedgerRecordsTest.kt
+++ b/src/test/kotlin/micatally/job/ShardRecordsTest.kt
@@ -7,9 +7,9 @@
 import micatally.http.HttpCaller
 import micatally.http.HttpRequest
 import micatally.http.Outcome
-import micatally.ledger.Holder
+import micatally.ledger.ShardLeader
 import micatally.ledger.Keys
-import micatally.ledger.Ledger
+import micatally.ledger.JobShard
 import micatally.standin.StateStandin
 import micatally.state.RateBudget
 import micatally.state.StateStoreClient
@@ -22,20 +22,20 @@
  * Found in a scale run: with the jobs of three days at the target size, 87,000, no controller could load its ledger any more;
  * each ran out of memory on the records of jobs that were over long ago, and nothing was started.
  */
-class LedgerRecordsTest {
-    private val own = Ledger("own", Holder("own", "p", 1, 1))
+class ShardRecordsTest {
+    private val own = JobShard("own", ShardLeader("own", "p", 1, 1))
 
     private fun record(
-        ledger: String,
+        shard: String,
         state: String,
         vararg more: Pair<String, Int>,
     ) = JsonObject(
-        mapOf("l" to JsonPrimitive(ledger), "e" to JsonPrimitive(state), "k" to JsonPrimitive(2)) +
+        mapOf("l" to JsonPrimitive(shard), "e" to JsonPrimitive(state), "k" to JsonPrimitive(2)) +
             more.associate { (name, value) -> name to JsonPrimitive(value) },
     )
 
     private class Read(
-        val kept: List<LedgerRecord>?,
+        val kept: List<ShardRecord>?,
         val settled: Int,
         val largestAnswer: Int,
     )
@@ -59,7 +59,7 @@
                 }
             val budget = RateBudget(backgroundScope, 10_000.0, { testScheduler.currentTime })
             var settled = 0
-            val kept = LedgerRecords(StateStoreClient(http, "state", budget, budget, 500)).of(own) { _, _ -> settled++ }
+            val kept = ShardRecords(StateStoreClient(http, "state", budget, budget, 500)).of(own) { _, _ -> settled++ }
             read = Read(kept, settled, largest)
         }
         return read
--- a/src/test/kotlin/micatally/quota/QuotaFleet.kt
+++ b/src/test/kotlin/micatally/quota/QuotaFleet.kt
@@ -21,8 +21,8 @@
 import micatally.job.JobState
 import micatally.ledger.Cluster
 import micatally.ledger.Keys
-import micatally.ledger.Ledger
-import micatally.ledger.LedgerState
+import micatally.ledger.JobShard
+import micatally.ledger.ShardState
 import micatally.settings.FixedTeams
 import micatally.settings.Team
 import micatally.sim.Stoppable
@@ -113,7 +113,7 @@
                 RateBudget(own, changesPerSecond, { now }, changesPerSecond / 2),
                 500,
             )
-        val ledgers = HashMap<String, Ledger>()
+        val shards = HashMap<String, JobShard>()
         private val placed = HashMap<String, Placed>()
         val quota =
             Quota(
@@ -121,7 +121,7 @@
                 state,
                 cluster,
                 FixedTeams(teams.associateBy { it.name }),
-                { ledgers.values },
+                { shards.values },
                 controllerCount,
             ) {}
 
@@ -137,64 +137,64 @@
                 val listing = plain.list(Keys.PREFIX, Urgency.LEASE) ?: return@launch
                 delay(afterMs)
                 val changed = cluster.load(listing)
-                checkLedgers()
+                checkShards()
                 for (key in changed.filter { it.startsWith(Keys.TEAM) }) quota.teamChanged(key.removePrefix(Keys.TEAM))
             }
         }
 
-        private fun checkLedgers() {
-            for (ledger in ledgers.values.toList()) {
-                if (cluster.holder(ledger.name)?.modRevision != ledger.holder.modRevision) lose(ledger)
+        private fun checkShards() {
+            for (shard in shards.values.toList()) {
+                if (cluster.leader(shard.name)?.modRevision != shard.leader.modRevision) lose(shard)
             }
-            for (name in cluster.ledgers()) {
-                val holder = cluster.holder(name) ?: continue
-                if (holder.host == "host-$index" && name !in ledgers) {
-                    val ledger = Ledger(name, holder, now)
-                    ledgers[name] = ledger
-                    own.launch { load(ledger) }
+            for (name in cluster.shards()) {
+                val leader = cluster.leader(name) ?: continue
+                if (leader.host == "host-$index" && name !in shards) {
+                    val shard = JobShard(name, leader, now)
+                    shards[name] = shard
+                    own.launch { load(shard) }
                 }
             }
         }
 
-        private fun lose(ledger: Ledger) {
-            ledger.become(LedgerState.LOST)
-            ledgers.remove(ledger.name)
-            placed.values.removeIf { it.job.ledger === ledger }
-            quota.forget(ledger.name)
+        private fun lose(shard: JobShard) {
+            shard.become(ShardState.LOST)
+            shards.remove(shard.name)
+            placed.values.removeIf { it.job.shard === shard }
+            quota.forget(shard.name)
         }
 
         /** The records as they are stored, some of them with tasks that have just ended. */
-        private suspend fun load(ledger: Ledger) {
+        private suspend fun load(shard: JobShard) {
             delay(random.nextLong(20, 400))
-            if (!ledger.mine) return
-            val stored = service.keysUnder(runPrefix(ledger.name))
-            for (key in stored) adopt(ledger, key, service.value(key)!!)
-            ledger.become(LedgerState.ACTIVE)
+            if (!shard.mine) return
+            val stored = service.keysUnder(runPrefix(shard.name))
+            for (key in stored) adopt(shard, key, service.value(key)!!)
+            shard.become(ShardState.ACTIVE)
         }
 
         private fun adopt(
-            ledger: Ledger,
+            shard: JobShard,
             key: String,
             value: JsonObject,
         ) {
             val spec = spec(teamOf(key), value.number("cores"), value.number("cards"))
-            val job = Job(spec.ref, spec, ledger, 1, 0, JobState.OPEN)
+            val job = Job(spec.ref, spec, shard, 1, 0, JobState.OPEN)
             placed[key] = Placed(key, job)
             quota.take(job)
         }
 
         /** Starts tasks of one job of a ledger and a team, if its allotment allows it. */
         fun tryToStart(
-            ledger: Ledger,
+            shard: JobShard,
             team: String,
             task: Share,
             count: Int,
         ) {
             val spec = spec(team, task.cores, task.gpus)
-            val job = Job(spec.ref, spec, ledger, count, 0, JobState.OPEN)
+            val job = Job(spec.ref, spec, shard, count, 0, JobState.OPEN)
             repeat(count) {
                 if (!quota.allows(job)) return
-                val key = runPrefix(ledger.name) + "$team/${nextTask++}"
+                val key = runPrefix(shard.name) + "$team/${nextTask++}"
                 placed[key] = Placed(key, job).also { start(it, task) }
             }
         }
@@ -203,7 +203,7 @@
             task: Placed,
             share: Share,
         ) {
-            val ledger = task.job.ledger
+            val shard = task.job.shard
             quota.take(task.job)
             own.launch {
                 val value =
@@ -215,8 +215,8 @@
                     )
                 val result =
                     state.transact(1, Urgency.INTENT) {
-                        val conditions = listOf(Compare(Keys.ledger(ledger.name), ledger.holder.modRevision))
-                        Transaction(conditions, listOf(Put(task.key, value))).takeIf { ledger.mine }
+                        val conditions = listOf(Compare(Keys.shard(shard.name), shard.leader.modRevision))
+                        Transaction(conditions, listOf(Put(task.key, value))).takeIf { shard.mine }
                     }
                 when (result) {
                     is TransactionResult.Applied -> {}
@@ -234,7 +234,7 @@
             val task = placed.remove(key) ?: return
             if (task.isReleased) return
             task.isReleased = true
-            if (task.job.ledger.mine) quota.release(task.job)
+            if (task.job.shard.mine) quota.release(task.job)
         }
 
         /** The end of a task is told when the controller gets to it. */
@@ -311,7 +311,7 @@
         name: String,
         to: Int,
     ) {
-        val holder =
+        val leader =
             JsonObject(
                 mapOf(
                     "host" to JsonPrimitive("host-$to"),
@@ -319,7 +319,7 @@
                     "epoch" to JsonPrimitive(++epoch),
                 ),
             )
-        change(Put(Keys.ledger(name), holder))
+        change(Put(Keys.shard(name), leader))
     }
 
     /** A task that runs ends on its machine; its owner hears of it later. */
@@ -341,18 +341,18 @@
     /** What the state service holds for a ledger. */
     fun row(
         team: String,
-        ledger: String,
+        shard: String,
     ): Share {
-        val row = service.value(Keys.team(team))?.get(ledger) as? JsonArray ?: return Share.NONE
+        val row = service.value(Keys.team(team))?.get(shard) as? JsonArray ?: return Share.NONE
         return Share(row[0].jsonPrimitive.double, row[1].jsonPrimitive.double)
     }
 
     /** What the tasks of a ledger that may be on machines take. */
     fun onMachines(
         team: String,
-        ledger: String,
+        shard: String,
     ): Share =
-        service.keysUnder(runPrefix(ledger) + "$team/").fold(Share.NONE) { sum, key ->
+        service.keysUnder(runPrefix(shard) + "$team/").fold(Share.NONE) { sum, key ->
             val value = service.value(key)!!
             sum + Share(value.number("cores"), value.number("cards"))
         }
@@ -371,7 +371,7 @@
         /** A transaction without an answer is carried out by then, or never. */
         private const val LATEST_MS = 6000L
 
-        private fun runPrefix(ledger: String) = "$RUN$ledger/"
+        private fun runPrefix(shard: String) = "$RUN$shard/"
 
         private fun teamOf(key: String) = key.split('/')[2]
     }
--- a/src/test/kotlin/micatally/quota/QuotaScheduleTest.kt
+++ b/src/test/kotlin/micatally/quota/QuotaScheduleTest.kt
@@ -1,6 +1,6 @@
 package micatally.quota
 
-import micatally.ledger.LedgerState
+import micatally.ledger.ShardState
 import micatally.settings.Team
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -62,10 +62,10 @@
         }
 
         private fun demand(controller: QuotaFleet.Controller) {
-            val ledger = controller.ledgers.values.randomOrNull(random) ?: return
-            if (ledger.state != LedgerState.ACTIVE) return
+            val shard = controller.shards.values.randomOrNull(random) ?: return
+            if (shard.state != ShardState.ACTIVE) return
             val task = Share(random.nextInt(1, 5).toDouble(), random.nextInt(1, 3).toDouble())
-            controller.tryToStart(ledger, teams.random(random).name, task, random.nextInt(1, 9))
+            controller.tryToStart(shard, teams.random(random).name, task, random.nextInt(1, 9))
         }
 
         private fun check() {
@@ -81,12 +81,12 @@
 
         private fun checkUse(
             team: Team,
-            ledger: String,
+            shard: String,
             row: Share,
         ) {
-            val used = fleet.onMachines(team.name, ledger)
+            val used = fleet.onMachines(team.name, shard)
             assertTrue(team.covers(row + SLIP, used)) {
-                "seed $seed at ${fleet.now}: ${team.name} has $used of $ledger on machines, allotted $row"
+                "seed $seed at ${fleet.now}: ${team.name} has $used of $shard on machines, allotted $row"
             }
         }
 
@@ -101,8 +101,8 @@
                     controller.look(1)
                     if (random.nextInt(20) == 0) controller.quota.handBack()
                 }
-                val holder = fleet.controllers.first { it.ledgers["ledger-0"]?.state == LedgerState.ACTIVE }
-                holder.tryToStart(holder.ledgers.getValue("ledger-0"), team.name, whole, 1)
+                val leader = fleet.controllers.first { it.shards["ledger-0"]?.state == ShardState.ACTIVE }
+                leader.tryToStart(leader.shards.getValue("ledger-0"), team.name, whole, 1)
                 fleet.runFor(STEP_MS)
                 check()
                 if (fleet.onMachines(team.name, "ledger-0").gpus >= team.gpusMax) return
--- a/src/test/kotlin/micatally/quota/QuotaTest.kt
+++ b/src/test/kotlin/micatally/quota/QuotaTest.kt
@@ -15,10 +15,10 @@
 import micatally.job.Job
 import micatally.job.JobState
 import micatally.ledger.Cluster
-import micatally.ledger.Holder
+import micatally.ledger.ShardLeader
 import micatally.ledger.Keys
-import micatally.ledger.Ledger
-import micatally.ledger.LedgerState
+import micatally.ledger.JobShard
+import micatally.ledger.ShardState
 import micatally.settings.FixedTeams
 import micatally.settings.Team
 import micatally.standin.Rehearsal
@@ -67,7 +67,7 @@
                 500,
             )
         private val copies = List(2) { Cluster() }
-        val ledgers = ArrayList<Ledger>()
+        val shards = ArrayList<JobShard>()
         lateinit var quotas: List<Quota>
 
         suspend fun start(scope: TestScope) {
@@ -82,9 +82,9 @@
                 )
             }
             seeAll()
-            for (i in 0..1) ledgers.add(Ledger("l$i", copies[i].holder("l$i")!!).also { it.become(LedgerState.ACTIVE) })
+            for (i in 0..1) shards.add(JobShard("l$i", copies[i].leader("l$i")!!).also { it.become(ShardState.ACTIVE) })
             quotas =
-                List(2) { i -> Quota(scope.backgroundScope, state, copies[i], teams, { listOf(ledgers[i]) }, 2) {} }
+                List(2) { i -> Quota(scope.backgroundScope, state, copies[i], teams, { listOf(shards[i]) }, 2) {} }
         }
 
         /** What the state service holds for a ledger. */
@@ -109,7 +109,7 @@
         ) = JobSpec
             .parse(
                 JsonObject(Rehearsal.job(n, "sweep", 4) + ("cores" to JsonPrimitive(cores))),
-            ).let { Job(it.ref, it, ledgers[i], it.taskCount, 0, JobState.OPEN) }
+            ).let { Job(it.ref, it, shards[i], it.taskCount, 0, JobState.OPEN) }
     }
 
     private fun setup(
@@ -150,7 +150,7 @@
             advanceTimeBy(100)
             s.seeAll()
             val before = s.service.value(Keys.team("vision"))
-            s.ledgers[0] = Ledger("l0", s.ledgers[0].holder)
+            s.shards[0] = JobShard("l0", s.shards[0].leader)
             assertFalse(s.quotas[0].allows(s.job(0, 1.0, 2)))
             s.quotas[0].handBack()
             advanceTimeBy(1000)
--- a/src/test/kotlin/micatally/sim/ArchiveTest.kt
+++ b/src/test/kotlin/micatally/sim/ArchiveTest.kt
@@ -172,7 +172,7 @@
             assertKnownEverywhere(refs)
         }
 
-    /** Guards: [micatally.ledger.Ledger.isUnreadable]; other ledgers' records in [micatally.job.LedgerRecords].
+    /** Guards: [micatally.ledger.JobShard.isUnreadable]; other ledgers' records in [micatally.job.ShardRecords].
      * A record that can't be read used to end the loading with an exception, while the node went on accepting jobs. */
     @Test
     fun `a controller that can't load its ledger accepts nothing until it can`() {
--- a/src/test/kotlin/micatally/sim/GangTest.kt
+++ b/src/test/kotlin/micatally/sim/GangTest.kt
@@ -29,7 +29,7 @@
         return submit(node, "gang", tasks, *all, "together" to true, *more, runMs = runMs)
     }
 
-    private fun Meeting.gangOf(ref: String) = f.live.mapNotNull { it?.owner?.job(ref) }.first { it.ledger.mine }
+    private fun Meeting.gangOf(ref: String) = f.live.mapNotNull { it?.owner?.job(ref) }.first { it.shard.mine }
 
     private fun Meeting.phase(ref: String) = gangOf(ref).gang!!.phase
 
--- a/src/test/kotlin/micatally/sim/LateWritesTest.kt
+++ b/src/test/kotlin/micatally/sim/LateWritesTest.kt
@@ -4,7 +4,7 @@
 import micatally.http.HttpRequest
 import micatally.ledger.Authority
 import micatally.ledger.Keys
-import micatally.ledger.LedgerState
+import micatally.ledger.ShardState
 import micatally.wire.JobSpec
 import micatally.wire.bytes
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -29,10 +29,10 @@
 
     /** The submission is repeated at node 0, which has its ledger and is still loading it, since the state service is slow. */
     private fun Meeting.repeatWhileLoading(s: JobSpec) {
-        val ledger = f.live[0]!!.owner.own()!!
+        val shard = f.live[0]!!.owner.own()!!
         f.scope.launch { f.askNode(0, "POST", "/work", s.source.bytes()) }
-        runUntil(2000, "it is being looked into") { s.ref in ledger.jobs }
-        assertEquals(LedgerState.LOADING, ledger.state)
+        runUntil(2000, "it is being looked into") { s.ref in shard.jobs }
+        assertEquals(ShardState.LOADING, shard.state)
         f.runFor(f.lease / 2)
         f.net.slowMs.clear()
     }
@@ -52,7 +52,7 @@
             val until = f.now + f.lease * 3
             while (f.now < until) {
                 f.step(100)
-                assertEquals(0, holder(0), "at ${f.now}")
+                assertEquals(0, leader(0), "at ${f.now}")
             }
         }
 
@@ -75,7 +75,7 @@
             f.stateRefuses.clear()
             runUntil(5000, "its host is live again") { f.live[0]!!.membership.leaseHolds() }
             f.runFor(12_000)
-            assertEquals(0, holder(0))
+            assertEquals(0, leader(0))
         }
 
     /** An answer that came after the ledger was lost gave back its task's share once more: with the ledger taken back the team
@@ -89,8 +89,8 @@
             cancel(ref, listOf(0))
             f.runFor(1000)
             val owner = f.live[0]!!.owner
-            owner.lose(owner.ledgers.getValue("pitbox-0"))
-            owner.checkLedgers()
+            owner.lose(owner.shards.getValue("pitbox-0"))
+            owner.checkShards()
             f.runFor(f.lease)
             assertEquals(0.0, owner.quota.used("pitbox-0", "vision").cores)
         }
--- a/src/test/kotlin/micatally/sim/Meetings.kt
+++ b/src/test/kotlin/micatally/sim/Meetings.kt
@@ -154,19 +154,19 @@
         c.over.complete(Unit)
     }
 
-    fun holder(ledger: Int) =
+    fun leader(shard: Int) =
         (0 until f.nodes).firstOrNull { i ->
-            f.live[i]?.membership?.holds("pitbox-$ledger") ==
+            f.live[i]?.membership?.holds("pitbox-$shard") ==
                 true
         }
 
     fun holdsOf(
         node: Int,
-        ledger: Int,
+        shard: Int,
     ) = f.live[node]
         ?.owner
-        ?.ledgers
-        ?.get("pitbox-$ledger")
+        ?.shards
+        ?.get("pitbox-$shard")
         ?.mine == true
 
     fun zoneOf(node: Int) =
--- a/src/test/kotlin/micatally/sim/MeetingsTest.kt
+++ b/src/test/kotlin/micatally/sim/MeetingsTest.kt
@@ -233,7 +233,7 @@
             assertTrue(f.net.keptCount > 0, "reports from before the tasks are kept")
             val starts = f.rules.starts
             f.crash(0)
-            runUntil(f.lease * 2, "a new leader begins") { others.any { holder(0) == it } }
+            runUntil(f.lease * 2, "a new leader begins") { others.any { leader(0) == it } }
             f.net.deliverKept(listOf("n1", "n2"))
             f.startNode(0)
             f.runFor(f.lease * 3)
--- a/src/test/kotlin/micatally/sim/TakeoverTest.kt
+++ b/src/test/kotlin/micatally/sim/TakeoverTest.kt
@@ -17,22 +17,22 @@
     @Test
     fun `a takeover that waited does not take the ledger from its next holder`() =
         meeting(1) {
-            val ledger = f.settings[0].host
+            val shard = f.settings[0].host
             val dead =
                 f.live[1]!!
                     .membership.cluster
-                    .holder(ledger)!!
+                    .leader(shard)!!
             f.crash(0)
-            runUntil(f.lease * 3, "another controller has the ledger") { holder(0) != null }
-            val next = holder(0)!!
+            runUntil(f.lease * 3, "another controller has the ledger") { leader(0) != null }
+            val next = leader(0)!!
             val slow = others.first { it != next }
             val membership = f.live[slow]!!.membership
-            runUntil(f.lease, "the other one has seen it") { membership.cluster.holder(ledger)?.modRevision != dead.modRevision }
+            runUntil(f.lease, "the other one has seen it") { membership.cluster.leader(shard)?.modRevision != dead.modRevision }
             var taken: Boolean? = null
-            f.scope.launch { taken = membership.acquire(ledger, "its holder ${dead.host} is dead", dead) }
+            f.scope.launch { taken = membership.acquire(shard, "its holder ${dead.host} is dead", dead) }
             runUntil(f.lease, "the takeover has ended") { taken != null }
             assertFalse(taken!!)
-            assertEquals(next, holder(0))
-            assertNotEquals(dead.modRevision, membership.cluster.modRevision(Keys.ledger(ledger)))
+            assertEquals(next, leader(0))
+            assertNotEquals(dead.modRevision, membership.cluster.modRevision(Keys.shard(shard)))
         }
 }
--- a/src/test/kotlin/micatally/upgrade/FormatTest.kt
+++ b/src/test/kotlin/micatally/upgrade/FormatTest.kt
@@ -12,10 +12,10 @@
 import micatally.job.Job
 import micatally.job.JobRecord
 import micatally.ledger.Cluster
-import micatally.ledger.Holder
+import micatally.ledger.ShardLeader
 import micatally.ledger.Keys
-import micatally.ledger.Ledger
-import micatally.ledger.LedgerState
+import micatally.ledger.JobShard
+import micatally.ledger.ShardState
 import micatally.state.KeyValue
 import micatally.state.Listing
 import micatally.wire.HeartbeatAcknowledgements
@@ -46,17 +46,17 @@
             }
         }
 
-    private fun ledgerOf(record: JsonObject): Ledger {
-        val (process, epoch) = JobRecord.holdOf(record).split(':')
-        val name = JobRecord.ledgerOf(record)
-        return Ledger(name, Holder(name, process, epoch.toLong(), 1)).also { it.become(LedgerState.ACTIVE) }
+    private fun shardOf(record: JsonObject): JobShard {
+        val (process, epoch) = JobRecord.termOf(record).split(':')
+        val name = JobRecord.shardOf(record)
+        return JobShard(name, ShardLeader(name, process, epoch.toLong(), 1)).also { it.become(ShardState.ACTIVE) }
     }
 
     private fun decoded(
         key: String,
         record: JsonObject,
     ): Job {
-        val job = JobRecord.decode(key.removePrefix(Keys.JOB), record, ledgerOf(record), 1)
+        val job = JobRecord.decode(key.removePrefix(Keys.JOB), record, shardOf(record), 1)
         val machines = HashMap<String, Machine>()
         for (p in JobRecord.placed(record)) {
             val m = machines.getOrPut(p.machine) { Machine(p.machine, p.addr, p.type, p.zone, p.spot) }
@@ -93,8 +93,8 @@
                 key,
             )
             assertEquals(
-                listOf(job.ledger.name, job.taskCount, job.ledger.hold),
-                listOf(former.ledger, former.tasks, former.hold),
+                listOf(job.shard.name, job.taskCount, job.shard.term),
+                listOf(former.shard, former.tasks, former.term),
                 key,
             )
         }
@@ -183,7 +183,7 @@
             UpgradePlan.next(c, "pitbox-0", listOf("pitbox-0", "pitbox-1")),
         )
         assertEquals(3L, c.epoch)
-        assertEquals(listOf("pitbox-0", "pitbox-1", "pitbox-2"), c.ledgers().sorted())
+        assertEquals(listOf("pitbox-0", "pitbox-1", "pitbox-2"), c.shards().sorted())
     }
 
     @Test
--- a/src/test/kotlin/micatally/upgrade/FormerRecordCodec.kt
+++ b/src/test/kotlin/micatally/upgrade/FormerRecordCodec.kt
@@ -12,10 +12,10 @@
 ) {
     private fun text(name: String) = (stored.getValue(name) as JsonPrimitive).content
 
-    val ledger get() = text("l")
+    val shard get() = text("l")
     val state get() = text("e")
     val tasks get() = text("k").toInt()
-    val hold get() = text("c")
+    val term get() = text("c")
     val isSettled get() = state != "o" && stored["a"] == null
     val isWithdrawalConfirmable get() = state != "w" || stored["a"] == null || stored["x"] != null
     val nextAttempt get() = (stored["n"] as? JsonPrimitive)?.long ?: 1L
