--- a/src/main/kotlin/micatally/api/UserApi.kt
+++ b/src/main/kotlin/micatally/api/UserApi.kt
@@ -33,7 +33,7 @@
 import micatally.wire.bytes
 import micatally.wire.parseObject
 import micatally.wire.textOrNull
-import micatally.worker.Machines
+import micatally.worker.MachineRegistry
 import micatally.worker.WorkerReach
 
 /** What users ask. Nothing is held back: what can't be decided now is answered 503 with the time to come back. */
@@ -44,7 +44,7 @@
     private val membership: Membership,
     private val jobManager: JobManager,
     private val store: JobStore,
-    private val machines: Machines,
+    private val machines: MachineRegistry,
     private val peers: Peers,
     private val rounds: Rounds,
     private val upgrade: Upgrade,
--- a/src/main/kotlin/micatally/api/WorkerApi.kt
+++ b/src/main/kotlin/micatally/api/WorkerApi.kt
@@ -17,14 +17,14 @@
 import micatally.wire.parseObject
 import micatally.wire.heartbeatResponse
 import micatally.worker.AttemptId
-import micatally.worker.Machines
+import micatally.worker.MachineRegistry
 import micatally.worker.CancelledTasks
 
 /** Workers' reports. A 200 keeps a worker's tasks alive, so it is given only while this node is entitled to. */
 class WorkerApi(
     private val settings: Settings,
     private val membership: Membership,
-    private val machines: Machines,
+    private val machines: MachineRegistry,
     private val peers: Peers,
     private val cancelledTasks: CancelledTasks,
     private val nowMs: () -> Long,
@@ -43,7 +43,7 @@
             }
         val m = machines.of(report.machine)
         val before = m?.tasks
-        val news = machines.absorb(report, false)
+        val news = machines.apply(report, false)
         val known = machines.known(report.machine, report.addr, report.type, report.zone, report.spot)
         if (news && (before == null || differs(before, report))) peers.tell(known)
         // The node does not know the epoch that the worker knows: it may have been replaced without having heard.
--- a/src/main/kotlin/micatally/api/WorkerRedirects.kt
+++ b/src/main/kotlin/micatally/api/WorkerRedirects.kt
@@ -3,7 +3,7 @@
 import micatally.settings.Settings
 import micatally.wire.Heartbeat
 import micatally.worker.Machine
-import micatally.worker.Machines
+import micatally.worker.MachineRegistry
 
 /**
  * Sends workers to the controller of their own zone, so that a cut between zones does not end their leases.
@@ -14,7 +14,7 @@
  */
 class WorkerRedirects(
     private val settings: Settings,
-    private val machines: Machines,
+    private val machines: MachineRegistry,
     private val nowMs: () -> Long,
     private val bestFor: (String) -> String?,
 ) {
--- a/src/main/kotlin/micatally/fleet/Drains.kt
+++ b/src/main/kotlin/micatally/fleet/Drains.kt
@@ -17,7 +17,7 @@
 import micatally.state.Urgency
 import micatally.wire.ResourceRequest
 import micatally.worker.Machine
-import micatally.worker.Machines
+import micatally.worker.MachineRegistry
 import org.slf4j.LoggerFactory
 
 /** EMPTYING: no new tasks, the owners move what they can. EMPTY: nothing on it; deleted once all know of the drain. */
@@ -29,7 +29,7 @@
     private val settings: Settings,
     private val state: StateStoreClient,
     private val sharedKeys: SharedKeyCache,
-    private val machines: Machines,
+    private val machines: MachineRegistry,
     private val rentals: Rentals,
     private val deletions: Deletions,
     private val recentServices: () -> List<ResourceRequest>,
--- a/src/main/kotlin/micatally/fleet/FleetManager.kt
+++ b/src/main/kotlin/micatally/fleet/FleetManager.kt
@@ -20,7 +20,7 @@
 import micatally.wire.ResourceRequest
 import micatally.wire.ListedMachine
 import micatally.wire.textOrNull
-import micatally.worker.Machines
+import micatally.worker.MachineRegistry
 import org.slf4j.LoggerFactory
 
 /** What the fleet manager hears from the rest of the node. */
@@ -43,7 +43,7 @@
     private val state: StateStoreClient,
     private val cloud: CloudClient,
     private val membership: Membership,
-    private val machines: Machines,
+    private val machines: MachineRegistry,
     private val fleetDemand: FleetDemand,
     operator: Operator,
     private val nowMs: () -> Long,
--- a/src/main/kotlin/micatally/fleet/MachineTypes.kt
+++ b/src/main/kotlin/micatally/fleet/MachineTypes.kt
@@ -13,7 +13,7 @@
 import micatally.state.Urgency
 import micatally.wire.MachineType
 import micatally.wire.MalformedMessage
-import micatally.worker.Machines
+import micatally.worker.MachineRegistry
 import org.slf4j.LoggerFactory
 
 /** Keeps the machine types known here: from the cloud, or from the state service while the cloud can't be asked. */
@@ -21,7 +21,7 @@
     private val settings: Settings,
     private val state: StateStoreClient,
     private val cloud: CloudClient,
-    private val machines: Machines,
+    private val machines: MachineRegistry,
     private val isLeader: () -> Boolean,
     private val onFirstKnown: () -> Unit,
 ) {
--- a/src/main/kotlin/micatally/fleet/Renting.kt
+++ b/src/main/kotlin/micatally/fleet/Renting.kt
@@ -14,7 +14,7 @@
 import micatally.state.TransactionResult
 import micatally.state.Urgency
 import micatally.wire.ResourceRequest
-import micatally.worker.Machines
+import micatally.worker.MachineRegistry
 import org.slf4j.LoggerFactory
 
 /** Rents machines for demand that finds no room, under names that are stored first and never used twice. */
@@ -24,7 +24,7 @@
     private val state: StateStoreClient,
     private val cloud: CloudClient,
     private val sharedKeys: SharedKeyCache,
-    private val machines: Machines,
+    private val machines: MachineRegistry,
     private val rentals: Rentals,
     private val isLeader: () -> Boolean,
     private val nowMs: () -> Long,
--- a/src/main/kotlin/micatally/fleet/SilentMachines.kt
+++ b/src/main/kotlin/micatally/fleet/SilentMachines.kt
@@ -9,7 +9,7 @@
 import micatally.wire.MalformedMessage
 import micatally.wire.parseObject
 import micatally.worker.Machine
-import micatally.worker.Machines
+import micatally.worker.MachineRegistry
 import org.slf4j.LoggerFactory
 
 /**
@@ -22,7 +22,7 @@
     private val scope: CoroutineScope,
     private val http: HttpCaller,
     private val settings: Settings,
-    private val machines: Machines,
+    private val machines: MachineRegistry,
     private val rentals: Rentals,
     private val silentZones: () -> Set<String>,
     private val nowMs: () -> Long,
@@ -138,7 +138,7 @@
         m: Machine,
         now: Long,
     ) {
-        val isTooSoon = m.addr.isEmpty() || probing.size >= settings.probesAtOnce || now - m.probedAt < probeMs
+        val isTooSoon = m.addr.isEmpty() || probing.size >= settings.maxConcurrentProbes || now - m.probedAt < probeMs
         if (isTooSoon || !probing.add(m.name)) return
         m.probedAt = now
         scope.launch {
@@ -162,7 +162,7 @@
                 if (out.status == 200) {
                     m.mute = 0
                     m.dark = 0
-                    machines.absorb(Heartbeat.parse(parseObject(out.body)), false)
+                    machines.apply(Heartbeat.parse(parseObject(out.body)), false)
                 }
             // The first one may have gone into a connection from before; the second has made one.
             Outcome.Silence, Outcome.TooLarge -> {
--- a/src/main/kotlin/micatally/gang/GangPolicy.kt
+++ b/src/main/kotlin/micatally/gang/GangPolicy.kt
@@ -56,7 +56,7 @@
     private fun isKnownNotToRun(attempt: Attempt) =
         when (attempt.state) {
             AttemptState.INTENDED, AttemptState.RECORDED, AttemptState.PULLING, AttemptState.WAITING -> true
-            AttemptState.ORDERED -> attempt.sentAt != null
+            AttemptState.DISPATCHED -> attempt.sentAt != null
             else -> false
         }
 
--- a/src/main/kotlin/micatally/gang/GangSupervisor.kt
+++ b/src/main/kotlin/micatally/gang/GangSupervisor.kt
@@ -18,7 +18,7 @@
         end: AttemptTermination,
     )
 
-    fun poke(machine: Machine)
+    fun requestSync(machine: Machine)
 }
 
 /** Carries out what [GangPolicy] decides for the gangs of this node. Attempts end as everywhere, through their owner. */
@@ -126,6 +126,6 @@
             attempt.stop(reason, now)
             machines.add(attempt.machine)
         }
-        for (machine in machines) jobManager.poke(machine)
+        for (machine in machines) jobManager.requestSync(machine)
     }
 }
--- a/src/main/kotlin/micatally/job/Attempt.kt
+++ b/src/main/kotlin/micatally/job/Attempt.kt
@@ -7,10 +7,10 @@
  *
  * INTENDED: decided, not yet in the state service, so nothing may be sent.
  * RECORDED: the intent is durable; no run has left.
- * ORDERED: a run may have left. From here on only a proof ends the attempt.
+ * DISPATCHED: a run may have left. From here on only a proof ends the attempt.
  * PULLING, WAITING, RUNNING, SAVING: as the worker said last; a gang's task waits for the others.
  * GONE: proven not to be on its machine and not to come there any more. */
-enum class AttemptState { INTENDED, RECORDED, ORDERED, PULLING, WAITING, RUNNING, SAVING, TERMINATED }
+enum class AttemptState { INTENDED, RECORDED, DISPATCHED, PULLING, WAITING, RUNNING, SAVING, TERMINATED }
 
 /** The proofs that an attempt is gone. Nothing else counts; above all no report that merely lacks it. */
 enum class TerminationEvidence { NEVER_SENT, DIRECT_RESPONSE, NEWER_INCARNATION, MACHINE_DELETED, COMPLETED }
--- a/src/main/kotlin/micatally/job/FaultJudgement.kt
+++ b/src/main/kotlin/micatally/job/FaultJudgement.kt
@@ -2,13 +2,13 @@
 
 import micatally.settings.Settings
 import micatally.worker.Machine
-import micatally.worker.Machines
+import micatally.worker.MachineRegistry
 import org.slf4j.LoggerFactory
 
 /** Tells jobs with a mistake from faulty machines, by which jobs failed where and by what succeeds beside them. */
 class FaultJudgement(
     private val settings: Settings,
-    private val machines: Machines,
+    private val machines: MachineRegistry,
 ) {
     private val log = LoggerFactory.getLogger("micatally.job")
     private val memoryMs = settings.leaseMs * MEMORY_LEASES
--- a/src/main/kotlin/micatally/job/JobManager.kt
+++ b/src/main/kotlin/micatally/job/JobManager.kt
@@ -22,9 +22,9 @@
 import micatally.wire.JobSpec
 import micatally.wire.ListedTask
 import micatally.worker.Machine
-import micatally.worker.Machines
-import micatally.worker.OrderBook
-import micatally.worker.Orders
+import micatally.worker.MachineRegistry
+import micatally.worker.AttemptDirectory
+import micatally.worker.CommandDispatcher
 import org.slf4j.LoggerFactory
 
 /** The jobs of the ledgers that this node holds, and all that happens to their tasks. */
@@ -33,23 +33,23 @@
     private val settings: Settings,
     state: StateStoreClient,
     private val membership: Membership,
-    private val machines: Machines,
+    private val machines: MachineRegistry,
     private val store: JobStore,
     private val nowMs: () -> Long,
     private val wallMs: () -> Long,
-) : OrderBook,
+) : AttemptDirectory,
     GangTaskControl {
     private val log = LoggerFactory.getLogger("micatally.job")
     private val loader = ShardLoader(settings, ShardRecords(state), machines, store, this, nowMs)
     val shards = HashMap<String, JobShard>()
-    lateinit var orders: Orders
+    lateinit var dispatcher: CommandDispatcher
     lateinit var quota: Quota
     var wake: () -> Unit = {}
     val faults = FaultJudgement(settings, machines)
 
     val gangs = GangSupervisor(this, GangTiming(settings.gangWaitMs, settings.gangPeerMs, settings.heartbeatIntervalMs), nowMs)
 
-    override fun poke(machine: Machine) = orders.poke(machine)
+    override fun requestSync(machine: Machine) = dispatcher.requestSync(machine)
 
     /** Final answers, which never change. */
     private val finals = CacheBuilder.newBuilder().maximumSize(FINALS).build<String, JobAnswer>()
@@ -192,7 +192,7 @@
                 touched.add(a.machine)
             }
         }
-        for (m in touched) orders.poke(m)
+        for (m in touched) dispatcher.requestSync(m)
         if (job.durableState == JobState.DONE || job.durableState == JobState.CANCELLED) {
             if (cancellations.mayConfirm(job)) rememberFinal(job.answer())
             if (job.attempts.isEmpty() && job.durableVersion == job.version) {
@@ -328,18 +328,18 @@
     }
 
     /** A newer task list of a machine. Without an answer to our own request it proves only what can't change any more. */
-    fun listed(
+    fun tasksReported(
         m: Machine,
         own: Boolean,
     ) {
-        var poke = false
+        var requestSync = false
         for (t in m.tasks) {
             val job = job(t.ref) ?: continue
             val a = job.attempts[t.taskIndex]
             if (a != null && a.number == t.attempt && a.machine === m && a.incarnation == m.incarnation) {
-                poke = listedAttempt(a, t, own) || poke
+                requestSync = listedAttempt(a, t, own) || requestSync
             } else {
-                poke = true
+                requestSync = true
                 if (t.done) doneUnderFormerAttempt(job, t.taskIndex)
             }
         }
@@ -350,10 +350,10 @@
                     m.tasks.none { t -> t.ref == it.job.ref && t.taskIndex == it.taskIndex && t.attempt == it.number }
             }
         ) {
-            m.mustAsk = true
-            poke = true
+            m.needsStatus = true
+            requestSync = true
         }
-        if (poke) orders.poke(m)
+        if (requestSync) dispatcher.requestSync(m)
     }
 
     /** Completed under an attempt that was given up for good reasons: the result counts all the same. */
@@ -385,7 +385,7 @@
                 if (t.done) {
                     terminate(a, AttemptTermination(TerminationEvidence.COMPLETED, "done", ExitReason.DONE))
                 } else if (!own) {
-                    a.machine.mustAsk = true
+                    a.machine.needsStatus = true
                 }
                 return t.done || !own
             }
@@ -400,7 +400,7 @@
         a: Attempt,
         state: AttemptState,
     ): Boolean {
-        if (a.state < AttemptState.ORDERED || a.state >= state) return false
+        if (a.state < AttemptState.DISPATCHED || a.state >= state) return false
         a.transitionTo(state, nowMs())
         gangs.taskSeen(a)
         return true
@@ -470,7 +470,7 @@
             touched.add(a.machine)
         }
         store.touch(job, true)
-        for (m in touched) orders.poke(m)
+        for (m in touched) dispatcher.requestSync(m)
     }
 
     /** Adopted after a takeover: a withdrawn job's tasks must still go. */
@@ -485,16 +485,16 @@
         }
         for (m in machines.byName.values) {
             if (m.deleted || m.attempts.isEmpty() && m.tasks.none { it.ended && mine(it.ref) }) continue
-            if (m.flushing) continue
+            if (m.isSyncing) continue
             if (m.attempts.any {
                     it.stop != null || it.state == AttemptState.RECORDED ||
-                        it.state == AttemptState.ORDERED ||
+                        it.state == AttemptState.DISPATCHED ||
                         m.confirmedToken < it.job.shard.leader.fencingToken
                 } ||
-                m.mustAsk ||
+                m.needsStatus ||
                 m.tasks.any { it.ended && mine(it.ref) }
             ) {
-                orders.poke(m)
+                dispatcher.requestSync(m)
             }
         }
     }
--- a/src/main/kotlin/micatally/job/ShardLoader.kt
+++ b/src/main/kotlin/micatally/job/ShardLoader.kt
@@ -6,14 +6,14 @@
 import micatally.ledger.ShardState
 import micatally.settings.Settings
 import micatally.wire.CancelledTask
-import micatally.worker.Machines
+import micatally.worker.MachineRegistry
 import org.slf4j.LoggerFactory
 
 /** Brings the jobs of a ledger that this node has just acquired from the state service into memory. */
 class ShardLoader(
     private val settings: Settings,
     private val records: ShardRecords,
-    private val machines: Machines,
+    private val machines: MachineRegistry,
     private val store: JobStore,
     private val jobManager: JobManager,
     private val nowMs: () -> Long,
@@ -112,7 +112,7 @@
         val machine = machines.known(placed.machine, placed.addr, placed.type, placed.zone, placed.spot)
         if (machine.incarnation == 0L) machine.incarnation = placed.incarnation
         val attempt =
-            Attempt(job, placed.taskIndex, placed.number, machine, placed.incarnation, job.service, AttemptState.ORDERED)
+            Attempt(job, placed.taskIndex, placed.number, machine, placed.incarnation, job.service, AttemptState.DISPATCHED)
         job.attempts[placed.taskIndex] = attempt
         jobManager.attach(attempt)
     }
@@ -123,8 +123,8 @@
             if (m.incarnation > 0) jobManager.newIncarnation(m)
             if (m.deleted) jobManager.deleted(m)
             if (m.attempts.isNotEmpty()) {
-                jobManager.listed(m, false)
-                jobManager.poke(m)
+                jobManager.tasksReported(m, false)
+                jobManager.requestSync(m)
             }
         }
     }
--- a/src/main/kotlin/micatally/node/Controller.kt
+++ b/src/main/kotlin/micatally/node/Controller.kt
@@ -45,8 +45,8 @@
 import micatally.upgrade.Upgrade
 import micatally.wire.PeerJobRequest
 import micatally.worker.Machine
-import micatally.worker.Machines
-import micatally.worker.Orders
+import micatally.worker.MachineRegistry
+import micatally.worker.CommandDispatcher
 import micatally.worker.WorkerReach
 import org.slf4j.LoggerFactory
 import kotlin.random.Random
@@ -94,7 +94,7 @@
         )
     val membership =
         Membership(scope, settings, state, SharedKeyCache(), random, nowMs, operator.archiveMode == ArchiveMode.ON)
-    val machines = Machines(nowMs)
+    val machines = MachineRegistry(nowMs)
     private val wantedFormat =
         if (operator.storesTeams) FormatVersion.STORED_TEAMS else FormatVersion.PACKED_RECORDS
     private val upgrade = Upgrade(scope, settings, state, membership.sharedKeys, wantedFormat) { uniform() }
@@ -107,7 +107,7 @@
     private val store =
         JobStore(scope, state, forms, settings.heartbeatIntervalMs / 4, settings.leaseMs / 10, { archive.mayBeUsed }, nowMs)
     val jobManager = JobManager(scope, settings, state, membership, machines, store, nowMs, wallMs)
-    private val orders = Orders(scope, http, settings, membership, machines, jobManager, jobManager.cancellations.cancelledTasks, nowMs)
+    private val dispatcher = CommandDispatcher(scope, http, settings, membership, machines, jobManager, jobManager.cancellations.cancelledTasks, nowMs)
     private val quota =
         Quota(scope, state, membership.sharedKeys, configuration.teams, {
             jobManager.shards.values.filter { it.mine }
@@ -120,7 +120,7 @@
             machines,
             store,
             quota,
-            orders,
+            dispatcher,
             Queues(
                 operator.queueBounds.map {
                     it *
@@ -181,7 +181,7 @@
     val isFleetManager get() = fleetManager.isLeader
 
     fun start() {
-        jobManager.orders = orders
+        jobManager.dispatcher = dispatcher
         configuration.start { former, next -> configurationApplied(former, next) }
         membership.shouldStepDown = { reach.mayStepDown() && peers.somePeerHasState() }
         membership.peersConfirmedAt = { peers.peersConfirmedAt() }
@@ -198,14 +198,14 @@
             scope.launch { membership.refresh() }
         }
         machines.onNewIncarnation = { jobManager.newIncarnation(it) }
-        machines.onBehind = { m ->
+        machines.onMissedChange = { m ->
             if (m.attempts.isNotEmpty()) {
-                m.mustAsk = true
-                orders.poke(m)
+                m.needsStatus = true
+                dispatcher.requestSync(m)
             }
         }
-        machines.onTasks = { m, own ->
-            jobManager.listed(m, own)
+        machines.onTasksReported = { m, own ->
+            jobManager.tasksReported(m, own)
             rounds.wake()
         }
         fleetManager.onMachineTypes = { rounds.wake() }
@@ -286,7 +286,7 @@
                 if (m.hasSpotNotice && !m.deleted) {
                     var touched = false
                     for (a in m.attempts.toList()) {
-                        if (a.stop != null || a.state < AttemptState.ORDERED) continue
+                        if (a.stop != null || a.state < AttemptState.DISPATCHED) continue
                         if (a.job.gang !=
                             null
                         ) {
@@ -295,11 +295,11 @@
                             touched = true
                         }
                     }
-                    if (touched) orders.poke(m)
+                    if (touched) dispatcher.requestSync(m)
                 }
             }
-            if (orders.wantsHigherToken && now - bumpedAt > settings.leaseMs / 2) {
-                orders.wantsHigherToken = false
+            if (dispatcher.needsHigherFencingToken && now - bumpedAt > settings.leaseMs / 2) {
+                dispatcher.needsHigherFencingToken = false
                 bumpedAt = now
                 membership.raiseFencingToken("a run without an answer must not come late")
             }
--- a/src/main/kotlin/micatally/peer/OwnSummary.kt
+++ b/src/main/kotlin/micatally/peer/OwnSummary.kt
@@ -11,13 +11,13 @@
 import micatally.wire.ResourceRequest
 import micatally.wire.HeldCapacity
 import micatally.wire.CapacitySummary
-import micatally.worker.Machines
+import micatally.worker.MachineRegistry
 
 /** What this node holds on machines and what waits here, numbered so that peers are told changes only. */
 internal class OwnSummary(
     private val settings: Settings,
     private val membership: Membership,
-    private val machines: Machines,
+    private val machines: MachineRegistry,
     private val jobManager: JobManager,
     private val rounds: Rounds,
 ) {
--- a/src/main/kotlin/micatally/peer/PeerSummaries.kt
+++ b/src/main/kotlin/micatally/peer/PeerSummaries.kt
@@ -9,7 +9,7 @@
 import micatally.wire.CapacitySummary
 import micatally.wire.textOrNull
 import micatally.worker.Machine
-import micatally.worker.Machines
+import micatally.worker.MachineRegistry
 
 /** Whether an owner holds anything on the machine. */
 internal val HeldCapacity.isHeld get() = cores > 0 || gpus > 0 || memoryGb > 0
@@ -18,7 +18,7 @@
 internal class PeerSummaries(
     private val settings: Settings,
     private val membership: Membership,
-    private val machines: Machines,
+    private val machines: MachineRegistry,
     private val nowMs: () -> Long,
 ) {
     /** A peer's summary, put together from what came. */
--- a/src/main/kotlin/micatally/peer/Peers.kt
+++ b/src/main/kotlin/micatally/peer/Peers.kt
@@ -37,7 +37,7 @@
 import micatally.wire.CancelledTaskList
 import micatally.wire.textOrNull
 import micatally.worker.Machine
-import micatally.worker.Machines
+import micatally.worker.MachineRegistry
 import java.util.Base64
 
 /** What controllers tell each other: reports handed on to the owners of their tasks, free-room summaries, questions
@@ -48,7 +48,7 @@
     private val settings: Settings,
     private val state: StateStoreClient,
     private val membership: Membership,
-    private val machines: Machines,
+    private val machines: MachineRegistry,
     private val jobManager: JobManager,
     private val rounds: Rounds,
     private val nowMs: () -> Long,
@@ -246,7 +246,7 @@
             }
         }
         var new = news.summary != null
-        for (n in news.notes) if (machines.absorb(n)) new = true
+        for (n in news.notes) if (machines.apply(n)) new = true
         for (n in news.heard) {
             machines.heard(n)
             machines.of(n.machine)?.heardBy(news.host, nowMs() - n.ageMs)
--- a/src/main/kotlin/micatally/placement/PlacementView.kt
+++ b/src/main/kotlin/micatally/placement/PlacementView.kt
@@ -5,12 +5,12 @@
 import micatally.wire.ResourceRequest
 import micatally.wire.JobSpec
 import micatally.worker.Machine
-import micatally.worker.Machines
+import micatally.worker.MachineRegistry
 
 /** The machines as placement looks at them, and what other owners wait for. */
 class PlacementView(
     private val settings: Settings,
-    val machines: Machines,
+    val machines: MachineRegistry,
 ) {
     private val hosts = (settings.peers.map { it.host } + settings.host).sorted()
     private val ownIndex = hosts.indexOf(settings.host)
--- a/src/main/kotlin/micatally/placement/Preemption.kt
+++ b/src/main/kotlin/micatally/placement/Preemption.kt
@@ -9,7 +9,7 @@
 import micatally.wire.MachineType
 import micatally.wire.JobSpec
 import micatally.worker.Machine
-import micatally.worker.Orders
+import micatally.worker.CommandDispatcher
 import org.slf4j.LoggerFactory
 
 /** A waiting task that fits nowhere, of this owner or of another one. */
@@ -42,7 +42,7 @@
     private val settings: Settings,
     private val view: PlacementView,
     private val queues: Queues,
-    private val orders: Orders,
+    private val dispatcher: CommandDispatcher,
 ) {
     private val log = LoggerFactory.getLogger("micatally.placement")
 
@@ -87,7 +87,7 @@
         val m = best.firstOrNull()?.machine ?: return false
         stop(best, need, now)
         promised.merge(m.name, need.resources, Resources::plus)
-        orders.poke(m)
+        dispatcher.requestSync(m)
         return true
     }
 
--- a/src/main/kotlin/micatally/placement/ReplicaMoves.kt
+++ b/src/main/kotlin/micatally/placement/ReplicaMoves.kt
@@ -13,7 +13,7 @@
 import micatally.settings.Settings
 import micatally.wire.JobSpec
 import micatally.worker.Machine
-import micatally.worker.Orders
+import micatally.worker.CommandDispatcher
 import org.slf4j.LoggerFactory
 
 /** Moves replicas off machines that are being emptied. */
@@ -24,7 +24,7 @@
     private val jobManager: JobManager,
     private val store: JobStore,
     private val quota: Quota,
-    private val orders: Orders,
+    private val dispatcher: CommandDispatcher,
     private val nowMs: () -> Long,
 ) {
     private val log = LoggerFactory.getLogger("micatally.placement")
@@ -130,7 +130,7 @@
         move.a.stop(StopReason.DRAIN, now)
         moved[ref to move.a.taskIndex] = move.to
         log.info("task {} moves to {}", move.a, move.to.name)
-        orders.poke(move.a.machine)
+        dispatcher.requestSync(move.a.machine)
     }
 
     /** Whether the state service answers now, and no write of this node waits. */
--- a/src/main/kotlin/micatally/placement/Rounds.kt
+++ b/src/main/kotlin/micatally/placement/Rounds.kt
@@ -14,8 +14,8 @@
 import micatally.wire.Resources
 import micatally.wire.ResourceRequest
 import micatally.wire.JobSpec
-import micatally.worker.Machines
-import micatally.worker.Orders
+import micatally.worker.MachineRegistry
+import micatally.worker.CommandDispatcher
 import org.slf4j.LoggerFactory
 
 /** Decision rounds: from the top queue down, skipping what finds no room. They run on events, with a budget of time
@@ -24,10 +24,10 @@
     private val scope: CoroutineScope,
     private val settings: Settings,
     private val jobManager: JobManager,
-    private val machines: Machines,
+    private val machines: MachineRegistry,
     private val store: JobStore,
     private val quota: Quota,
-    private val orders: Orders,
+    private val dispatcher: CommandDispatcher,
     private val queues: Queues,
     private val effort: Effort,
     private val nowMs: () -> Long,
@@ -43,8 +43,8 @@
     /** What other owners could not place. An owner can stop only its own tasks, and does so for them too. */
     var foreign: () -> List<ResourceRequest> = { emptyList() }
     private val view = PlacementView(settings, machines)
-    private val preemption = Preemption(settings, view, queues, orders)
-    private val moves = ReplicaMoves(scope, settings, view, jobManager, store, quota, orders, nowMs)
+    private val preemption = Preemption(settings, view, queues, dispatcher)
+    private val moves = ReplicaMoves(scope, settings, view, jobManager, store, quota, dispatcher, nowMs)
     private val whole =
         WholePlacement(settings, view, jobManager, store, quota) { job, demand ->
             finding[job.ref] = demand
--- a/src/main/kotlin/micatally/settings/Settings.kt
+++ b/src/main/kotlin/micatally/settings/Settings.kt
@@ -88,10 +88,10 @@
 
     /** Requests with orders that may be under way at once. Together with the probes of silent machines they leave a part of
      * [outgoingSockets] to the state service, the cloud and the other controllers, however many machines don't answer. */
-    val ordersAtOnce get() = maxOf(1, outgoingSockets / 2)
+    val maxConcurrentCommands get() = maxOf(1, outgoingSockets / 2)
 
     /** Probes of silent machines that may be under way at once. */
-    val probesAtOnce get() = maxSockets / 8
+    val maxConcurrentProbes get() = maxSockets / 8
 
     /** How long room counts as held after its owner has changed, until the new one has loaded the ledger and told. */
     val handOverMs get() = leaseMs / 4
--- a/src/main/kotlin/micatally/worker/Orders.kt
+++ b/src/main/kotlin/micatally/worker/CommandDispatcher.kt
@@ -22,7 +22,7 @@
 import org.slf4j.LoggerFactory
 
 /** What the order channel needs to know of the jobs of this node. */
-interface OrderBook {
+interface AttemptDirectory {
     /** The job's live attempt at this task, or null; [mine] tells whether the job is in an active ledger of this node. */
     fun mine(ref: String): Boolean
 
@@ -42,13 +42,13 @@
 
 /** Brings each machine to what this node wants of it. What to send is worked out anew from the attempts each time,
  * one request a machine at a time, so repeating is the normal case and nothing is lost with an answer. */
-class Orders(
+class CommandDispatcher(
     private val scope: CoroutineScope,
     private val http: HttpCaller,
     private val settings: Settings,
     private val membership: Membership,
-    private val machines: Machines,
-    private val book: OrderBook,
+    private val machines: MachineRegistry,
+    private val attemptDirectory: AttemptDirectory,
     private val cancelledTasks: CancelledTasks,
     private val nowMs: () -> Long,
 ) {
@@ -56,21 +56,21 @@
     private val answerMs = settings.leaseMs * 4 / 10
     private val killEveryMs = settings.heartbeatIntervalMs
     private val killedAt = HashMap<Attempt, Long>()
-    private val gate = OrderGate(settings.ordersAtOnce)
+    private val gate = CommandGate(settings.maxConcurrentCommands)
 
     /** Set when a run may still be under way that only a higher token can stop. */
-    var wantsHigherToken = false
+    var needsHigherFencingToken = false
 
-    fun poke(m: Machine) {
-        m.poked = true
-        if (m.flushing && gate.waitingCount > 0) gate.promote(m.name, urgencyOf(m))
-        if (m.flushing || m.deleted) return
-        m.flushing = true
+    fun requestSync(m: Machine) {
+        m.isSyncRequested = true
+        if (m.isSyncing && gate.waitingCount > 0) gate.promote(m.name, urgencyOf(m))
+        if (m.isSyncing || m.deleted) return
+        m.isSyncing = true
         scope.launch {
             try {
-                flush(m)
+                sync(m)
             } finally {
-                m.flushing = false
+                m.isSyncing = false
             }
         }
     }
@@ -85,7 +85,7 @@
         val now = nowMs()
         val token = membership.sharedKeys.fencingToken
         val commands = ArrayList<Command>()
-        var ask = m.mustAsk
+        var ask = m.needsStatus
         val covered = ArrayList<Attempt>()
         val listed = m.tasks.associateBy { AttemptId(it.ref, it.taskIndex, it.attempt) }
         for (a in m.attempts.toList()) {
@@ -101,7 +101,7 @@
                 if (a.state ==
                     AttemptState.RECORDED
                 ) {
-                    book.terminate(a, AttemptTermination(TerminationEvidence.NEVER_SENT, stop.name))
+                    attemptDirectory.terminate(a, AttemptTermination(TerminationEvidence.NEVER_SENT, stop.name))
                     continue
                 }
                 covered.add(a)
@@ -123,10 +123,10 @@
                 }
                 commands.add(Command(CommandType.RUN, a.job.ref, a.taskIndex, a.number))
                 covered.add(a)
-            } else if (a.state == AttemptState.ORDERED && entry == null) {
+            } else if (a.state == AttemptState.DISPATCHED && entry == null) {
                 covered.add(a)
                 // Taken over: whether it ever left is not known, so the machine is asked before anything else.
-                if (a.sentAt == null || book.isSuspended(a.job.ref)) {
+                if (a.sentAt == null || attemptDirectory.isSuspended(a.job.ref)) {
                     ask = true
                 } else if (membership.mayStart) {
                     commands.add(Command(CommandType.RUN, a.job.ref, a.taskIndex, a.number))
@@ -137,8 +137,8 @@
             }
         }
         for (t in m.tasks) {
-            if (!book.mine(t.ref)) continue
-            val a = book.attempt(t.ref, t.taskIndex)
+            if (!attemptDirectory.mine(t.ref)) continue
+            val a = attemptDirectory.attempt(t.ref, t.taskIndex)
             if (a != null && a.number == t.attempt && a.machine === m) continue
             if (!t.ended) {
                 commands.add(Command(CommandType.KILL, t.ref, t.taskIndex, t.attempt, 0.0))
@@ -155,13 +155,13 @@
                     ask = true
                 }
             } else {
-                wantsHigherToken = true
+                needsHigherFencingToken = true
             }
         }
         if (commands.isEmpty() && !ask) return null
         if (commands.size > MAX_COMMANDS) {
             val sent = commands.take(MAX_COMMANDS)
-            m.poked = true
+            m.isSyncRequested = true
             return Batch(
                 token,
                 sent,
@@ -187,7 +187,7 @@
     private fun attemptOf(
         m: Machine,
         c: Command,
-    ) = book.attempt(c.ref, c.taskIndex)?.takeIf {
+    ) = attemptDirectory.attempt(c.ref, c.taskIndex)?.takeIf {
         it.number == c.attempt &&
             it.machine === m
     }
@@ -205,12 +205,12 @@
 
     private fun saveS(attempt: Attempt) = attempt.job.spec?.saveS ?: 0.0
 
-    private suspend fun flush(m: Machine) {
-        while (m.poked && !m.deleted) {
+    private suspend fun sync(m: Machine) {
+        while (m.isSyncRequested && !m.deleted) {
             val isReached = gate.withSlot(m.name, urgencyOf(m)) { send(m) }
             if (isReached) continue
-            m.mustAsk = true
-            m.poked = true
+            m.needsStatus = true
+            m.isSyncRequested = true
             m.failuresInRow++
             val pause = minOf(settings.heartbeatIntervalMs * m.failuresInRow / 4, settings.heartbeatIntervalMs * 2)
             m.unreachableUntil = nowMs() + pause + settings.heartbeatIntervalMs
@@ -221,23 +221,23 @@
         }
     }
 
-    private fun urgencyOf(m: Machine): OrderUrgency =
+    private fun urgencyOf(m: Machine): CommandUrgency =
         when {
-            m.failuresInRow > 0 -> OrderUrgency.REPEAT
-            m.attempts.any { it.stop != null } -> OrderUrgency.STOP
-            m.attempts.any { it.state == AttemptState.RECORDED } -> OrderUrgency.START
-            else -> OrderUrgency.ASK
+            m.failuresInRow > 0 -> CommandUrgency.REPEAT
+            m.attempts.any { it.stop != null } -> CommandUrgency.STOP
+            m.attempts.any { it.state == AttemptState.RECORDED } -> CommandUrgency.START
+            else -> CommandUrgency.ASK
         }
 
     /** What is wanted is worked out when the request leaves. False if the machine gave no usable answer. */
     private suspend fun send(m: Machine): Boolean {
-        m.poked = false
+        m.isSyncRequested = false
         if (m.deleted) return true
         // Without the lease a node can't tell whether its ledgers are still its own; the token guards, this saves work.
         val b = build(m) ?: return true
         val incarnation = m.incarnation
         markSent(m, b.commands)
-        m.mustAsk = false
+        m.needsStatus = false
         val out = http.call(m.addr, "POST", "/orders", commandRequest(b.token, incarnation, b.commands).bytes(), answerMs)
         if (out is Outcome.Answer && (out.status == 200 || out.status == 409)) {
             m.failuresInRow = 0
@@ -263,7 +263,7 @@
             when (c.type) {
                 CommandType.RUN -> {
                     attempt.sentAt = now
-                    attempt.transitionTo(AttemptState.ORDERED, now)
+                    attempt.transitionTo(AttemptState.DISPATCHED, now)
                 }
                 CommandType.KILL -> killedAt[attempt] = now
                 CommandType.CLEAR -> {}
@@ -279,24 +279,24 @@
         r: Heartbeat,
     ) {
         if (status == 409) {
-            machines.absorb(r, true)
+            machines.apply(r, true)
             if (r.incarnation == incarnation) {
-                m.mustAsk = true
+                m.needsStatus = true
                 if (r.token > b.token) {
-                    m.poked = false
-                    membership.catchUp(m.retry { poke(m) })
+                    m.isSyncRequested = false
+                    membership.catchUp(m.retry { requestSync(m) })
                 } else {
-                    m.poked = true
+                    m.isSyncRequested = true
                 }
             }
             return
         }
         m.confirmedToken = maxOf(m.confirmedToken, b.token)
         m.unansweredRuns.values.removeIf { it < m.confirmedToken }
-        machines.absorb(r, true)
+        machines.apply(r, true)
         val listed = r.tasks.associateBy { AttemptId(it.ref, it.taskIndex, it.attempt) }
         for (a in b.covered) {
-            if (!a.live || a.state < AttemptState.ORDERED || a.incarnation != incarnation) continue
+            if (!a.live || a.state < AttemptState.DISPATCHED || a.incarnation != incarnation) continue
             val id = AttemptId(a.job.ref, a.taskIndex, a.number)
             val e = listed[id]
             // Its place in the list is known from our own request, made after the intent. A run whose answer was lost
@@ -305,15 +305,15 @@
                 if (id in
                     m.unansweredRuns
                 ) {
-                    wantsHigherToken = true
-                    m.mustAsk = true
+                    needsHigherFencingToken = true
+                    m.needsStatus = true
                 } else {
                     killedAt.remove(a)
-                    book.terminate(a, AttemptTermination(TerminationEvidence.DIRECT_RESPONSE, "not on the machine"))
+                    attemptDirectory.terminate(a, AttemptTermination(TerminationEvidence.DIRECT_RESPONSE, "not on the machine"))
                 }
             } else if (e.ended) {
                 killedAt.remove(a)
-                book.terminate(
+                attemptDirectory.terminate(
                     a,
                     AttemptTermination(
                         if (e.done) TerminationEvidence.COMPLETED else TerminationEvidence.DIRECT_RESPONSE,
@@ -322,11 +322,11 @@
                         e.saved,
                     ),
                 )
-                m.poked = true
+                m.isSyncRequested = true
             }
         }
-        if (m.tasks.any { it.ended && book.mine(it.ref) }) m.poked = true
-        if (m.poked && build(m) == null) m.poked = false
+        if (m.tasks.any { it.ended && attemptDirectory.mine(it.ref) }) m.isSyncRequested = true
+        if (m.isSyncRequested && build(m) == null) m.isSyncRequested = false
     }
 
     private companion object {
--- a/src/main/kotlin/micatally/worker/OrderGate.kt
+++ b/src/main/kotlin/micatally/worker/CommandGate.kt
@@ -4,23 +4,23 @@
 import kotlinx.coroutines.CompletableDeferred
 
 /** Who goes first when more machines are to be sent orders than may be at once: cancellations before all. */
-enum class OrderUrgency { STOP, START, ASK, REPEAT }
+enum class CommandUrgency { STOP, START, ASK, REPEAT }
 
 /**
  * Bounds how many requests with orders are under way at once, so that machines that don't answer take no sockets from the
- * state service, the cloud and the other controllers. Machines that have not answered lately ([OrderUrgency.REPEAT]) get
+ * state service, the cloud and the other controllers. Machines that have not answered lately ([CommandUrgency.REPEAT]) get
  * half of the [slots] at the most: a zone that hangs does not hold up the others. Used from the event loop only.
  */
-class OrderGate(
+class CommandGate(
     private val slots: Int,
 ) {
     private class Turn(
-        var urgency: OrderUrgency,
+        var urgency: CommandUrgency,
     ) {
         val granted = CompletableDeferred<Unit>()
     }
 
-    private val waiting = OrderUrgency.entries.associateWith { LinkedHashMap<String, Turn>() }
+    private val waiting = CommandUrgency.entries.associateWith { LinkedHashMap<String, Turn>() }
     private val repeatSlots = maxOf(1, slots / 2)
     private var used = 0
     private var repeating = 0
@@ -31,7 +31,7 @@
     /** Runs [action] once a slot is free for the machine; each machine may wait once at a time. */
     suspend fun <T> withSlot(
         machine: String,
-        urgency: OrderUrgency,
+        urgency: CommandUrgency,
         action: suspend () -> T,
     ): T {
         val turn = Turn(urgency)
@@ -46,10 +46,10 @@
     /** A machine that waits has become more urgent. */
     fun promote(
         machine: String,
-        urgency: OrderUrgency,
+        urgency: CommandUrgency,
     ) {
-        for (later in OrderUrgency.entries) {
-            if (later <= urgency || later == OrderUrgency.REPEAT) continue
+        for (later in CommandUrgency.entries) {
+            if (later <= urgency || later == CommandUrgency.REPEAT) continue
             val turn = waiting.getValue(later).remove(machine) ?: continue
             turn.urgency = urgency
             waiting.getValue(urgency)[machine] = turn
@@ -70,18 +70,18 @@
         }
     }
 
-    private fun isFree(urgency: OrderUrgency) =
-        used < slots && (urgency != OrderUrgency.REPEAT || repeating < repeatSlots)
+    private fun isFree(urgency: CommandUrgency) =
+        used < slots && (urgency != CommandUrgency.REPEAT || repeating < repeatSlots)
 
     private fun take(turn: Turn) {
         used++
-        if (turn.urgency == OrderUrgency.REPEAT) repeating++
+        if (turn.urgency == CommandUrgency.REPEAT) repeating++
     }
 
     private fun release(turn: Turn) {
         used--
-        if (turn.urgency == OrderUrgency.REPEAT) repeating--
-        val next = OrderUrgency.entries.firstOrNull { waiting.getValue(it).isNotEmpty() && isFree(it) } ?: return
+        if (turn.urgency == CommandUrgency.REPEAT) repeating--
+        val next = CommandUrgency.entries.firstOrNull { waiting.getValue(it).isNotEmpty() && isFree(it) } ?: return
         val turns = waiting.getValue(next)
         val first = turns.remove(turns.keys.first()) ?: return
         take(first)
--- a/src/main/kotlin/micatally/worker/Machine.kt
+++ b/src/main/kotlin/micatally/worker/Machine.kt
@@ -115,8 +115,8 @@
     var busyAt = 0L
 
     // The order channel.
-    var flushing = false
-    var poked = false
+    var isSyncing = false
+    var isSyncRequested = false
     var failuresInRow = 0
     var unreachableUntil = 0L
 
@@ -125,7 +125,7 @@
 
     /** Runs whose answer never came, with the token that they carried. */
     val unansweredRuns = HashMap<AttemptId, Long>()
-    var mustAsk = false
+    var needsStatus = false
     private var again: (() -> Unit)? = null
 
     /** One and the same for each machine, so that it is waited for once. */
--- a/src/main/kotlin/micatally/worker/Machines.kt
+++ b/src/main/kotlin/micatally/worker/MachineRegistry.kt
@@ -7,7 +7,7 @@
 import micatally.wire.Heartbeat
 
 /** All machines that this node knows of, by name. Knowledge is only as new as the newest (session, tick). */
-class Machines(
+class MachineRegistry(
     private val nowMs: () -> Long,
 ) {
     val byName = HashMap<String, Machine>()
@@ -26,10 +26,10 @@
     fun reachedAt(zone: String) = reachedAt[zone] ?: (Long.MIN_VALUE / 2)
 
     /** Its tasks have changed and this node has missed it. */
-    var onBehind: (Machine) -> Unit = {}
+    var onMissedChange: (Machine) -> Unit = {}
     var onNew: (Machine) -> Unit = {}
     var onNewIncarnation: (Machine) -> Unit = {}
-    var onTasks: (Machine, Boolean) -> Unit = { _, _ -> }
+    var onTasksReported: (Machine, Boolean) -> Unit = { _, _ -> }
 
     fun of(name: String) = byName[name]
 
@@ -51,13 +51,13 @@
             }.also { it.describe(addr, type, zone, spot) }
 
     /** A report from the worker itself; [ownAnswer] when it is the answer to an order of ours. True if it was news. */
-    fun absorb(
+    fun apply(
         r: Heartbeat,
         ownAnswer: Boolean,
     ): Boolean {
         val m = known(r.machine, r.addr, r.type, r.zone, r.spot)
         // Copies of old reports come late and show nothing.
-        return absorb(m, r.incarnation, r.sequence, r.spotNoticeS, r.tasks, ownAnswer, 0).also { if (it) reached(m) }
+        return apply(m, r.incarnation, r.sequence, r.spotNoticeS, r.tasks, ownAnswer, 0).also { if (it) reached(m) }
     }
 
     private fun reached(m: Machine) {
@@ -65,7 +65,7 @@
         reachedAt[m.zone] = lastReachedAt
     }
 
-    fun absorb(n: MachineStatus): Boolean {
+    fun apply(n: MachineStatus): Boolean {
         val m = known(n.machine, n.addr, n.type, n.zone, n.spot)
         val tasks =
             n.tasks.map {
@@ -78,10 +78,10 @@
                     it.saved,
                 )
             }
-        return absorb(m, n.incarnation, n.sequence, if (n.spotNoticeS < 0) null else n.spotNoticeS, tasks, false, n.ageMs)
+        return apply(m, n.incarnation, n.sequence, if (n.spotNoticeS < 0) null else n.spotNoticeS, tasks, false, n.ageMs)
     }
 
-    private fun absorb(
+    private fun apply(
         m: Machine,
         incarnation: Long,
         sequence: Long,
@@ -109,7 +109,7 @@
             onNewIncarnation(m)
         }
         // Most reports say what the one before said.
-        if (changed || own) onTasks(m, own)
+        if (changed || own) onTasksReported(m, own)
         return true
     }
 
@@ -117,7 +117,7 @@
     fun heard(n: MachineStatus) {
         val m = known(n.machine, n.addr, n.type, n.zone, n.spot)
         m.heardAt = maxOf(m.heardAt, nowMs() - n.ageMs)
-        if (n.incarnation > m.incarnation || n.incarnation == m.incarnation && n.changedAtSequence > m.sequence) onBehind(m)
+        if (n.incarnation > m.incarnation || n.incarnation == m.incarnation && n.changedAtSequence > m.sequence) onMissedChange(m)
     }
 
     fun note(
--- a/src/main/kotlin/micatally/worker/WorkerReach.kt
+++ b/src/main/kotlin/micatally/worker/WorkerReach.kt
@@ -28,7 +28,7 @@
     private val scope: CoroutineScope,
     private val http: HttpCaller,
     private val settings: Settings,
-    private val machines: Machines,
+    private val machines: MachineRegistry,
     private val nowMs: () -> Long,
 ) {
     private val log = LoggerFactory.getLogger("micatally.worker")
@@ -118,7 +118,7 @@
         val out = http.call(m.addr, "GET", "/show", null, askMs)
         if (out !is Outcome.Answer || out.status != 200) return false
         try {
-            machines.absorb(Heartbeat.parse(parseObject(out.body)), false)
+            machines.apply(Heartbeat.parse(parseObject(out.body)), false)
         } catch (e: MalformedMessage) {
             log.info("machine {} answers what is no report: {}", m.name, e.message)
         }
--- a/src/test/kotlin/micatally/compatibility/StoredValuesTest.kt
+++ b/src/test/kotlin/micatally/compatibility/StoredValuesTest.kt
@@ -138,7 +138,7 @@
         for (p in JobRecord.placed(record)) {
             val machine = machines.getOrPut(p.machine) { Machine(p.machine, p.addr, p.type, p.zone, p.spot) }
             job.attempts[p.taskIndex] =
-                Attempt(job, p.taskIndex, p.number, machine, p.incarnation, job.service, AttemptState.ORDERED)
+                Attempt(job, p.taskIndex, p.number, machine, p.incarnation, job.service, AttemptState.DISPATCHED)
         }
         return job
     }
--- a/src/test/kotlin/micatally/job/RecordPackingTest.kt
+++ b/src/test/kotlin/micatally/job/RecordPackingTest.kt
@@ -41,7 +41,7 @@
         val job = Job(spec.ref, spec, shard, spec.taskCount, 1000, state)
         repeat(attempts) { i ->
             val machine = Machine("m-%06d".format(random.nextInt(500)), "10.0.0.$i:9000", "g8", "a", false)
-            job.attempts[i] = Attempt(job, i, i + 1L, machine, 1, 0.0, AttemptState.ORDERED)
+            job.attempts[i] = Attempt(job, i, i + 1L, machine, 1, 0.0, AttemptState.DISPATCHED)
         }
         job.durableState = state
         return job
--- a/src/test/kotlin/micatally/sim/ConfigurationTest.kt
+++ b/src/test/kotlin/micatally/sim/ConfigurationTest.kt
@@ -339,7 +339,7 @@
             }
         }
 
-    /** Guard: a run without an answer is not repeated for a team that is over its limit ([micatally.worker.Orders]). */
+    /** Guard: a run without an answer is not repeated for a team that is over its limit ([micatally.worker.CommandDispatcher]). */
     @Test
     fun `a start that was lost is not repeated after the limit has fallen`() =
         each {
@@ -347,7 +347,7 @@
                 f.net.deaf.add(machine)
                 val array = submit(1, "sweep", 4, "loaners" to false, runMs = 60_000)
                 runUntil(1000, "its runs have left") {
-                    attempts(array).count { it.state == AttemptState.ORDERED && it.machine.name == machine } == 4
+                    attempts(array).count { it.state == AttemptState.DISPATCHED && it.machine.name == machine } == 4
                 }
                 lowerTo(2.0)
                 f.net.deaf.clear()
--- a/src/test/kotlin/micatally/sim/GangTest.kt
+++ b/src/test/kotlin/micatally/sim/GangTest.kt
@@ -220,8 +220,8 @@
             val (first, second) = tasks(ref).map { it.machine }
             f.net.deaf.add(second)
             f.live[0]!!.machines.of(second)!!.let {
-                it.mustAsk = true
-                f.live[0]!!.jobManager.poke(it)
+                it.needsStatus = true
+                f.live[0]!!.jobManager.requestSync(it)
             }
             runUntil(f.lease, "it is known to be out of reach") {
                 f.live[0]!!
@@ -385,7 +385,7 @@
                     .first()
                     .machine
             val listed = m.tasks + ListedTask(ref, pending, 500, ListedTask.ENDED, ExitReason.DONE.word, false)
-            machines.absorb(
+            machines.apply(
                 Heartbeat(m.name, m.addr, m.type, m.zone, m.spot, m.incarnation, m.sequence + 1, 0, null, listed),
                 false,
             )
--- a/src/test/kotlin/micatally/sim/MeetingsTest.kt
+++ b/src/test/kotlin/micatally/sim/MeetingsTest.kt
@@ -185,7 +185,7 @@
         }
 
     /** Guard: an intent is durable before its run leaves, on the condition of the ledger; the successor asks the machine with
-     * its own token first ([micatally.worker.Orders]). */
+     * its own token first ([micatally.worker.CommandDispatcher]). */
     @Test
     fun `new machines get work at once while writes lag, and the leader ends`() =
         each(big) {
--- a/src/test/kotlin/micatally/upgrade/FormatTest.kt
+++ b/src/test/kotlin/micatally/upgrade/FormatTest.kt
@@ -61,7 +61,7 @@
         for (p in JobRecord.placed(record)) {
             val m = machines.getOrPut(p.machine) { Machine(p.machine, p.addr, p.type, p.zone, p.spot) }
             job.attempts[p.taskIndex] =
-                Attempt(job, p.taskIndex, p.number, m, p.incarnation, job.service, AttemptState.ORDERED)
+                Attempt(job, p.taskIndex, p.number, m, p.incarnation, job.service, AttemptState.DISPATCHED)
         }
         return job
     }
--- a/src/test/kotlin/micatally/worker/OrderGateTest.kt
+++ b/src/test/kotlin/micatally/worker/CommandGateTest.kt
@@ -10,12 +10,12 @@
 import org.junit.jupiter.api.Test
 
 @OptIn(ExperimentalCoroutinesApi::class)
-class OrderGateTest {
+class CommandGateTest {
     private val underWay = LinkedHashMap<String, CompletableDeferred<Unit>>()
 
     private fun TestScope.ask(
-        gate: OrderGate,
-        urgency: OrderUrgency,
+        gate: CommandGate,
+        urgency: CommandUrgency,
         vararg machines: String,
     ) = machines.map { machine ->
         val request =
@@ -39,10 +39,10 @@
     @Test
     fun `no more requests are under way than there are slots, and cancellations go first`() =
         runTest {
-            val gate = OrderGate(2)
-            ask(gate, OrderUrgency.ASK, "m-1", "m-2", "m-3")
-            ask(gate, OrderUrgency.START, "m-4")
-            ask(gate, OrderUrgency.STOP, "m-5")
+            val gate = CommandGate(2)
+            ask(gate, CommandUrgency.ASK, "m-1", "m-2", "m-3")
+            ask(gate, CommandUrgency.START, "m-4")
+            ask(gate, CommandUrgency.STOP, "m-5")
             assertEquals(setOf("m-1", "m-2"), underWay.keys)
             for (machine in listOf("m-1", "m-2", "m-5")) answer(machine)
             assertEquals(setOf("m-4", "m-3"), underWay.keys)
@@ -53,10 +53,10 @@
     @Test
     fun `machines that don't answer take half of the slots at the most`() =
         runTest {
-            val gate = OrderGate(4)
-            ask(gate, OrderUrgency.REPEAT, "m-1", "m-2", "m-3", "m-4")
+            val gate = CommandGate(4)
+            ask(gate, CommandUrgency.REPEAT, "m-1", "m-2", "m-3", "m-4")
             assertEquals(setOf("m-1", "m-2"), underWay.keys)
-            ask(gate, OrderUrgency.ASK, "m-5", "m-6", "m-7")
+            ask(gate, CommandUrgency.ASK, "m-5", "m-6", "m-7")
             assertEquals(setOf("m-1", "m-2", "m-5", "m-6"), underWay.keys)
             answer("m-5")
             assertEquals(setOf("m-1", "m-2", "m-6", "m-7"), underWay.keys)
@@ -70,9 +70,9 @@
     @Test
     fun `a machine that waits goes ahead when there is something to stop on it`() =
         runTest {
-            val gate = OrderGate(1)
-            ask(gate, OrderUrgency.ASK, "m-1", "m-2", "m-3")
-            gate.promote("m-3", OrderUrgency.STOP)
+            val gate = CommandGate(1)
+            ask(gate, CommandUrgency.ASK, "m-1", "m-2", "m-3")
+            gate.promote("m-3", CommandUrgency.STOP)
             answer("m-1")
             assertEquals(setOf("m-3"), underWay.keys)
             answer("m-3")
@@ -83,17 +83,17 @@
     @Test
     fun `who gives up while waiting or in the middle holds no slot`() =
         runTest {
-            val gate = OrderGate(1)
-            val first = ask(gate, OrderUrgency.START, "m-1").single()
-            val second = ask(gate, OrderUrgency.START, "m-2").single()
+            val gate = CommandGate(1)
+            val first = ask(gate, CommandUrgency.START, "m-1").single()
+            val second = ask(gate, CommandUrgency.START, "m-2").single()
             second.cancel()
             runCurrent()
             assertEquals(0, gate.waitingCount)
-            ask(gate, OrderUrgency.START, "m-3")
+            ask(gate, CommandUrgency.START, "m-3")
             first.cancel()
             runCurrent()
             answer("m-3")
-            ask(gate, OrderUrgency.START, "m-4")
+            ask(gate, CommandUrgency.START, "m-4")
             answer("m-4")
         }
 }
