--- a/src/main/kotlin/micatally/api/UserApi.kt
+++ b/src/main/kotlin/micatally/api/UserApi.kt
@@ -17,7 +17,7 @@
 import micatally.ledger.Membership
 import micatally.peer.Peers
 import micatally.placement.Placement
-import micatally.placement.Rounds
+import micatally.placement.Scheduler
 import micatally.recovery.RecordLookup
 import micatally.settings.Settings
 import micatally.settings.TeamDirectory
@@ -46,7 +46,7 @@
     private val store: JobStore,
     private val machines: MachineRegistry,
     private val peers: Peers,
-    private val rounds: Rounds,
+    private val scheduler: Scheduler,
     private val upgrade: Upgrade,
     private val lookup: RecordLookup,
     private val reads: RecordReads,
@@ -135,7 +135,7 @@
             return if (it.shard === shard) waitFor(it, 200) else knownOr(ref) { later("not stored yet") }
         }
         val job = jobManager.create(spec, shard)
-        rounds.placeJob(job, nowMs())
+        scheduler.placeJob(job, nowMs())
         store.touch(job, true)
         return waitFor(job, 201)
     }
--- a/src/main/kotlin/micatally/job/JobManager.kt
+++ b/src/main/kotlin/micatally/job/JobManager.kt
@@ -44,7 +44,7 @@
     val shards = HashMap<String, JobShard>()
     lateinit var dispatcher: CommandDispatcher
     lateinit var quota: Quota
-    var wake: () -> Unit = {}
+    var requestCycle: () -> Unit = {}
     val faults = FaultJudgement(settings, machines)
 
     val gangs = GangSupervisor(this, GangTiming(settings.gangWaitMs, settings.gangPeerMs, settings.heartbeatIntervalMs), nowMs)
@@ -260,7 +260,7 @@
         val isUrgent =
             job.state == JobState.CANCELLED || job.state == JobState.OPEN && attempt.stop != null || job.endUnderWay
         store.touch(job, isUrgent)
-        wake()
+        requestCycle()
     }
 
     /** What an exit tells of the machine and of when to try again. */
--- a/src/main/kotlin/micatally/job/ShardLoader.kt
+++ b/src/main/kotlin/micatally/job/ShardLoader.kt
@@ -48,7 +48,7 @@
         val tookMs = nowMs() - l.leaderSinceMs
         log.info("ledger {} loaded at epoch {}: {} jobs in {} ms", l.name, l.leader.fencingToken, l.jobs.size, tookMs)
         reconcileMachines()
-        jobManager.wake()
+        jobManager.requestCycle()
         return true
     }
 
--- a/src/main/kotlin/micatally/node/Controller.kt
+++ b/src/main/kotlin/micatally/node/Controller.kt
@@ -28,8 +28,8 @@
 import micatally.ledger.ShardState
 import micatally.ledger.Membership
 import micatally.peer.Peers
-import micatally.placement.Rounds
-import micatally.queue.Queues
+import micatally.placement.Scheduler
+import micatally.queue.PriorityQueues
 import micatally.quota.Quota
 import micatally.recovery.ArchiveMode
 import micatally.recovery.LoadedShards
@@ -66,7 +66,7 @@
             1_000_000
     },
 ) {
-    private val effort = Effort(nowNs)
+    private val cpuUsage = CpuUsage(nowNs)
     private val log = LoggerFactory.getLogger("micatally.node")
     private val share = 0.95 / settings.controllers
     private val requestBudget = RateBudget(scope, settings.stateLimits.rps * share, nowMs)
@@ -111,9 +111,9 @@
     private val quota =
         Quota(scope, state, membership.sharedKeys, configuration.teams, {
             jobManager.shards.values.filter { it.mine }
-        }, settings.controllers) { rounds.wake() }
-    val rounds: Rounds =
-        Rounds(
+        }, settings.controllers) { scheduler.requestCycle() }
+    val scheduler: Scheduler =
+        Scheduler(
             scope,
             settings,
             jobManager,
@@ -121,18 +121,18 @@
             store,
             quota,
             dispatcher,
-            Queues(
+            PriorityQueues(
                 operator.queueBounds.map {
                     it *
                         settings.leaseMs /
                         1000.0
                 },
-                operator.queueLift,
+                operator.promotionRatio,
             ),
-            effort,
+            cpuUsage,
             nowMs,
         )
-    private val peers = Peers(scope, http, settings, state, membership, machines, jobManager, rounds, nowMs)
+    private val peers = Peers(scope, http, settings, state, membership, machines, jobManager, scheduler, nowMs)
     private val reach = WorkerReach(scope, http, settings, machines, nowMs)
     private val fleetManager =
         FleetManager(scope, http, settings, state, cloud, membership, machines, fleetDemand(), operator, nowMs)
@@ -154,7 +154,7 @@
             store,
             machines,
             peers,
-            rounds,
+            scheduler,
             upgrade,
             lookup,
             reads,
@@ -170,7 +170,7 @@
 
     private fun fleetDemand() =
         object : FleetDemand {
-            override fun unplaced() = rounds.unplaced.values.toList() + peers.demandOfPeers()
+            override fun unplaced() = scheduler.unplaced.values.toList() + peers.demandOfPeers()
 
             override fun recentServices() = peers.recentServices()
 
@@ -186,9 +186,9 @@
         membership.shouldStepDown = { reach.mayStepDown() && peers.somePeerHasState() }
         membership.peersConfirmedAt = { peers.peersConfirmedAt() }
         jobManager.quota = quota
-        jobManager.wake = { rounds.wake() }
-        rounds.stateAnswers = { state.waitingWrites == 0 && state.get(Keys.FENCING_TOKEN, Urgency.SUMMARY) is ReadResult.Found }
-        rounds.foreign = { peers.demandOfPeers() }
+        jobManager.requestCycle = { scheduler.requestCycle() }
+        scheduler.stateAnswers = { state.waitingWrites == 0 && state.get(Keys.FENCING_TOKEN, Urgency.SUMMARY) is ReadResult.Found }
+        scheduler.peerRequests = { peers.demandOfPeers() }
         store.onDurable = { job, written -> jobManager.durable(job, written) }
         store.onDropped = { jobManager.forget(it) }
         store.onRecordFull = { job, attempts -> jobManager.giveUp(job, attempts) }
@@ -206,16 +206,16 @@
         }
         machines.onTasksReported = { m, own ->
             jobManager.tasksReported(m, own)
-            rounds.wake()
+            scheduler.requestCycle()
         }
-        fleetManager.onMachineTypes = { rounds.wake() }
+        fleetManager.onMachineTypes = { scheduler.requestCycle() }
         peers.onRetire = { fleetManager.retire(it) }
-        peers.onNews = { rounds.wake() }
-        membership.onChange = { keys -> effort.of(Effort.Kind.SHARED) { sharedChanged(keys) } }
+        peers.onNews = { scheduler.requestCycle() }
+        membership.onChange = { keys -> cpuUsage.of(CpuUsage.Kind.SHARED) { sharedChanged(keys) } }
         membership.onSummaries =
             { keys ->
-                effort.of(Effort.Kind.SHARED) { peers.summariesChanged(keys) }
-                rounds.wake()
+                cpuUsage.of(CpuUsage.Kind.SHARED) { peers.summariesChanged(keys) }
+                scheduler.requestCycle()
             }
         membership.start()
         fleetManager.start()
@@ -227,7 +227,7 @@
     /** The form of the records changes, and with it how many attempts they have room for. */
     private fun uniform() {
         for (job in jobManager.openJobs()) job.attemptLimit = Int.MAX_VALUE
-        rounds.wake()
+        scheduler.requestCycle()
     }
 
     /** What is decided and not sent is given up where a limit is exceeded now, before the version counts as applied. */
@@ -237,7 +237,7 @@
     ) {
         jobManager.endUnsent { team -> former.team(team) !== next.team(team) }
         quota.limitsChanged()
-        rounds.wake()
+        scheduler.requestCycle()
     }
 
     private fun sharedChanged(keys: Set<String>) {
@@ -257,7 +257,7 @@
             if (k.startsWith(Keys.DRAIN)) machines.of(k.removePrefix(Keys.DRAIN))?.draining = membership.sharedKeys.has(k)
         }
         peers.sharedChanged()
-        rounds.wake()
+        scheduler.requestCycle()
     }
 
     private fun isReachable(
@@ -272,14 +272,14 @@
         while (true) {
             delay(settings.heartbeatIntervalMs / 4)
             val now = nowMs()
-            effort.of(Effort.Kind.HOUSE) {
+            cpuUsage.of(CpuUsage.Kind.HOUSE) {
                 membership.checkLeadership()
                 reach.review()
                 jobManager.sweep()
                 for (job in jobManager.openJobs()) if (job.gang != null) jobManager.gangs.review(job, now)
                 jobManager.faults.review(jobManager.openJobs(), now)
-                rounds.wake()
-                rounds.moveOff(now)
+                scheduler.requestCycle()
+                scheduler.migrateReplicas(now)
                 for (m in machines.byName.values) m.releaseOld(now)
             }
             for (m in machines.byName.values) {
@@ -312,8 +312,8 @@
                 settings.leaseMs
             ) {
                 effortAt = now
-                effort.tell(
-                    " machines=${machines.byName.size} waiting=${rounds.unplaced.size} ${effort.news()} " +
+                cpuUsage.tell(
+                    " machines=${machines.byName.size} waiting=${scheduler.unplaced.size} ${cpuUsage.news()} " +
                         "allotmentOveruse=${quota.audit.overuseCount} writes=${writeBudget.tell()} requests=${requestBudget.tell()}",
                 )
             }
@@ -350,7 +350,7 @@
                 if (r.method ==
                     "POST"
                 ) {
-                    effort.of(Effort.Kind.REPORT) { workers.report(r) }
+                    cpuUsage.of(CpuUsage.Kind.REPORT) { workers.report(r) }
                 } else {
                     errorResponse(405, "use POST")
                 }
@@ -384,8 +384,8 @@
             try {
                 when (r.path) {
                     Peers.NEWS ->
-                        effort.of(Effort.Kind.NEWS) { peers.takeNews(r.body) }.also {
-                            effort.newsTaken(r.body.size, it.size)
+                        cpuUsage.of(CpuUsage.Kind.NEWS) { peers.takeNews(r.body) }.also {
+                            cpuUsage.newsTaken(r.body.size, it.size)
                         }
                     Peers.CANCELLED_TASKS -> peers.takeCancelledTasks(r.body)
                     Peers.QUERY ->
--- a/src/main/kotlin/micatally/node/Effort.kt
+++ b/src/main/kotlin/micatally/node/CpuUsage.kt
@@ -3,7 +3,7 @@
 import org.slf4j.LoggerFactory
 
 /** What the processor's time goes to, by kind of work. Counted for operators; decides nothing. */
-class Effort(
+class CpuUsage(
     private val nowNs: () -> Long,
 ) {
     enum class Kind(
--- a/src/main/kotlin/micatally/peer/OwnSummary.kt
+++ b/src/main/kotlin/micatally/peer/OwnSummary.kt
@@ -6,7 +6,7 @@
 import kotlinx.serialization.protobuf.ProtoBuf
 import micatally.job.JobManager
 import micatally.ledger.Membership
-import micatally.placement.Rounds
+import micatally.placement.Scheduler
 import micatally.settings.Settings
 import micatally.wire.ResourceRequest
 import micatally.wire.HeldCapacity
@@ -19,7 +19,7 @@
     private val membership: Membership,
     private val machines: MachineRegistry,
     private val jobManager: JobManager,
-    private val rounds: Rounds,
+    private val scheduler: Scheduler,
 ) {
     /** This node's room on a machine, and the number of the summary in which it changed last. */
     private class Mine(
@@ -63,7 +63,7 @@
                 Mine(HeldCapacity(m.name, u.cores, u.gpus, u.memoryGb, images, images.map { m.images[it] ?: 0.0 }), next)
             changed = true
         }
-        val demandNow = rounds.unplaced.values.toList()
+        val demandNow = scheduler.unplaced.values.toList()
         if (demandNow != demand) {
             demand = demandNow
             changed = true
--- a/src/main/kotlin/micatally/peer/Peers.kt
+++ b/src/main/kotlin/micatally/peer/Peers.kt
@@ -17,7 +17,7 @@
 import micatally.job.JobManager
 import micatally.ledger.Keys
 import micatally.ledger.Membership
-import micatally.placement.Rounds
+import micatally.placement.Scheduler
 import micatally.settings.Peer
 import micatally.settings.Settings
 import micatally.state.Put
@@ -50,7 +50,7 @@
     private val membership: Membership,
     private val machines: MachineRegistry,
     private val jobManager: JobManager,
-    private val rounds: Rounds,
+    private val scheduler: Scheduler,
     private val nowMs: () -> Long,
 ) {
     private class Line(
@@ -73,7 +73,7 @@
     }
 
     private val lines = settings.peers.map { Line(it) }
-    private val own = OwnSummary(settings, membership, machines, jobManager, rounds)
+    private val own = OwnSummary(settings, membership, machines, jobManager, scheduler)
     private val summaries = PeerSummaries(settings, membership, machines, nowMs)
     private val tellMs = settings.heartbeatIntervalMs / TELLS_A_REPORT
 
--- a/src/main/kotlin/micatally/placement/WholePlacement.kt
+++ b/src/main/kotlin/micatally/placement/AllOrNothingPlacement.kt
@@ -15,9 +15,9 @@
 import micatally.worker.Machine
 
 /** Places the tasks of gangs, and of services that must be in one zone, all at once or not at all. */
-class WholePlacement(
+class AllOrNothingPlacement(
     private val settings: Settings,
-    private val view: PlacementView,
+    private val view: ClusterView,
     private val jobManager: JobManager,
     private val store: JobStore,
     private val quota: Quota,
@@ -61,7 +61,7 @@
         val rule = Placement.zones(job, spec)
         val gang = job.gang
         val candidates =
-            MachineChoice(view, job, spec, now)
+            MachineSelector(view, job, spec, now)
                 .forGang()
                 .filter { c ->
                     gang == null || gang.phase != GangPhase.WAITING ||
--- a/src/main/kotlin/micatally/placement/PlacementView.kt
+++ b/src/main/kotlin/micatally/placement/ClusterView.kt
@@ -8,7 +8,7 @@
 import micatally.worker.MachineRegistry
 
 /** The machines as placement looks at them, and what other owners wait for. */
-class PlacementView(
+class ClusterView(
     private val settings: Settings,
     val machines: MachineRegistry,
 ) {
@@ -17,7 +17,7 @@
     private val turnMs = settings.heartbeatIntervalMs / TURNS_A_REPORT
 
     /** Services of other owners that found no room. */
-    var foreignServices: List<ResourceRequest> = emptyList()
+    var peerServices: List<ResourceRequest> = emptyList()
         private set
 
     /** Gangs that found no room, of other owners and, in the present round, of this one. */
@@ -35,7 +35,7 @@
      * or a gang, whose room would otherwise be filled again by single tasks before there is enough of it.
      */
     fun waitersBefore(priority: Int): List<ResourceRequest> =
-        (foreignServices + foreignGangs + ownGangs).filter { it.priority < priority }
+        (peerServices + foreignGangs + ownGangs).filter { it.priority < priority }
 
     /**
      * Machines with anything free, as this round found them, and those of them with cards free: with a full fleet and many
@@ -44,18 +44,18 @@
     private var open: List<Machine>? = null
     private var openWithCards: List<Machine> = emptyList()
 
-    fun beginRound(
-        foreign: List<ResourceRequest>,
+    fun beginCycle(
+        peerRequests: List<ResourceRequest>,
         now: Long,
     ) {
-        foreignServices = foreign.filter { it.service }
-        foreignGangs = foreign.filter { it.isGang }
+        peerServices = peerRequests.filter { it.service }
+        foreignGangs = peerRequests.filter { it.isGang }
         val usable = machines.byName.values.filter { isUsable(it, now) && freeOf(it).cores > Resources.SLACK }
         open = usable
         openWithCards = usable.filter { freeOf(it).gpus > Resources.SLACK }
     }
 
-    fun endRound() {
+    fun endCycle() {
         open = null
     }
 
--- a/src/main/kotlin/micatally/placement/MachineChoice.kt
+++ b/src/main/kotlin/micatally/placement/MachineSelector.kt
@@ -15,8 +15,8 @@
  * @param withImage only machines that have the job's image
  * @param moving an attempt that will be gone before the task starts elsewhere
  */
-class MachineChoice(
-    private val view: PlacementView,
+class MachineSelector(
+    private val view: ClusterView,
     private val job: Job,
     private val spec: JobSpec,
     now: Long,
--- a/src/main/kotlin/micatally/placement/Preemption.kt
+++ b/src/main/kotlin/micatally/placement/Preemption.kt
@@ -3,7 +3,7 @@
 import micatally.job.Attempt
 import micatally.job.AttemptState
 import micatally.job.StopReason
-import micatally.queue.Queues
+import micatally.queue.PriorityQueues
 import micatally.settings.Settings
 import micatally.wire.Resources
 import micatally.wire.MachineType
@@ -13,7 +13,7 @@
 import org.slf4j.LoggerFactory
 
 /** A waiting task that fits nowhere, of this owner or of another one. */
-class Need(
+class PlacementRequest(
     val resources: Resources,
     val priority: Int,
     val queue: Int,
@@ -26,7 +26,7 @@
             spec: JobSpec,
             rule: Placement.ZoneRule,
             queue: Int,
-        ) = Need(
+        ) = PlacementRequest(
             spec.resources,
             spec.priority.ordinal,
             queue,
@@ -40,8 +40,8 @@
 /** Stops array tasks to make room for more important work. Gangs are neither stopped for others, nor are others for them. */
 class Preemption(
     private val settings: Settings,
-    private val view: PlacementView,
-    private val queues: Queues,
+    private val view: ClusterView,
+    private val queues: PriorityQueues,
     private val dispatcher: CommandDispatcher,
 ) {
     private val log = LoggerFactory.getLogger("micatally.placement")
@@ -50,13 +50,13 @@
     private val promised = HashMap<String, Resources>()
     private val stoppedForPeersAt = HashMap<String, Long>()
 
-    fun beginRound() = promised.clear()
+    fun beginCycle() = promised.clear()
 
     /** The design's stop: an array task past its queue's bound may be stopped once for a waiter two queues higher that
      * fits nowhere. Of the machines where that helps, the one is taken that the waiter would like best. True if there
      * is room under way now. */
     fun makeRoom(
-        need: Need,
+        need: PlacementRequest,
         now: Long,
     ): Boolean {
         var best: List<Attempt> = emptyList()
@@ -93,7 +93,7 @@
 
     private fun mayStop(
         a: Attempt,
-        need: Need,
+        need: PlacementRequest,
         flavor: MachineType,
         now: Long,
     ): Boolean {
@@ -109,7 +109,7 @@
 
     private fun stop(
         victims: List<Attempt>,
-        need: Need,
+        need: PlacementRequest,
         now: Long,
     ) {
         for (a in victims) {
@@ -124,13 +124,13 @@
     fun makeRoomForPeers(now: Long) {
         val turnMs = settings.heartbeatIntervalMs * 2
         if (!view.isOwnTurn(now, turnMs)) return
-        for (d in view.foreignServices) {
+        for (d in view.peerServices) {
             val key = "${d.image}/${d.gpus}/${d.cores}"
             if (now - (stoppedForPeersAt[key] ?: Long.MIN_VALUE / 2) < turnMs * view.controllers) continue
             stoppedForPeersAt[key] = now
             val resources = Resources(d.cores, d.gpus, d.memoryGb)
             val need =
-                Need(resources, d.priority, 0, "a peer's ${d.image}", { m -> view.mayUse(d, m) }, { m, f, free ->
+                PlacementRequest(resources, d.priority, 0, "a peer's ${d.image}", { m -> view.mayUse(d, m) }, { m, f, free ->
                     (
                         if (d.image in
                             m.images
--- a/src/main/kotlin/micatally/placement/ReplicaMoves.kt
+++ b/src/main/kotlin/micatally/placement/ReplicaMigration.kt
@@ -17,10 +17,10 @@
 import org.slf4j.LoggerFactory
 
 /** Moves replicas off machines that are being emptied. */
-class ReplicaMoves(
+class ReplicaMigration(
     private val scope: CoroutineScope,
     private val settings: Settings,
-    private val view: PlacementView,
+    private val view: ClusterView,
     private val jobManager: JobManager,
     private val store: JobStore,
     private val quota: Quota,
@@ -54,7 +54,7 @@
 
     /** Machines that are being emptied: replicas move to rooms that have their image, a few at a time, so that each is
      * away for a blink only. Whatever ends by itself is left to do so. */
-    fun moveOff(now: Long) {
+    fun migrateReplicas(now: Long) {
         moved.entries.removeIf { (task, to) -> !to.promised(task.first, task.second) }
         val draining =
             view.machines.byName.values.filter {
@@ -101,7 +101,7 @@
                     continue
                 }
                 // It is gone before it starts elsewhere, so its own place does not count against its zone.
-                val to = MachineChoice(view, a.job, spec, now, withImage = true, moving = a).next() ?: continue
+                val to = MachineSelector(view, a.job, spec, now, withImage = true, moving = a).next() ?: continue
                 to.promise(a.job.ref, a.taskIndex, spec.resources, now + settings.leaseMs)
                 moving.add(Move(a, to, now))
                 under++
--- a/src/main/kotlin/micatally/placement/Rounds.kt
+++ b/src/main/kotlin/micatally/placement/Scheduler.kt
@@ -7,8 +7,8 @@
 import micatally.job.Job
 import micatally.job.JobStore
 import micatally.job.JobManager
-import micatally.node.Effort
-import micatally.queue.Queues
+import micatally.node.CpuUsage
+import micatally.queue.PriorityQueues
 import micatally.quota.Quota
 import micatally.settings.Settings
 import micatally.wire.Resources
@@ -20,7 +20,7 @@
 
 /** Decision rounds: from the top queue down, skipping what finds no room. They run on events, with a budget of time
  * for each, and the next one goes on where the last one stopped. */
-class Rounds(
+class Scheduler(
     private val scope: CoroutineScope,
     private val settings: Settings,
     private val jobManager: JobManager,
@@ -28,8 +28,8 @@
     private val store: JobStore,
     private val quota: Quota,
     private val dispatcher: CommandDispatcher,
-    private val queues: Queues,
-    private val effort: Effort,
+    private val queues: PriorityQueues,
+    private val cpuUsage: CpuUsage,
     private val nowMs: () -> Long,
 ) {
     private val log = LoggerFactory.getLogger("micatally.placement")
@@ -41,12 +41,12 @@
     private var resumeAfter: String? = null
 
     /** What other owners could not place. An owner can stop only its own tasks, and does so for them too. */
-    var foreign: () -> List<ResourceRequest> = { emptyList() }
-    private val view = PlacementView(settings, machines)
+    var peerRequests: () -> List<ResourceRequest> = { emptyList() }
+    private val view = ClusterView(settings, machines)
     private val preemption = Preemption(settings, view, queues, dispatcher)
-    private val moves = ReplicaMoves(scope, settings, view, jobManager, store, quota, dispatcher, nowMs)
+    private val moves = ReplicaMigration(scope, settings, view, jobManager, store, quota, dispatcher, nowMs)
     private val whole =
-        WholePlacement(settings, view, jobManager, store, quota) { job, demand ->
+        AllOrNothingPlacement(settings, view, jobManager, store, quota) { job, demand ->
             finding[job.ref] = demand
             if (demand.isGang) view.gangWaits(demand)
         }
@@ -58,8 +58,8 @@
             moves.stateAnswers = value
         }
 
-    fun moveOff(now: Long) {
-        if (unplaced.isEmpty()) moves.moveOff(now)
+    fun migrateReplicas(now: Long) {
+        if (unplaced.isEmpty()) moves.migrateReplicas(now)
     }
 
     /** What found no room in the last full round, by job. A round that has not come to its end yet does not show. */
@@ -95,14 +95,14 @@
         spec.priority.ordinal,
     )
 
-    fun wake() {
+    fun requestCycle() {
         if (asked) return
         asked = true
         scope.launch {
             val wait = nextAt - nowMs()
             if (wait > 0) delay(wait)
             asked = false
-            effort.of(Effort.Kind.ROUND) { round() }
+            cpuUsage.of(CpuUsage.Kind.ROUND) { runCycle() }
         }
     }
 
@@ -126,7 +126,7 @@
                 (job.taskCount - job.doneCount).toLong() * settings.leaseMs / TASKS_A_LEASE
             }
 
-    private fun round() {
+    private fun runCycle() {
         val now = nowMs()
         tickWaits(now)
         lastAt = now
@@ -138,9 +138,9 @@
         if (from == 0) {
             finding.clear()
             view.forgetOwnGangs()
-            preemption.beginRound()
+            preemption.beginCycle()
         }
-        view.beginRound(foreign(), now)
+        view.beginCycle(peerRequests(), now)
         resumeAfter = null
         for (i in from until jobs.size) {
             if (i == from || !alike(jobs[i - 1], jobs[i])) placeWhereImagesAre(jobs, i, now)
@@ -150,7 +150,7 @@
                 break
             }
         }
-        view.endRound()
+        view.endCycle()
         if (resumeAfter == null) {
             unplaced = finding
             finding = LinkedHashMap()
@@ -159,7 +159,7 @@
         // Rounds keep to a share of the time, however long they take.
         val end = nowMs()
         nextAt = maxOf(now + gapMs, end + (end - now) * REST)
-        if (resumeAfter != null) wake()
+        if (resumeAfter != null) requestCycle()
     }
 
     private fun alike(
@@ -232,7 +232,7 @@
         if (spec.isPlacedWhole) return whole.placeWhole(job, spec, pending, now) { job.nextAttempt++ } != null
         var placed = 0
         var blocked = false
-        val choice = MachineChoice(view, job, spec, now, withImage)
+        val choice = MachineSelector(view, job, spec, now, withImage)
         for (taskIndex in pending) {
             if (!quota.allows(job)) {
                 blocked = true
@@ -261,7 +261,7 @@
             unplaceable(job, spec, pending.size - placed, now)
             return false
         }
-        if (placed == pending.size && job.pendingCount > 0) wake()
+        if (placed == pending.size && job.pendingCount > 0) requestCycle()
         return !blocked
     }
 
@@ -283,7 +283,7 @@
         val key = shape(spec, rule) to q
         if (key in noStop) return
         for (i in 0 until minOf(count, Preemption.STOPS_A_ROUND)) {
-            if (!preemption.makeRoom(Need.of(spec, rule, q), now)) {
+            if (!preemption.makeRoom(PlacementRequest.of(spec, rule, q), now)) {
                 noStop.add(key)
                 break
             }
--- a/src/main/kotlin/micatally/queue/Queues.kt
+++ b/src/main/kotlin/micatally/queue/PriorityQueues.kt
@@ -3,7 +3,7 @@
 import micatally.job.Job
 
 /** The design's queues: a job's longest service path, in run seconds, decides where it waits. */
-class Queues(
+class PriorityQueues(
     private val boundsS: List<Double>,
     private val liftRatio: Double,
 ) {
--- a/src/main/kotlin/micatally/scale/EffortLines.kt
+++ b/src/main/kotlin/micatally/scale/CpuUsageLines.kt
@@ -1,14 +1,14 @@
 package micatally.scale
 
 /** What a kind of work took over some time: how often, how long in all and at the longest. */
-class WorkFigures(
+class CpuUsageFigures(
     val count: Long,
     val totalMs: Long,
     val longestMs: Long,
 )
 
-/** Reads the lines that controllers log once a lease, see [micatally.node.Effort]. */
-class EffortLines(
+/** Reads the lines that controllers log once a lease, see [micatally.node.CpuUsage]. */
+class CpuUsageLines(
     lines: List<String>,
 ) {
     private val efforts = lines.filter { "micatally.effort" in it }
@@ -17,10 +17,10 @@
     val count = efforts.size
 
     /** By kind of work, for all lines together. */
-    val work: Map<String, WorkFigures> = sum(Regex("""([a-z][a-z ]*)=(\d+)x/(\d+)ms/(\d+)ms"""))
+    val work: Map<String, CpuUsageFigures> = sum(Regex("""([a-z][a-z ]*)=(\d+)x/(\d+)ms/(\d+)ms"""))
 
     /** Writes to the state service by urgency; the longest time is how long one of them waited. */
-    val writes: Map<String, WorkFigures> = sum(Regex("""([a-z]+):(\d+)x/(\d+)ms/(\d+)ms"""), "writes=", " requests=")
+    val writes: Map<String, CpuUsageFigures> = sum(Regex("""([a-z]+):(\d+)x/(\d+)ms/(\d+)ms"""), "writes=", " requests=")
 
     val newsBytesReceived = efforts.sumOf { number(it, "newsReceived=") }
     val newsBytesAnswered = efforts.sumOf { number(it, "newsAnswered=") }
@@ -29,14 +29,14 @@
         pattern: Regex,
         from: String = "- effort ",
         to: String = " machines=",
-    ): Map<String, WorkFigures> {
-        val sums = LinkedHashMap<String, WorkFigures>()
+    ): Map<String, CpuUsageFigures> {
+        val sums = LinkedHashMap<String, CpuUsageFigures>()
         for (line in efforts) {
             for (match in pattern.findAll(line.substringAfter(from).substringBefore(to))) {
                 val (name, count, total, longest) = match.destructured
-                val before = sums[name] ?: WorkFigures(0, 0, 0)
+                val before = sums[name] ?: CpuUsageFigures(0, 0, 0)
                 sums[name] =
-                    WorkFigures(
+                    CpuUsageFigures(
                         before.count + count.toLong(),
                         before.totalMs + total.toLong(),
                         maxOf(before.longestMs, longest.toLong()),
--- a/src/main/kotlin/micatally/scale/Measurement.kt
+++ b/src/main/kotlin/micatally/scale/Measurement.kt
@@ -23,7 +23,7 @@
     private val fleet: LoopbackFleet,
     private val controllers: List<ControllerProcess>,
     private val history: RunHistory,
-    private val traffic: Traffic,
+    private val traffic: MessageCounters,
     private val latencies: Latencies,
     private val leaseMs: Long,
 ) {
@@ -44,7 +44,7 @@
         latencies.isRecording = false
         val last = take()
         val seconds = (last.atNs - first.atNs) / 1e9
-        val efforts = EffortLines(controllers.indices.flatMap { controllers[it].logLinesSince(first.logOffsets[it]) })
+        val efforts = CpuUsageLines(controllers.indices.flatMap { controllers[it].logLinesSince(first.logOffsets[it]) })
         return ScaleReport(
             origin = origin.copy(measuredSeconds = seconds),
             load = load(last, seconds),
@@ -143,20 +143,20 @@
 
     /** What makes sums over the lines of all controllers rates of all of them together: each line tells of about one lease
      * of one controller. */
-    private fun perSecond(efforts: EffortLines) = controllers.size / (maxOf(1, efforts.count) * leaseMs / 1000.0)
+    private fun perSecond(efforts: CpuUsageLines) = controllers.size / (maxOf(1, efforts.count) * leaseMs / 1000.0)
 
-    private fun workFigures(efforts: EffortLines) =
+    private fun workFigures(efforts: CpuUsageLines) =
         efforts.work.map { (kind, figures) ->
             val factor = perSecond(efforts)
             WorkShare(kind, figures.count * factor, figures.totalMs / 1000.0 * factor, figures.longestMs)
         }
 
-    private fun writeFigures(efforts: EffortLines) =
+    private fun writeFigures(efforts: CpuUsageLines) =
         efforts.writes.map { (urgency, figures) ->
             WriteFigures(urgency, figures.count * perSecond(efforts), figures.longestMs)
         }
 
-    private fun peerFigures(efforts: EffortLines): PeerFigures {
+    private fun peerFigures(efforts: CpuUsageLines): PeerFigures {
         val factor = perSecond(efforts)
         return PeerFigures(
             (efforts.work["news"]?.count ?: 0L) * factor,
--- a/src/main/kotlin/micatally/scale/Traffic.kt
+++ b/src/main/kotlin/micatally/scale/MessageCounters.kt
@@ -31,7 +31,7 @@
 }
 
 /** Counts messages and bodies' bytes by interface and kind. Safe on all loops at once. */
-class Traffic : MessageObserver {
+class MessageCounters : MessageObserver {
     private class Counters {
         val requests = LongAdder()
         val refused = LongAdder()
--- a/src/main/kotlin/micatally/scale/ScaleRun.kt
+++ b/src/main/kotlin/micatally/scale/ScaleRun.kt
@@ -51,7 +51,7 @@
     private val loops = listOf(workerLoop, stateLoop, userLoop)
     private val directory = Files.createTempDirectory("micatally-scale")
     private val latencies = Latencies()
-    private val traffic = Traffic()
+    private val traffic = MessageCounters()
     private val jobs = JobPlan.of(scenario)
     private val teams =
         List(scenario.teams.count) {
--- a/src/main/kotlin/micatally/scale/Users.kt
+++ b/src/main/kotlin/micatally/scale/Users.kt
@@ -21,7 +21,7 @@
     private val plan: UserPlan,
     private val history: RunHistory,
     private val latencies: Latencies,
-    private val traffic: Traffic,
+    private val traffic: MessageCounters,
     private val random: Random,
     private val nowMs: () -> Long,
 ) {
--- a/src/main/kotlin/micatally/settings/Operator.kt
+++ b/src/main/kotlin/micatally/settings/Operator.kt
@@ -6,7 +6,7 @@
 /** Operators' own settings, beyond the file that the platform hands over. Durations are multiples of a worker's lease or of a machine's boot. */
 class Operator(
     val queueBounds: List<Double>,
-    val queueLift: Double,
+    val promotionRatio: Double,
     val fleetHeadroom: Double,
     val fleetIdleBoots: Double,
     /** Whether the teams move from the settings file to the state service once all controllers are ready for it. */
@@ -78,7 +78,7 @@
             }
             return Operator(
                 bounds ?: DEFAULT.queueBounds,
-                number(LIFT, DEFAULT.queueLift, 0.1..100.0),
+                number(LIFT, DEFAULT.promotionRatio, 0.1..100.0),
                 number(HEADROOM, DEFAULT.fleetHeadroom, 0.0..1.0),
                 number(IDLE, DEFAULT.fleetIdleBoots, 0.1..100.0),
                 flag(p, STORED_TEAMS),
--- a/src/test/kotlin/micatally/compatibility/MessagesTest.kt
+++ b/src/test/kotlin/micatally/compatibility/MessagesTest.kt
@@ -954,7 +954,7 @@
     fun `operators' properties are read`() {
         val operator = Operator.parse(properties())
         assertEquals(listOf(0.5, 2.0, 20.0), operator.queueBounds)
-        assertEquals(3.5, operator.queueLift)
+        assertEquals(3.5, operator.promotionRatio)
         assertEquals(0.25, operator.fleetHeadroom)
         assertEquals(1.75, operator.fleetIdleBoots)
         assertTrue(operator.storesTeams)
--- a/src/test/kotlin/micatally/scale/SweepTest.kt
+++ b/src/test/kotlin/micatally/scale/SweepTest.kt
@@ -59,7 +59,7 @@
         val line =
             "[x] INFO micatally.effort - effort reports=10x/20ms/3ms shared keys=4x/8ms/5ms machines=20 waiting=0 " +
                 "newsReceived=100 newsAnswered=7 writes=lease:2x/0ms/1ms,intent:6x/1ms/9ms requests=lease:30x/0ms/0ms"
-        val efforts = EffortLines(listOf(line, line, "something else"))
+        val efforts = CpuUsageLines(listOf(line, line, "something else"))
         assertEquals(2, efforts.count)
         assertEquals(20, efforts.work.getValue("reports").count)
         assertEquals(16, efforts.work.getValue("shared keys").totalMs)
--- a/src/test/kotlin/micatally/sim/ConfigurationTest.kt
+++ b/src/test/kotlin/micatally/sim/ConfigurationTest.kt
@@ -33,7 +33,7 @@
     private val storesTeams =
         Operator(
             Operator.DEFAULT.queueBounds,
-            Operator.DEFAULT.queueLift,
+            Operator.DEFAULT.promotionRatio,
             Operator.DEFAULT.fleetHeadroom,
             Operator.DEFAULT.fleetIdleBoots,
             storesTeams = true,
