--- a/src/main/kotlin/micatally/fleet/CloudClient.kt
+++ b/src/main/kotlin/micatally/fleet/CloudClient.kt
@@ -17,18 +17,18 @@
 import micatally.wire.listOrNull
 import micatally.wire.parseObject
 
-sealed interface RentResult {
-    class Rented(
+sealed interface ProvisioningResult {
+    class Provisioned(
         val names: List<String>,
-    ) : RentResult
+    ) : ProvisioningResult
 
-    data object NoCapacity : RentResult
+    data object NoCapacity : ProvisioningResult
 
     /** Not carried out: an outage or a refused request. */
-    data object Refused : RentResult
+    data object Refused : ProvisioningResult
 
     /** Perhaps carried out; the same booking must be asked for again. */
-    data object Unknown : RentResult
+    data object Unknown : ProvisioningResult
 }
 
 /** The cloud's protocol, within its limit of requests. */
@@ -56,32 +56,32 @@
     }
 
     suspend fun rent(
-        booking: String,
+        request: String,
         type: String,
         zone: String,
         spot: Boolean,
         count: Int,
-    ): RentResult {
+    ): ProvisioningResult {
         val body =
             buildJsonObject {
-                put("booking", booking)
+                put("booking", request)
                 put("rig", type)
                 put("circuit", zone)
                 put("loaners", spot)
                 put("count", count)
             }
         return when (val out = send("POST", "/machines", body, Urgency.ACCEPTANCE)) {
-            is Outcome.NotSent -> RentResult.Refused
-            is Outcome.Silence, is Outcome.TooLarge -> RentResult.Unknown
+            is Outcome.NotSent -> ProvisioningResult.Refused
+            is Outcome.Silence, is Outcome.TooLarge -> ProvisioningResult.Unknown
             is Outcome.Answer ->
                 when {
                     out.status == 200 ->
-                        RentResult.Rented(
+                        ProvisioningResult.Provisioned(
                             (parseObject(out.body).listOrNull("cars") ?: emptyList()).map { it.asText() },
                         )
-                    out.status == 503 && out.body.decodeToString().contains("no capacity") -> RentResult.NoCapacity
-                    out.status == 503 || out.status == 429 || out.status == 400 -> RentResult.Refused
-                    else -> RentResult.Unknown
+                    out.status == 503 && out.body.decodeToString().contains("no capacity") -> ProvisioningResult.NoCapacity
+                    out.status == 503 || out.status == 429 || out.status == 400 -> ProvisioningResult.Refused
+                    else -> ProvisioningResult.Unknown
                 }
         }
     }
--- a/src/main/kotlin/micatally/fleet/EmptyingPlan.kt
+++ b/src/main/kotlin/micatally/fleet/ConsolidationPlan.kt
@@ -13,7 +13,7 @@
  * @param recent services that came lately: as many may come while a machine boots
  * @param headroom share of what is used that stays free
  */
-class EmptyingPlan(
+class ConsolidationPlan(
     private val up: List<Machine>,
     private val leaving: List<Machine>,
     private val types: Map<String, MachineType>,
--- a/src/main/kotlin/micatally/fleet/FleetManager.kt
+++ b/src/main/kotlin/micatally/fleet/FleetManager.kt
@@ -24,7 +24,7 @@
 import org.slf4j.LoggerFactory
 
 /** What the fleet manager hears from the rest of the node. */
-interface FleetDemand {
+interface PendingWorkload {
     /** What finds no room at present, of all owners. */
     fun unplaced(): List<ResourceRequest>
 
@@ -44,7 +44,7 @@
     private val cloud: CloudClient,
     private val membership: Membership,
     private val machines: MachineRegistry,
-    private val fleetDemand: FleetDemand,
+    private val fleetDemand: PendingWorkload,
     operator: Operator,
     private val nowMs: () -> Long,
 ) {
@@ -57,25 +57,25 @@
     private var neededAt = Long.MIN_VALUE / 2
     private val unknownStates = HashSet<String>()
 
-    private val rentals = Rentals { machines.bootMs(it) }
-    private val deletions =
-        Deletions(scope, settings, state, cloud, sharedKeys, { isLeader && membership.leaseHolds() }, nowMs)
-    private val renting = Renting(scope, settings, state, cloud, sharedKeys, machines, rentals, { isLeader }, nowMs)
-    private val silence = SilentMachines(scope, http, settings, machines, rentals, fleetDemand::silentZones, nowMs)
+    private val instances = ProvisionedInstances { machines.bootMs(it) }
+    private val scaleIn =
+        ScaleIn(scope, settings, state, cloud, sharedKeys, { isLeader && membership.leaseHolds() }, nowMs)
+    private val scaleOut = ScaleOut(scope, settings, state, cloud, sharedKeys, machines, instances, { isLeader }, nowMs)
+    private val silence = MachineFailureDetector(scope, http, settings, machines, instances, fleetDemand::silentZones, nowMs)
     private val drains =
-        Drains(
+        GracefulEviction(
             scope,
             settings,
             state,
             sharedKeys,
             machines,
-            rentals,
-            deletions,
+            instances,
+            scaleIn,
             fleetDemand::recentServices,
             operator,
             nowMs,
         )
-    private val types = MachineTypes(settings, state, cloud, machines, { isLeader }, { onMachineTypes() })
+    private val types = MachineTypeCatalog(settings, state, cloud, machines, { isLeader }, { onMachineTypes() })
 
     /** The machine types have become known. */
     var onMachineTypes: () -> Unit = {}
@@ -83,9 +83,9 @@
     val isLeader get() = term > 0 && sharedKeys.modRevision(Keys.FLEET) == term
 
     /** Machines whose end an owner needs proven. */
-    fun retire(names: List<String>) = deletions.want(names)
+    fun retire(names: List<String>) = scaleIn.want(names)
 
-    suspend fun prune() = deletions.prune()
+    suspend fun prune() = scaleIn.prune()
 
     fun start() {
         scope.launch { types.follow() }
@@ -139,9 +139,9 @@
         termSince = nowMs()
         neededAt = termSince
         log.info("fleet key held, term {}", term)
-        rentals.clear()
+        instances.clear()
         drains.beginTerm()
-        renting.beginTerm(term)
+        scaleOut.beginTerm(term)
     }
 
     private suspend fun listLoop() {
@@ -162,10 +162,10 @@
     ) {
         if (sharedKeys.has(Keys.DELETED_MACHINE + line.name) || line.name in machines.deletedNames) return
         when (line.status) {
-            ListedMachine.FAILED -> deletions.want(line.name)
-            ListedMachine.STARTING -> rentals.listed(line, now)
+            ListedMachine.FAILED -> scaleIn.want(line.name)
+            ListedMachine.STARTING -> instances.listed(line, now)
             ListedMachine.RUNNING -> {
-                rentals.listed(line, now)
+                instances.listed(line, now)
                 machines.known(line.name, line.addr, line.type, line.zone, line.spot)
             }
             else ->
@@ -179,28 +179,28 @@
         val now = nowMs()
         if (!membership.leaseHolds() || membership.viewAgeMs > settings.leaseMs / 2) return
         followRentals(now)
-        deletions.want(silence.find(now, termSince))
+        scaleIn.want(silence.find(now, termSince))
         val demands = fleetDemand.unplaced()
         if (demands.isNotEmpty()) neededAt = now
         giveUpLate(now)
         drains.review(demands, now)
-        deletions.send()
-        renting.dropSettledNotes()
-        if (demands.isNotEmpty()) renting.rentFor(demands, now)
+        scaleIn.send()
+        scaleOut.dropSettledNotes()
+        if (demands.isNotEmpty()) scaleOut.scaleOutFor(demands, now)
     }
 
     private fun followRentals(now: Long) {
         for (m in machines.byName.values) {
-            if (!m.deleted && m.incarnation != 0L) rentals.reports(m.name, Offer(m.type, m.zone, m.spot), m.firstHeardAt)
+            if (!m.deleted && m.incarnation != 0L) instances.reports(m.name, Offer(m.type, m.zone, m.spot), m.firstHeardAt)
         }
-        rentals.removeAll(machines.deletedNames)
-        rentals.observe(now)
+        instances.removeAll(machines.deletedNames)
+        instances.observe(now)
     }
 
     private fun giveUpLate(now: Long) {
-        for (rental in rentals.givenUp(now, now - neededAt < settings.leaseMs)) {
-            log.info("machine {} has not come up in {} ms", rental.name, rental.ageMs(now))
-            deletions.want(rental.name)
+        for (instance in instances.givenUp(now, now - neededAt < settings.leaseMs)) {
+            log.info("machine {} has not come up in {} ms", instance.name, instance.ageMs(now))
+            scaleIn.want(instance.name)
         }
     }
 
--- a/src/main/kotlin/micatally/fleet/Drains.kt
+++ b/src/main/kotlin/micatally/fleet/GracefulEviction.kt
@@ -21,26 +21,26 @@
 import org.slf4j.LoggerFactory
 
 /** EMPTYING: no new tasks, the owners move what they can. EMPTY: nothing on it; deleted once all know of the drain. */
-private enum class DrainState { EMPTYING, EMPTY }
+private enum class EvictionState { EMPTYING, EMPTY }
 
 /** Takes machines out of service that stand idle, or whose tasks others have room for. */
-class Drains(
+class GracefulEviction(
     private val scope: CoroutineScope,
     private val settings: Settings,
     private val state: StateStoreClient,
     private val sharedKeys: SharedKeyCache,
     private val machines: MachineRegistry,
-    private val rentals: Rentals,
-    private val deletions: Deletions,
+    private val instances: ProvisionedInstances,
+    private val scaleIn: ScaleIn,
     private val recentServices: () -> List<ResourceRequest>,
     private val operator: Operator,
     private val nowMs: () -> Long,
 ) {
     private val log = LoggerFactory.getLogger("micatally.fleet")
 
-    private class Drain(
+    private class Eviction(
         val since: Long,
-        state: DrainState,
+        state: EvictionState,
     ) {
         var state = state
             private set
@@ -49,7 +49,7 @@
 
         /** The one place where a drain changes its state. */
         fun transitionTo(
-            next: DrainState,
+            next: EvictionState,
             now: Long,
         ) {
             if (next == state) return
@@ -58,7 +58,7 @@
         }
     }
 
-    private val drains = HashMap<String, Drain>()
+    private val evictions = HashMap<String, Eviction>()
     private val keptUntil = HashMap<String, Long>()
     private var since = 0L
     private var lastEmptying = 0L
@@ -67,10 +67,10 @@
 
     fun beginTerm() {
         since = nowMs()
-        drains.clear()
+        evictions.clear()
         for (item in sharedKeys.under(Keys.DRAIN)) {
-            drains[item.key.removePrefix(Keys.DRAIN)] =
-                Drain(since, DrainState.EMPTYING)
+            evictions[item.key.removePrefix(Keys.DRAIN)] =
+                Eviction(since, EvictionState.EMPTYING)
         }
     }
 
@@ -80,7 +80,7 @@
         now: Long,
     ) {
         for (m in machines.byName.values) if (!m.deleted && m.incarnation != 0L) review(m, demands, now)
-        drains.keys.removeIf { it in machines.deletedNames }
+        evictions.keys.removeIf { it in machines.deletedNames }
         reconcile(now)
         val isSettled = now - since > settings.leaseMs * 2
         if (demands.isEmpty() && isSettled && now - lastEmptying > machines.bootMs(null) / EMPTYING_A_BOOT) {
@@ -94,11 +94,11 @@
         demands: List<ResourceRequest>,
         now: Long,
     ) {
-        val drain = drains[m.name]
+        val drain = evictions[m.name]
         if (!isEmpty(m)) {
             m.busyAt = now
             if (drain == null || m.hasSpotNotice) return
-            drain.transitionTo(DrainState.EMPTYING, now)
+            drain.transitionTo(EvictionState.EMPTYING, now)
             if (demands.any { isAllowedOn(it, m) }) {
                 keep(m, now, "there is demand for it")
             } else if (now - drain.since > machines.bootMs(m.type) * EMPTYING_BOOTS) {
@@ -107,14 +107,14 @@
             return
         }
         if (drain != null) {
-            drain.transitionTo(DrainState.EMPTY, now)
+            drain.transitionTo(EvictionState.EMPTY, now)
             val isKnown =
                 now - drain.stateSince > settings.heartbeatIntervalMs + settings.leaseMs / 10 && sharedKeys.has(Keys.DRAIN + m.name)
-            if (isKnown) deletions.want(m.name)
+            if (isKnown) scaleIn.want(m.name)
             return
         }
         val idleMs = if (m.hasSpotNotice) 0L else (machines.bootMs(m.type) * operator.fleetIdleBoots).toLong()
-        if (now - maxOf(m.busyAt, since) > idleMs) drain(m, now, DrainState.EMPTY, "idle")
+        if (now - maxOf(m.busyAt, since) > idleMs) drain(m, now, EvictionState.EMPTY, "idle")
     }
 
     private fun isEmpty(m: Machine): Boolean {
@@ -135,23 +135,23 @@
     private fun emptySome(now: Long) {
         val up =
             machines.byName.values.filter { m ->
-                val isInService = !m.deleted && !m.hasSpotNotice && m.incarnation > 0 && m.name !in drains
+                val isInService = !m.deleted && !m.hasSpotNotice && m.incarnation > 0 && m.name !in evictions
                 isInService && now - m.heardAt < settings.leaseMs / 2
             }
         val leaving =
-            drains
+            evictions
                 .filterValues {
-                    it.state == DrainState.EMPTYING
+                    it.state == EvictionState.EMPTYING
                 }.keys
                 .mapNotNull { machines.of(it) }
                 .filter { !it.deleted }
         val most = maxOf(EMPTYING_AT_ONCE, (up.size * EMPTYING_SHARE).toInt()) - leaving.size
         if (most <= 0) return
-        val plan = EmptyingPlan(up, leaving, machines.machineTypes, recentServices(), operator.fleetHeadroom)
+        val plan = ConsolidationPlan(up, leaving, machines.machineTypes, recentServices(), operator.fleetHeadroom)
         for (choice in plan.choose(
             most,
         ) { mayEmpty(it, now) }) {
-            drain(choice.machine, now, DrainState.EMPTYING, choice.reason)
+            drain(choice.machine, now, EvictionState.EMPTYING, choice.reason)
         }
     }
 
@@ -159,7 +159,7 @@
         m: Machine,
         now: Long,
     ): Boolean {
-        val isPaidFor = now - (rentals.of(m.name)?.rentedAtMs ?: 0L) > MIN_CHARGE_MS
+        val isPaidFor = now - (instances.of(m.name)?.provisionedAtMs ?: 0L) > MIN_CHARGE_MS
         return isPaidFor && (keptUntil[m.name] ?: 0L) < now
     }
 
@@ -168,10 +168,10 @@
     private fun drain(
         m: Machine,
         now: Long,
-        to: DrainState,
+        to: EvictionState,
         reason: String,
     ) {
-        drains[m.name] = Drain(now, to)
+        evictions[m.name] = Eviction(now, to)
         log.info("machine {} drained: {}", m.name, reason)
         write { Transaction(emptyList(), listOf(drainOf(m.name))) }
     }
@@ -181,7 +181,7 @@
         now: Long,
         reason: String,
     ) {
-        drains.remove(m.name)
+        evictions.remove(m.name)
         keptUntil[m.name] = now + machines.bootMs(m.type) * KEPT_BOOTS
         log.info("machine {} kept: {}", m.name, reason)
         write { Transaction(emptyList(), listOf(Delete(Keys.DRAIN + m.name))) }
@@ -200,13 +200,13 @@
         reconciledAt = now
         val listed = sharedKeys.under(Keys.DRAIN)
         val names = listed.mapTo(HashSet()) { it.key.removePrefix(Keys.DRAIN) }
-        val surplus = listed.filter { it.key.removePrefix(Keys.DRAIN) !in drains }
-        val missing = drains.keys.filter { it !in names }
+        val surplus = listed.filter { it.key.removePrefix(Keys.DRAIN) !in evictions }
+        val missing = evictions.keys.filter { it !in names }
         // Only what was off at the last look too: the usual write is under way.
         for (item in surplus) if (item.key in keysOff) write { conditional(item.key, item.modRevision, Delete(item.key)) }
         for (name in missing) {
             val key = Keys.DRAIN + name
-            if (key in keysOff) write { if (name in drains) conditional(key, 0, drainOf(name)) else null }
+            if (key in keysOff) write { if (name in evictions) conditional(key, 0, drainOf(name)) else null }
         }
         keysOff = surplus.mapTo(HashSet()) { it.key } + missing.map { Keys.DRAIN + it }
     }
--- a/src/main/kotlin/micatally/fleet/SilentMachines.kt
+++ b/src/main/kotlin/micatally/fleet/MachineFailureDetector.kt
@@ -18,12 +18,12 @@
  *
  * @param silentZones where controllers are that can't be heard: they may hear their zone's workers and can't say so
  */
-class SilentMachines(
+class MachineFailureDetector(
     private val scope: CoroutineScope,
     private val http: HttpCaller,
     private val settings: Settings,
     private val machines: MachineRegistry,
-    private val rentals: Rentals,
+    private val instances: ProvisionedInstances,
     private val silentZones: () -> Set<String>,
     private val nowMs: () -> Long,
 ) {
@@ -67,10 +67,10 @@
         val hungMs = settings.leaseMs * 2
         val zones = HashMap<String, ZoneView>()
         for (m in machines.byName.values) {
-            val rental = rentals.of(m.name)
-            if (m.deleted || rental != null && !rental.isUp) continue
+            val instance = instances.of(m.name)
+            if (m.deleted || instance != null && !instance.isUp) continue
             val zone = zones.getOrPut(m.zone) { ZoneView() }
-            val silence = now - maxOf(m.heardAt, since, rental?.rentedAtMs ?: 0L)
+            val silence = now - maxOf(m.heardAt, since, instance?.provisionedAtMs ?: 0L)
             if (silence > probeAfterMs) {
                 probe(m, now)
                 zone.quiet++
--- a/src/main/kotlin/micatally/fleet/MachineTypes.kt
+++ b/src/main/kotlin/micatally/fleet/MachineTypeCatalog.kt
@@ -17,7 +17,7 @@
 import org.slf4j.LoggerFactory
 
 /** Keeps the machine types known here: from the cloud, or from the state service while the cloud can't be asked. */
-class MachineTypes(
+class MachineTypeCatalog(
     private val settings: Settings,
     private val state: StateStoreClient,
     private val cloud: CloudClient,
--- a/src/main/kotlin/micatally/fleet/Rentals.kt
+++ b/src/main/kotlin/micatally/fleet/ProvisionedInstances.kt
@@ -3,10 +3,10 @@
 import micatally.wire.ListedMachine
 
 /** A machine that was rented and has not ended, as far as the fleet manager knows. */
-class Rental(
+class ProvisionedInstance(
     val name: String,
     val offer: Offer,
-    var rentedAtMs: Long,
+    var provisionedAtMs: Long,
 ) {
     var isUp = false
         private set
@@ -16,18 +16,18 @@
         isUp = true
     }
 
-    fun ageMs(nowMs: Long) = maxOf(0L, nowMs - rentedAtMs)
+    fun ageMs(nowMs: Long) = maxOf(0L, nowMs - provisionedAtMs)
 }
 
 /** All machines that are paid for: which are up, which are on their way, and which are waited for in vain. */
-class Rentals(
+class ProvisionedInstances(
     private val nominalBootMs: (String) -> Long,
 ) {
-    private val byName = HashMap<String, Rental>()
+    private val byName = HashMap<String, ProvisionedInstance>()
     val bootTimes = BootTimes(nominalBootMs)
-    val all: Collection<Rental> get() = byName.values
+    val all: Collection<ProvisionedInstance> get() = byName.values
 
-    fun of(name: String): Rental? = byName[name]
+    fun of(name: String): ProvisionedInstance? = byName[name]
 
     fun clear() = byName.clear()
 
@@ -36,12 +36,12 @@
     }
 
     /** Machines that the cloud has just rented, or had rented to the former fleet manager. */
-    fun rented(
+    fun provisioned(
         names: List<String>,
         offer: Offer,
         atMs: Long,
     ) {
-        for (name in names) byName.getOrPut(name) { Rental(name, offer, atMs) }
+        for (name in names) byName.getOrPut(name) { ProvisionedInstance(name, offer, atMs) }
     }
 
     /** A line of the cloud's list; it knows the age, also of machines that somebody else has rented. */
@@ -49,13 +49,13 @@
         line: ListedMachine,
         nowMs: Long,
     ) {
-        val rentedAtMs = nowMs - (maxOf(0.0, line.ageS) * 1000).toLong()
-        val rental =
+        val provisionedAtMs = nowMs - (maxOf(0.0, line.ageS) * 1000).toLong()
+        val instance =
             byName.getOrPut(
                 line.name,
-            ) { Rental(line.name, Offer(line.type, line.zone, line.spot), rentedAtMs) }
-        rental.rentedAtMs = minOf(rental.rentedAtMs, rentedAtMs)
-        if (line.status == ListedMachine.RUNNING) rental.cameUp()
+            ) { ProvisionedInstance(line.name, Offer(line.type, line.zone, line.spot), provisionedAtMs) }
+        instance.provisionedAtMs = minOf(instance.provisionedAtMs, provisionedAtMs)
+        if (line.status == ListedMachine.RUNNING) instance.cameUp()
     }
 
     /**
@@ -68,13 +68,13 @@
         offer: Offer,
         firstHeardMs: Long,
     ) {
-        val rental = byName.getOrPut(name) { Rental(name, offer, firstHeardMs) }
-        if (!rental.isUp &&
-            firstHeardMs > rental.rentedAtMs
+        val instance = byName.getOrPut(name) { ProvisionedInstance(name, offer, firstHeardMs) }
+        if (!instance.isUp &&
+            firstHeardMs > instance.provisionedAtMs
         ) {
-            bootTimes.cameUp(offer, rental.ageMs(firstHeardMs), firstHeardMs)
+            bootTimes.cameUp(offer, instance.ageMs(firstHeardMs), firstHeardMs)
         }
-        rental.cameUp()
+        instance.cameUp()
     }
 
     /** Tells the boot times which machines are out. */
@@ -83,17 +83,17 @@
     }
 
     /** Machines on their way that may be counted on. */
-    fun coming(nowMs: Long): List<Rental> =
+    fun coming(nowMs: Long): List<ProvisionedInstance> =
         byName.values.filter { !it.isUp && it.ageMs(nowMs) <= bootTimes.plausibleMs(it.offer) }
 
     /** Machines that are not worth waiting for: hopeless ones, and late ones for which there is no need any more. */
     fun givenUp(
         nowMs: Long,
         isNeeded: Boolean,
-    ): List<Rental> =
-        byName.values.filter { rental ->
-            val age = rental.ageMs(nowMs)
-            val isLate = age > bootTimes.plausibleMs(rental.offer)
-            !rental.isUp && (age > bootTimes.hopelessMs(rental.offer) || isLate && !isNeeded)
+    ): List<ProvisionedInstance> =
+        byName.values.filter { instance ->
+            val age = instance.ageMs(nowMs)
+            val isLate = age > bootTimes.plausibleMs(instance.offer)
+            !instance.isUp && (age > bootTimes.hopelessMs(instance.offer) || isLate && !isNeeded)
         }
 }
--- a/src/main/kotlin/micatally/fleet/Booking.kt
+++ b/src/main/kotlin/micatally/fleet/ProvisioningRequest.kt
@@ -17,7 +17,7 @@
  * @property name never used again, since the cloud answers a repeated request as before
  * @property machines what the cloud gave, once it has answered; versions that don't know the field ask the cloud again
  */
-data class Booking(
+data class ProvisioningRequest(
     val name: String,
     val offer: Offer,
     val count: Int,
@@ -44,7 +44,7 @@
         fun parse(
             name: String,
             stored: JsonObject,
-        ) = Booking(
+        ) = ProvisioningRequest(
             name,
             Offer(stored.text(TYPE), stored.text(ZONE), stored.flag(SPOT)),
             stored.long(COUNT).toInt(),
--- a/src/main/kotlin/micatally/fleet/Deletions.kt
+++ b/src/main/kotlin/micatally/fleet/ScaleIn.kt
@@ -16,7 +16,7 @@
 import org.slf4j.LoggerFactory
 
 /** Returns machines to the cloud and stores that they are gone, which is the proof that their tasks are. */
-class Deletions(
+class ScaleIn(
     private val scope: CoroutineScope,
     private val settings: Settings,
     private val state: StateStoreClient,
--- a/src/main/kotlin/micatally/fleet/Renting.kt
+++ b/src/main/kotlin/micatally/fleet/ScaleOut.kt
@@ -18,20 +18,20 @@
 import org.slf4j.LoggerFactory
 
 /** Rents machines for demand that finds no room, under names that are stored first and never used twice. */
-class Renting(
+class ScaleOut(
     private val scope: CoroutineScope,
     private val settings: Settings,
     private val state: StateStoreClient,
     private val cloud: CloudClient,
     private val sharedKeys: SharedKeyCache,
     private val machines: MachineRegistry,
-    private val rentals: Rentals,
+    private val instances: ProvisionedInstances,
     private val isLeader: () -> Boolean,
     private val nowMs: () -> Long,
 ) {
     private val log = LoggerFactory.getLogger("micatally.fleet")
     private var term = 0L
-    private var bookings = 0
+    private var requestCount = 0
 
     /** Names of bookings that are being stored or asked for. */
     private val underWay = HashSet<String>()
@@ -39,130 +39,130 @@
     private val refusals = HashMap<Offer, Int>()
 
     /** Bookings that the cloud has answered and whose machines are not all up yet. */
-    private val answered = HashMap<String, Booking>()
+    private val answered = HashMap<String, ProvisioningRequest>()
 
     fun beginTerm(newTerm: Long) {
         term = newTerm
-        bookings = 0
+        requestCount = 0
         answered.clear()
-        for (item in sharedKeys.under(Keys.PROVISIONING)) resume(Booking.parse(item.key.removePrefix(Keys.PROVISIONING), item.value))
+        for (item in sharedKeys.under(Keys.PROVISIONING)) resume(ProvisioningRequest.parse(item.key.removePrefix(Keys.PROVISIONING), item.value))
     }
 
     /**
      * What the former fleet manager had decided is finished under its names: repeating a booking rents nothing twice. Machines of
      * answered ones are on their way, and would be rented again if they were not counted.
      */
-    private fun resume(booking: Booking) {
-        if (booking.machines.isEmpty()) {
-            carryOut(booking) { book(booking) }
+    private fun resume(request: ProvisioningRequest) {
+        if (request.machines.isEmpty()) {
+            carryOut(request) { provision(request) }
             return
         }
-        rentals.rented(booking.machines.filter { it !in machines.deletedNames }, booking.offer, nowMs())
-        answered[booking.name] = booking
+        instances.provisioned(request.machines.filter { it !in machines.deletedNames }, request.offer, nowMs())
+        answered[request.name] = request
     }
 
-    fun rentFor(
+    fun scaleOutFor(
         demands: List<ResourceRequest>,
         now: Long,
     ) {
         if (machines.machineTypes.isEmpty() || underWay.isNotEmpty()) return
         val owned = HashMap<String, Int>()
-        for (rental in rentals.all) owned.merge("${rental.offer.type}/${rental.offer.zone}", 1, Int::plus)
+        for (instance in instances.all) owned.merge("${instance.offer.type}/${instance.offer.zone}", 1, Int::plus)
         val coming =
-            rentals.coming(now).mapNotNullTo(ArrayList()) { rental ->
-                machines.machineTypes[rental.offer.type]?.let { type ->
-                    RentPlan.Room(rental.offer.type, rental.offer.zone, rental.offer.spot, type.resources)
+            instances.coming(now).mapNotNullTo(ArrayList()) { instance ->
+                machines.machineTypes[instance.offer.type]?.let { type ->
+                    ScaleOutPlan.Room(instance.offer.type, instance.offer.zone, instance.offer.spot, type.resources)
                 }
             }
-        val market = Market({ (refusedUntil[it] ?: 0L) > now }, { rentals.bootTimes.slowness(it) })
-        val plan = RentPlan.plan(demands, coming, machines.machineTypes.values, market, owned, MOST_AT_ONCE)
+        val market = Market({ (refusedUntil[it] ?: 0L) > now }, { instances.bootTimes.slowness(it) })
+        val plan = ScaleOutPlan.plan(demands, coming, machines.machineTypes.values, market, owned, MOST_AT_ONCE)
         for ((offer, count) in plan) {
             for (part in 0 until count step MOST_A_BOOKING) {
-                decide(Booking("b$term-${++bookings}", offer, minOf(MOST_A_BOOKING, count - part)))
+                decide(ProvisioningRequest("b$term-${++requestCount}", offer, minOf(MOST_A_BOOKING, count - part)))
             }
         }
     }
 
     /** A booking is stored before the cloud hears of it, so that its name is used for nothing else. */
-    private fun decide(booking: Booking) =
-        carryOut(booking) {
+    private fun decide(request: ProvisioningRequest) =
+        carryOut(request) {
             val stored =
                 state.transact(1, Urgency.INTENT) {
-                    Transaction(listOf(Compare(Keys.FLEET, term)), listOf(Put(Keys.PROVISIONING + booking.name, booking.toJson())))
+                    Transaction(listOf(Compare(Keys.FLEET, term)), listOf(Put(Keys.PROVISIONING + request.name, request.toJson())))
                 }
-            if (stored is TransactionResult.Applied) book(booking)
+            if (stored is TransactionResult.Applied) provision(request)
         }
 
     private fun carryOut(
-        booking: Booking,
+        request: ProvisioningRequest,
         action: suspend () -> Unit,
     ) {
-        underWay.add(booking.name)
+        underWay.add(request.name)
         scope.launch {
             try {
                 action()
             } finally {
-                underWay.remove(booking.name)
+                underWay.remove(request.name)
             }
         }
     }
 
     /** Asks the cloud until it has certainly answered or refused. */
-    private suspend fun book(booking: Booking) {
-        val offer = booking.offer
+    private suspend fun provision(request: ProvisioningRequest) {
+        val offer = request.offer
         val at = nowMs()
         var isUnclear = false
         while (true) {
-            when (val result = cloud.rent(booking.name, offer.type, offer.zone, offer.spot, booking.count)) {
-                is RentResult.Rented -> {
-                    rented(booking, result.names, at)
+            when (val result = cloud.rent(request.name, offer.type, offer.zone, offer.spot, request.count)) {
+                is ProvisioningResult.Provisioned -> {
+                    provisioned(request, result.names, at)
                     return
                 }
-                RentResult.NoCapacity -> {
+                ProvisioningResult.NoCapacity -> {
                     log.info("no capacity for {} in {} spot={}", offer.type, offer.zone, offer.spot)
                     refuse(offer)
                     break
                 }
-                RentResult.Refused ->
+                ProvisioningResult.Refused ->
                     if (!isUnclear) {
                         refusedUntil[offer] = nowMs() + settings.leaseMs / REFUSED_SHARE
                         break
                     }
-                RentResult.Unknown -> isUnclear = true
+                ProvisioningResult.Unknown -> isUnclear = true
             }
             if (!isLeader()) return
             delay(settings.leaseMs / REPEAT_SHARE)
         }
-        dropNote(booking.name)
+        dropNote(request.name)
     }
 
-    private suspend fun rented(
-        booking: Booking,
+    private suspend fun provisioned(
+        request: ProvisioningRequest,
         names: List<String>,
         at: Long,
     ) {
-        val offer = booking.offer
+        val offer = request.offer
         log.info(
             "rented {} of {} {} in {} spot={}: {}",
             names.size,
-            booking.count,
+            request.count,
             offer.type,
             offer.zone,
             offer.spot,
             names,
         )
-        rentals.rented(names.filter { it !in machines.deletedNames }, offer, at)
-        if (names.size < booking.count) refuse(offer) else refusals.remove(offer)
-        if (names.isEmpty()) dropNote(booking.name) else keepNote(booking.answered(names))
+        instances.provisioned(names.filter { it !in machines.deletedNames }, offer, at)
+        if (names.size < request.count) refuse(offer) else refusals.remove(offer)
+        if (names.isEmpty()) dropNote(request.name) else keepNote(request.answered(names))
     }
 
     /** On condition that the note is there: it may have been dropped meanwhile, by the next fleet manager. */
-    private suspend fun keepNote(booking: Booking) {
-        answered[booking.name] = booking
-        val key = Keys.PROVISIONING + booking.name
+    private suspend fun keepNote(request: ProvisioningRequest) {
+        answered[request.name] = request
+        val key = Keys.PROVISIONING + request.name
         state.transact(1, Urgency.SUMMARY) {
-            val isNoted = sharedKeys.has(key) && booking.name in answered
-            if (isNoted) Transaction(listOf(Compare(key, sharedKeys.modRevision(key))), listOf(Put(key, booking.toJson()))) else null
+            val isNoted = sharedKeys.has(key) && request.name in answered
+            if (isNoted) Transaction(listOf(Compare(key, sharedKeys.modRevision(key))), listOf(Put(key, request.toJson()))) else null
         }
     }
 
@@ -177,12 +177,12 @@
     fun dropSettledNotes() {
         if (answered.isEmpty()) return
         val settled =
-            answered.values.filter { booking ->
-                booking.machines.all { it in machines.deletedNames || rentals.of(it)?.isUp == true }
+            answered.values.filter { request ->
+                request.machines.all { it in machines.deletedNames || instances.of(it)?.isUp == true }
             }
-        for (booking in settled) {
-            answered.remove(booking.name)
-            scope.launch { dropNote(booking.name) }
+        for (request in settled) {
+            answered.remove(request.name)
+            scope.launch { dropNote(request.name) }
         }
     }
 
--- a/src/main/kotlin/micatally/fleet/RentPlan.kt
+++ b/src/main/kotlin/micatally/fleet/ScaleOutPlan.kt
@@ -23,7 +23,7 @@
 )
 
 /** What to rent for tasks that find no room. Decisions only. */
-object RentPlan {
+object ScaleOutPlan {
     class Room(
         val type: String,
         val zone: String,
--- a/src/main/kotlin/micatally/node/Controller.kt
+++ b/src/main/kotlin/micatally/node/Controller.kt
@@ -12,7 +12,7 @@
 import micatally.config.Configuration
 import micatally.config.ConfigurationService
 import micatally.fleet.CloudClient
-import micatally.fleet.FleetDemand
+import micatally.fleet.PendingWorkload
 import micatally.fleet.FleetManager
 import micatally.http.HttpCaller
 import micatally.http.HttpRequest
@@ -169,7 +169,7 @@
         }
 
     private fun fleetDemand() =
-        object : FleetDemand {
+        object : PendingWorkload {
             override fun unplaced() = scheduler.unplaced.values.toList() + peers.demandOfPeers()
 
             override fun recentServices() = peers.recentServices()
--- a/src/test/kotlin/micatally/compatibility/MessagesTest.kt
+++ b/src/test/kotlin/micatally/compatibility/MessagesTest.kt
@@ -16,7 +16,7 @@
 import micatally.config.ConfigurationClient
 import micatally.config.ConfigurationPaths
 import micatally.fleet.CloudClient
-import micatally.fleet.RentResult
+import micatally.fleet.ProvisioningResult
 import micatally.http.HttpCaller
 import micatally.http.HttpRequest
 import micatally.http.HttpResponse
@@ -479,7 +479,7 @@
             )
         }
 
-    private suspend fun TestScope.rent(outcome: Outcome): RentResult {
+    private suspend fun TestScope.rent(outcome: Outcome): ProvisioningResult {
         val recorder = Recorder(outcome)
         val result = cloud(recorder).rent("r-17", "g8", "a", true, 12)
         assertEquals(listOf("POST /machines"), recorder.requests)
@@ -490,12 +490,12 @@
     @Test
     fun `machines are rented`() =
         runTest {
-            val rented = rent(answer(200, "cloud/rented.json")) as RentResult.Rented
+            val rented = rent(answer(200, "cloud/rented.json")) as ProvisioningResult.Provisioned
             assertEquals(listOf("m-000231", "m-000232"), rented.names)
-            assertEquals(RentResult.NoCapacity, rent(answer(503, "cloud/no-capacity.json")))
-            assertEquals(RentResult.Refused, rent(answer(503, "cloud/trouble.json")))
-            assertEquals(RentResult.Refused, rent(answer(400)))
-            assertEquals(RentResult.Refused, rent(answer(429)))
+            assertEquals(ProvisioningResult.NoCapacity, rent(answer(503, "cloud/no-capacity.json")))
+            assertEquals(ProvisioningResult.Refused, rent(answer(503, "cloud/trouble.json")))
+            assertEquals(ProvisioningResult.Refused, rent(answer(400)))
+            assertEquals(ProvisioningResult.Refused, rent(answer(429)))
         }
 
     @Test
--- a/src/test/kotlin/micatally/compatibility/StoredValuesTest.kt
+++ b/src/test/kotlin/micatally/compatibility/StoredValuesTest.kt
@@ -9,7 +9,7 @@
 import kotlinx.serialization.protobuf.ProtoBuf
 import micatally.config.ChangeCodec
 import micatally.config.Configuration
-import micatally.fleet.Booking
+import micatally.fleet.ProvisioningRequest
 import micatally.http.HttpCaller
 import micatally.http.HttpRequest
 import micatally.http.Outcome
@@ -221,8 +221,8 @@
 
     @Test
     fun `bookings and machine types`() {
-        for (rent in stored("c-rent")) assertUnchanged(rent, Booking.parse(rent.key, rent.value).toJson())
-        assertTrue(stored("c-rent").any { Booking.parse(it.key, it.value).machines.isNotEmpty() })
+        for (rent in stored("c-rent")) assertUnchanged(rent, ProvisioningRequest.parse(rent.key, rent.value).toJson())
+        assertTrue(stored("c-rent").any { ProvisioningRequest.parse(it.key, it.value).machines.isNotEmpty() })
         val types = MachineType.parseAll(stored("flavors").single().value)
         assertEquals(listOf("small", "g8"), types.map { it.label })
         assertEquals(listOf(8.0, 96.0), types.map { it.resources.cores })
--- a/src/test/kotlin/micatally/fleet/RentPlanTest.kt
+++ b/src/test/kotlin/micatally/fleet/ScaleOutPlanTest.kt
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-class RentPlanTest {
+class ScaleOutPlanTest {
     private val small = MachineType("small", Resources(8.0, 0.0, 32.0), 40.0, 0.1, 0.62, 0.2, 30.0, listOf("a"))
     private val large = MachineType("large", Resources(32.0, 0.0, 64.0), 70.0, 0.1, 2.01, 0.5, 15.0, listOf("a", "b"))
     private val gpus = MachineType("cards", Resources(96.0, 8.0, 768.0), 400.0, 1.7, 27.0, 7.0, 30.0, listOf("a", "b", "c"))
@@ -19,8 +19,8 @@
 
     private fun plan(
         demands: List<ResourceRequest>,
-        coming: MutableList<RentPlan.Room> = ArrayList(),
-    ) = RentPlan.plan(
+        coming: MutableList<ScaleOutPlan.Room> = ArrayList(),
+    ) = ScaleOutPlan.plan(
         demands,
         coming,
         listOf(small, large, gpus),
@@ -52,7 +52,7 @@
 
     @Test
     fun `tasks without cards leave the cores that cards need`() {
-        val room = RentPlan.Room("cards", "c", false, gpus.resources)
+        val room = ScaleOutPlan.Room("cards", "c", false, gpus.resources)
         plan(listOf(gateway(60, emptyList())), arrayListOf(room))
         assertTrue(room.free.cores >= 8 * 12 * 0.7 - 1e-6, "${room.free}")
     }
--- a/src/test/kotlin/micatally/sim/OperationsTest.kt
+++ b/src/test/kotlin/micatally/sim/OperationsTest.kt
@@ -109,7 +109,7 @@
             assertTrue(most <= NEEDED_AT_MOST * 2, "$most machines at once")
         }
 
-    /** Guard: a booking stays noted until its machines are up ([micatally.fleet.Renting]). Before, a new fleet manager ordered all that
+    /** Guard: a booking stays noted until its machines are up ([micatally.fleet.ScaleOut]). Before, a new fleet manager ordered all that
      * was on its way once more. */
     @Test
     fun `a new fleet manager does not rent again what its predecessor has rented`() =
