--- a/src/main/kotlin/micatally/scale/Failures.kt
+++ b/src/main/kotlin/micatally/scale/Failures.kt
@@ -6,7 +6,7 @@
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.withContext
 import micatally.standin.LoopbackFleet
-import micatally.standin.WorkerStandin
+import micatally.standin.WorkerEmulator
 import kotlin.random.Random
 
 /** Carries out the failures of a scenario at their times. */
@@ -52,7 +52,7 @@
 
     /** Machines that come back hang meanwhile; the others are gone for good. */
     private suspend fun end(
-        workers: List<WorkerStandin>,
+        workers: List<WorkerEmulator>,
         plan: FailurePlan,
     ) {
         if (plan.forSeconds <= 0) {
--- a/src/main/kotlin/micatally/scale/Measurement.kt
+++ b/src/main/kotlin/micatally/scale/Measurement.kt
@@ -113,7 +113,7 @@
         seconds: Double,
     ) = last.loops.map { (name, ms) ->
         val usedMs = ms - (first.loops[name] ?: 0L)
-        StandinFigures(name, usedMs / 1000.0 / seconds)
+        EmulatorFigures(name, usedMs / 1000.0 / seconds)
     }
 
     private fun messageFigures(
--- a/src/main/kotlin/micatally/scale/RunHistory.kt
+++ b/src/main/kotlin/micatally/scale/RunHistory.kt
@@ -5,7 +5,7 @@
 import micatally.standin.OnMachine
 import micatally.standin.RuleChecker
 import micatally.standin.RuleViolation
-import micatally.standin.WorkerStandin
+import micatally.standin.WorkerEmulator
 import micatally.wire.JobSpec
 
 /** A broken rule together with all that is known of the job that broke it. */
@@ -166,7 +166,7 @@
 
     @Synchronized
     override fun started(
-        machine: WorkerStandin,
+        machine: WorkerEmulator,
         ref: String,
         taskIndex: Int,
     ) {
@@ -183,7 +183,7 @@
 
     @Synchronized
     override fun left(
-        machine: WorkerStandin,
+        machine: WorkerEmulator,
         ref: String,
         taskIndex: Int,
         done: Boolean,
@@ -198,7 +198,7 @@
     }
 
     private fun onMachine(
-        machine: WorkerStandin,
+        machine: WorkerEmulator,
         ref: String,
         taskIndex: Int,
     ) = OnMachine(ref, taskIndex, machine.name, machine.type, machine.zone, machine.spot)
--- a/src/main/kotlin/micatally/scale/ScaleReport.kt
+++ b/src/main/kotlin/micatally/scale/ScaleReport.kt
@@ -85,7 +85,7 @@
 
 /** The stand-ins' own processor time, by loop: how much of the machine the experiment itself took. */
 @Serializable
-data class StandinFigures(
+data class EmulatorFigures(
     val loop: String,
     val coreShare: Double,
 )
@@ -102,7 +102,7 @@
     val writes: List<WriteFigures>,
     val peers: PeerFigures,
     val latencies: List<LatencyFigures>,
-    val standins: List<StandinFigures>,
+    val standins: List<EmulatorFigures>,
 ) {
     val controllerCoreShare get() = controllers.map { it.coreShare }.average()
     val controllerResidentMb get() = controllers.map { it.residentMb }.average()
--- a/src/main/kotlin/micatally/standin/CloudStandin.kt
+++ b/src/main/kotlin/micatally/standin/CloudEmulator.kt
@@ -20,13 +20,13 @@
 import micatally.wire.text
 
 /** The cloud as the protocol page describes it; a machine that is up becomes a worker through [boot]. */
-class CloudStandin(
+class CloudEmulator(
     private val scope: CoroutineScope,
     private val machineTypes: List<MachineType>,
     private val capacity: MutableMap<Triple<String, String, Boolean>, Int>,
     private val lagMs: Long,
     private val nowMs: () -> Long,
-    private val boot: suspend (String, MachineType, String, Boolean) -> WorkerStandin,
+    private val boot: suspend (String, MachineType, String, Boolean) -> WorkerEmulator,
 ) {
     private class Car(
         val name: String,
@@ -35,7 +35,7 @@
         val spot: Boolean,
         val at: Long,
     ) {
-        var worker: WorkerStandin? = null
+        var worker: WorkerEmulator? = null
         var failed = false
         var removedAt: Long? = null
         var upAt: Long? = null
--- a/src/main/kotlin/micatally/standin/LoopbackFleet.kt
+++ b/src/main/kotlin/micatally/standin/LoopbackFleet.kt
@@ -86,7 +86,7 @@
     var controllers: Map<String, String> = emptyMap()
 
     val cloud =
-        CloudStandin(
+        CloudEmulator(
             workerLoop.scope,
             plan.machineTypes,
             capacity(),
@@ -94,7 +94,7 @@
             workerLoop::nowMs,
             { name, flavor, zone, spot -> worker(name, flavor, zone, spot) },
         ).also { it.bootMs = { _ -> plan.bootMs } }
-    val state = StateStandin(plan.stateLimits, stateLoop::nowMs)
+    val state = StateStoreEmulator(plan.stateLimits, stateLoop::nowMs)
     val cloudAddr = "127.0.0.1:" + serve(workerLoop, MessageObserver.Interface.CLOUD) { cloud.handle(it) }.port
     val stateAddr = "127.0.0.1:" + serve(stateLoop, MessageObserver.Interface.STATE) { state.handle(it) }.port
 
@@ -151,11 +151,11 @@
         flavor: MachineType,
         zone: String,
         spot: Boolean,
-    ): WorkerStandin {
-        lateinit var worker: WorkerStandin
+    ): WorkerEmulator {
+        lateinit var worker: WorkerEmulator
         val addr = "127.0.0.1:" + serve(workerLoop, MessageObserver.Interface.ORDER) { worker.handle(it) }.port
         worker =
-            WorkerStandin(
+            WorkerEmulator(
                 workerLoop.scope,
                 reporting,
                 this,
@@ -188,13 +188,13 @@
     ) = (ref to taskIndex) in completed
 
     override fun started(
-        machine: WorkerStandin,
+        machine: WorkerEmulator,
         ref: String,
         taskIndex: Int,
     ) = tasks.started(machine, ref, taskIndex)
 
     override fun left(
-        machine: WorkerStandin,
+        machine: WorkerEmulator,
         ref: String,
         taskIndex: Int,
         done: Boolean,
--- a/src/main/kotlin/micatally/standin/Rehearsal.kt
+++ b/src/main/kotlin/micatally/standin/Rehearsal.kt
@@ -39,13 +39,13 @@
     ) = if (specs[ref]?.isService == true) null else TASK_MS
 
     override fun started(
-        machine: WorkerStandin,
+        machine: WorkerEmulator,
         ref: String,
         taskIndex: Int,
     ) {}
 
     override fun left(
-        machine: WorkerStandin,
+        machine: WorkerEmulator,
         ref: String,
         taskIndex: Int,
         done: Boolean,
--- a/src/main/kotlin/micatally/standin/StateStandin.kt
+++ b/src/main/kotlin/micatally/standin/StateStoreEmulator.kt
@@ -29,7 +29,7 @@
 )
 
 /** The state service as the protocol page describes it, kept in memory. */
-class StateStandin(
+class StateStoreEmulator(
     limits: StateLimits? = null,
     private val nowMs: () -> Long,
 ) {
--- a/src/main/kotlin/micatally/standin/WorkerStandin.kt
+++ b/src/main/kotlin/micatally/standin/WorkerEmulator.kt
@@ -39,13 +39,13 @@
     ): Long?
 
     fun started(
-        machine: WorkerStandin,
+        machine: WorkerEmulator,
         ref: String,
         taskIndex: Int,
     )
 
     fun left(
-        machine: WorkerStandin,
+        machine: WorkerEmulator,
         ref: String,
         taskIndex: Int,
         done: Boolean,
@@ -66,7 +66,7 @@
 }
 
 /** A worker as the protocol page describes it. */
-class WorkerStandin(
+class WorkerEmulator(
     private val scope: CoroutineScope,
     private val http: HttpCaller,
     private val world: WorkerWorld,
@@ -348,7 +348,7 @@
                         while (hung) delay(50)
                         t.status = "running"
                         changed = true
-                        world.started(this@WorkerStandin, t.ref, t.taskIndex)
+                        world.started(this@WorkerEmulator, t.ref, t.taskIndex)
                         if (spec.isGang && !sick && !world.completed(t.ref, t.taskIndex)) {
                             joinGang(t, spec)
                             return@launch
--- a/src/test/kotlin/micatally/compatibility/StoredValuesTest.kt
+++ b/src/test/kotlin/micatally/compatibility/StoredValuesTest.kt
@@ -27,7 +27,7 @@
 import micatally.peer.SummaryPieces
 import micatally.quota.TeamAllotments
 import micatally.recovery.ArchivePlan
-import micatally.standin.StateStandin
+import micatally.standin.StateStoreEmulator
 import micatally.state.KeyValue
 import micatally.state.Listing
 import micatally.state.RateBudget
@@ -234,7 +234,7 @@
     private fun written(bytes: ByteArray): String {
         var text = ""
         runTest {
-            val service = StateStandin(nowMs = { testScheduler.currentTime })
+            val service = StateStoreEmulator(nowMs = { testScheduler.currentTime })
             val http =
                 HttpCaller { _, method, target, body, _ ->
                     val response = service.handle(HttpRequest(method, target, body ?: ByteArray(0)))
--- a/src/test/kotlin/micatally/job/ShardRecordsTest.kt
+++ b/src/test/kotlin/micatally/job/ShardRecordsTest.kt
@@ -10,7 +10,7 @@
 import micatally.ledger.ShardLeader
 import micatally.ledger.Keys
 import micatally.ledger.JobShard
-import micatally.standin.StateStandin
+import micatally.standin.StateStoreEmulator
 import micatally.state.RateBudget
 import micatally.state.StateStoreClient
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -46,7 +46,7 @@
     ): Read {
         lateinit var read: Read
         runTest {
-            val service = StateStandin(nowMs = { testScheduler.currentTime })
+            val service = StateStoreEmulator(nowMs = { testScheduler.currentTime })
             service.preload(records.mapKeys { Keys.job(it.key) })
             var answers = 0
             var largest = 0
--- a/src/test/kotlin/micatally/quota/QuotaFleet.kt
+++ b/src/test/kotlin/micatally/quota/QuotaFleet.kt
@@ -27,7 +27,7 @@
 import micatally.settings.Team
 import micatally.sim.Stoppable
 import micatally.standin.Rehearsal
-import micatally.standin.StateStandin
+import micatally.standin.StateStoreEmulator
 import micatally.state.Write
 import micatally.state.Compare
 import micatally.state.Delete
@@ -74,7 +74,7 @@
     private val handler = CoroutineExceptionHandler { _, e -> if (failure == null) failure = e }
     private val scope = CoroutineScope(SupervisorJob() + dispatcher + handler)
     val now get() = scheduler.currentTime
-    val service = StateStandin(nowMs = { now })
+    val service = StateStoreEmulator(nowMs = { now })
     var faults = StateFaults.NONE
     val controllers = List(controllerCount) { Controller(it) }
     private var nextTask = 0
--- a/src/test/kotlin/micatally/quota/QuotaTest.kt
+++ b/src/test/kotlin/micatally/quota/QuotaTest.kt
@@ -22,7 +22,7 @@
 import micatally.settings.FixedTeams
 import micatally.settings.Team
 import micatally.standin.Rehearsal
-import micatally.standin.StateStandin
+import micatally.standin.StateStoreEmulator
 import micatally.state.RateBudget
 import micatally.state.StateStoreClient
 import micatally.state.Urgency
@@ -43,7 +43,7 @@
         changesPerSecond: Double = 1000.0,
     ) {
         private val now = { scope.testScheduler.currentTime }
-        val service = StateStandin(nowMs = now)
+        val service = StateStoreEmulator(nowMs = now)
         var loseShard = false
         private val http =
             HttpCaller { _, m, t, b, ms ->
--- a/src/test/kotlin/micatally/scale/RunHistoryTest.kt
+++ b/src/test/kotlin/micatally/scale/RunHistoryTest.kt
@@ -6,7 +6,7 @@
 import micatally.settings.Team
 import micatally.standin.GangTable
 import micatally.standin.GangTimes
-import micatally.standin.WorkerStandin
+import micatally.standin.WorkerEmulator
 import micatally.standin.WorkerWorld
 import micatally.wire.Resources
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -30,7 +30,7 @@
             it.submitted(service)
         }
 
-    private fun machine(name: String): WorkerStandin {
+    private fun machine(name: String): WorkerEmulator {
         val scope = TestScope()
         val world =
             object : WorkerWorld {
@@ -49,19 +49,19 @@
                 override val gangs = GangTable(scope, GangTimes(1, 1), Random(1)) { nowMs }
 
                 override fun started(
-                    machine: WorkerStandin,
+                    machine: WorkerEmulator,
                     ref: String,
                     taskIndex: Int,
                 ) {}
 
                 override fun left(
-                    machine: WorkerStandin,
+                    machine: WorkerEmulator,
                     ref: String,
                     taskIndex: Int,
                     done: Boolean,
                 ) {}
             }
-        return WorkerStandin(
+        return WorkerEmulator(
             scope,
             HttpCaller { _, _, _, _, _ -> Outcome.NotSent },
             world,
--- a/src/test/kotlin/micatally/sim/Meetings.kt
+++ b/src/test/kotlin/micatally/sim/Meetings.kt
@@ -5,7 +5,7 @@
 import kotlinx.serialization.json.JsonObject
 import kotlinx.serialization.json.JsonPrimitive
 import micatally.standin.Rehearsal
-import micatally.standin.WorkerStandin
+import micatally.standin.WorkerEmulator
 import micatally.state.StateLimits
 import micatally.wire.JobSpec
 import micatally.wire.bytes
@@ -85,7 +85,7 @@
 
     fun tasks(ref: String) = f.rules.running.filter { it.ref == ref }
 
-    fun worker(name: String): WorkerStandin = f.cloud.workers.first { it.name == name }
+    fun worker(name: String): WorkerEmulator = f.cloud.workers.first { it.name == name }
 
     fun runUntil(
         maxMs: Long,
--- a/src/test/kotlin/micatally/sim/SimFleet.kt
+++ b/src/test/kotlin/micatally/sim/SimFleet.kt
@@ -23,14 +23,14 @@
 import micatally.placement.Placement
 import micatally.settings.Operator
 import micatally.settings.Settings
-import micatally.standin.CloudStandin
+import micatally.standin.CloudEmulator
 import micatally.standin.GangTable
 import micatally.standin.GangTimes
 import micatally.standin.OnMachine
 import micatally.standin.RuleChecker
 import micatally.standin.RuleViolation
-import micatally.standin.StateStandin
-import micatally.standin.WorkerStandin
+import micatally.standin.StateStoreEmulator
+import micatally.standin.WorkerEmulator
 import micatally.standin.WorkerWorld
 import micatally.state.StateLimits
 import micatally.upgrade.FormatVersion
@@ -100,10 +100,10 @@
             MachineType("small", Resources(8.0, 0.0, 32.0), 40.0, 1.0, 1.0, 0.3, 6.0, zones),
             MachineType("g8", Resources(96.0, 8.0, 768.0), 400.0, 10.0, 30.0, 8.0, 6.0, zones),
         )
-    val state = StateStandin(limits) { now }
+    val state = StateStoreEmulator(limits) { now }
     private val workerHosts = HashMap<String, SimNet.Host>()
     val cloud =
-        CloudStandin(
+        CloudEmulator(
             scope,
             machineTypes,
             zones
@@ -435,11 +435,11 @@
         f: MachineType,
         zone: String,
         spot: Boolean,
-    ): WorkerStandin {
+    ): WorkerEmulator {
         val host = SimNet.Host(name, zone)
         net.hosts[name] = host
         val w =
-            WorkerStandin(
+            WorkerEmulator(
                 scope,
                 net.callerOf(host),
                 this,
@@ -465,7 +465,7 @@
     fun hangs(name: String) = cloud.workers.any { it.name == name && it.hung }
 
     /** A machine stops with all that is on it: connections to it hang from now on. */
-    fun loseShard(w: WorkerStandin) {
+    fun loseShard(w: WorkerEmulator) {
         cloud.take(w.name)
         net.hosts[w.name]?.dark = true
     }
@@ -495,13 +495,13 @@
     ) = rules.completed[ref]?.contains(taskIndex) == true
 
     private fun on(
-        m: WorkerStandin,
+        m: WorkerEmulator,
         ref: String,
         taskIndex: Int,
     ) = OnMachine(ref, taskIndex, m.name, m.type, m.zone, m.spot)
 
     override fun started(
-        machine: WorkerStandin,
+        machine: WorkerEmulator,
         ref: String,
         taskIndex: Int,
     ) {
@@ -510,7 +510,7 @@
     }
 
     override fun left(
-        machine: WorkerStandin,
+        machine: WorkerEmulator,
         ref: String,
         taskIndex: Int,
         done: Boolean,
@@ -524,7 +524,7 @@
     /** Whether all tasks of a gang have room at once, in one zone where they have to. */
     private fun fitsWhole(
         s: JobSpec,
-        workers: List<WorkerStandin>,
+        workers: List<WorkerEmulator>,
     ): Boolean {
         val allowed =
             workers.filter { w ->
