--- a/src/main/kotlin/micatally/api/UserApi.kt
+++ b/src/main/kotlin/micatally/api/UserApi.kt
@@ -53,7 +53,7 @@
     private val reach: WorkerReach,
     private val nowMs: () -> Long,
 ) {
-    /** Which ledger a job belongs to never changes. */
+    /** Which shard a job belongs to never changes. */
     private val shardOf = CacheBuilder.newBuilder().maximumSize(20_000).build<String, String>()
 
     /** Users wait five seconds for a submission or a cancellation, and what can't be done is answered before that. */
@@ -131,7 +131,7 @@
         if (reach.isCutOff && jobManager.job(ref) == null) return knownOr(ref) { later("no contact with the workers") }
         if (state.waitingWrites > settings.stateWriteRps) return later("too many submissions at once")
         jobManager.job(ref)?.let {
-            // Of a ledger that it has taken over this node can't tell whether it is still its own.
+            // Of a shard that it has taken over this node can't tell whether it is still its own.
             return if (it.shard === shard) waitFor(it, 200) else knownOr(ref) { later("not stored yet") }
         }
         val job = jobManager.create(spec, shard)
@@ -197,12 +197,12 @@
     }
 
     /** What this node may say from memory: final states, which never change, and its own jobs while nobody else can
-     * have taken their ledger. */
+     * have taken their shard. */
     private fun local(ref: String): JobAnswer? {
         jobManager.final(ref)?.let { return it }
         val job = jobManager.job(ref) ?: return null
         if (job.durableState == JobState.NEW || job.endUnderWay || !membership.leaseHolds()) return null
-        // This node's lease keeps others from its own ledger only: a ledger that it took over goes back to its host the
+        // This node's lease keeps others from its own shard only: a shard that it took over goes back to its host the
         // moment that host starts again, so of its jobs only the state service can tell.
         if (job.shard.name != settings.host || !jobManager.cancellations.mayConfirm(job)) return null
         return job.answer()
@@ -244,7 +244,7 @@
         record: JsonObject,
     ): Look {
         shardOf.put(ref, JobRecord.shardOf(record))
-        // Withdrawn, but not all controllers know of it yet: only its owner can tell when they do.
+        // Cancelled, but not all controllers know of it yet: only its owner can tell when they do.
         if (!JobRecord.isCancellationConfirmable(record)) return Look.Unclear
         return Look.Known(fromRecord(ref, record))
     }
--- a/src/main/kotlin/micatally/api/WorkerApi.kt
+++ b/src/main/kotlin/micatally/api/WorkerApi.kt
@@ -46,7 +46,7 @@
         val news = machines.apply(report, false)
         val known = machines.known(report.machine, report.addr, report.type, report.zone, report.spot)
         if (news && (before == null || differs(before, report))) peers.tell(known)
-        // The node does not know the epoch that the worker knows: it may have been replaced without having heard.
+        // The node does not know the fencing token that the worker knows: it may have been replaced without having heard.
         if (report.token > membership.sharedKeys.fencingToken) {
             membership.catchUp(NOTHING_MORE)
             return refuse()
@@ -83,7 +83,7 @@
                 a.status != b.status
         }
 
-    /** Tasks of withdrawn jobs whose owner can't reach the machine. */
+    /** Tasks of cancelled jobs whose owner can't reach the machine. */
     private fun killsFor(r: Heartbeat): List<Command> =
         r.tasks
             .filter {
--- a/src/main/kotlin/micatally/archive/RecordArchive.kt
+++ b/src/main/kotlin/micatally/archive/RecordArchive.kt
@@ -24,16 +24,16 @@
 import micatally.state.Urgency
 import org.slf4j.LoggerFactory
 
-/** The ledgers whose jobs this node knows, and the jobs that it still has to do with. */
+/** The shards whose jobs this node knows, and the jobs that it still has to do with. */
 interface LoadedShards {
-    /** The ledger if this node holds it and has loaded it. */
+    /** The shard if this node holds it and has loaded it. */
     fun loaded(name: String): JobShard?
 }
 
 /**
  * Moves the records of jobs that are over from `job/`, which a start or takeover lists, to `final/`, which it does not; or
  * copies them back. Works through all records again and again at a small share of this node's changes, so it goes on where
- * another process left off. Each move is one transaction on the condition that the ledger is held, that the record is the
+ * another process left off. Each move is one transaction on the condition that the shard is held, that the record is the
  * one read, and that no other process has come: late and repeated ones change nothing.
  */
 class RecordArchive(
@@ -79,13 +79,13 @@
     private suspend fun restore() {
         val copied = walk(Keys.FINAL) { shard, some -> copyBack(shard, some) } ?: return
         if (copied == 0 && shards.loaded(settings.host) != null) {
-            log.info("all archived records of this node's ledgers are back")
+            log.info("all archived records of this node's shards are back")
         } else {
             log.info("{} archived records were copied back, or are still to be", copied)
         }
     }
 
-    /** Only by a process that holds its own ledger: what a former one wrote, and comes late, then fails on the ledger. */
+    /** Only by a process that holds its own shard: what a former one wrote, and comes late, then fails on the shard. */
     private suspend fun announce() {
         if (ArchivePlan.isAnnounced(sharedKeys, settings.host)) return
         val key = Keys.archive(settings.host)
@@ -99,7 +99,7 @@
         if (result is TransactionResult.Applied) log.info("announced that this host looks for archived records")
     }
 
-    /** Hands the settled records under [prefix] to [act], those of one ledger together; returns how many it dealt with, or
+    /** Hands the settled records under [prefix] to [act], those of one shard together; returns how many it dealt with, or
      * null if not all could be read. */
     private suspend fun walk(
         prefix: String,
@@ -137,7 +137,7 @@
         return found
     }
 
-    /** Null if the record is open, unreadable, or of a ledger that this node does not hold. */
+    /** Null if the record is open, unreadable, or of a shard that this node does not hold. */
     private fun shardOf(
         ref: String,
         item: KeyValue,
@@ -248,7 +248,7 @@
                 when {
                     missing.isEmpty() -> 0
                     missing.size < items.size -> copyBack(shard, missing)
-                    // The ledger has changed hands; whether they are there is not known.
+                    // The shard has changed hands; whether they are there is not known.
                     else -> items.size
                 }
             }
--- a/src/main/kotlin/micatally/controller/CpuUsage.kt
+++ b/src/main/kotlin/micatally/controller/CpuUsage.kt
@@ -22,7 +22,7 @@
         HOUSE("housekeeping"),
     }
 
-    private val log = LoggerFactory.getLogger("micatally.effort")
+    private val log = LoggerFactory.getLogger("micatally.cpu")
 
     @PublishedApi internal val times = LongArray(Kind.entries.size)
 
@@ -69,7 +69,7 @@
     /** One line for the time since the last one. */
     fun tell(more: String) {
         log.info(
-            "effort {}{}",
+            "cpu usage {}{}",
             Kind.entries.joinToString(" ") {
                 "${it.word}=${counts[it.ordinal]}x/${times[it.ordinal] / 1_000_000}ms/${longest[it.ordinal] / 1_000_000}ms"
             },
--- a/src/main/kotlin/micatally/emulator/GangEmulator.kt
+++ b/src/main/kotlin/micatally/emulator/GangEmulator.kt
@@ -13,7 +13,7 @@
     val peerMs: Long,
 )
 
-/** A task of a gang on a stand-in worker. */
+/** A task of a gang on a emulator worker. */
 interface GangMember {
     val task: Int
 
--- a/src/main/kotlin/micatally/emulator/LoopbackFleet.kt
+++ b/src/main/kotlin/micatally/emulator/LoopbackFleet.kt
@@ -21,11 +21,11 @@
 import kotlin.random.Random
 
 /**
- * What a fleet of stand-ins consists of, and its times.
+ * What a fleet of emulators consists of, and its times.
  *
  * @property machinesOfEachKind how many machines of each type, zone and kind (spot or ordinary) can be rented
- * @property stateLimits limits of the state service that its stand-in enforces; null: none
- * @property maxConnections of each of the stand-ins' servers
+ * @property stateLimits limits of the state service that its emulator enforces; null: none
+ * @property maxConnections of each of the emulators' servers
  */
 class FleetPlan(
     val zones: List<String>,
@@ -52,9 +52,9 @@
     val back: String,
 )
 
-/** Sees the messages of the stand-ins pass, with their sizes. */
+/** Sees the messages of the emulators pass, with their sizes. */
 fun interface MessageObserver {
-    /** [peer] is the stand-in; a message without an answer has the status 0. */
+    /** [peer] is the emulator; a message without an answer has the status 0. */
     fun seen(
         peer: Interface,
         method: String,
@@ -67,7 +67,7 @@
     enum class Interface { STATE, CLOUD, REPORT, ORDER, USER }
 }
 
-/** A fleet of stand-ins on loopback: state service, cloud and workers, each speaking the protocol over sockets.
+/** A fleet of emulators on loopback: state service, cloud and workers, each speaking the protocol over sockets.
  *
  * @param workerLoop carries workers and cloud, [stateLoop] the state service; they may be the same */
 class LoopbackFleet(
--- a/src/main/kotlin/micatally/emulator/WorkerEmulator.kt
+++ b/src/main/kotlin/micatally/emulator/WorkerEmulator.kt
@@ -52,7 +52,7 @@
     )
 }
 
-/** What tells the stand-in of a worker about jobs, and what hears of starts and ends. */
+/** What tells the emulator of a worker about jobs, and what hears of starts and ends. */
 interface WorkerWorld : FleetTasks {
     fun completed(
         ref: String,
--- a/src/main/kotlin/micatally/fleet/GracefulEviction.kt
+++ b/src/main/kotlin/micatally/fleet/GracefulEviction.kt
@@ -172,7 +172,7 @@
         reason: String,
     ) {
         evictions[m.name] = Eviction(now, to)
-        log.info("machine {} drained: {}", m.name, reason)
+        log.info("machine {} is being drained: {}", m.name, reason)
         write { Transaction(emptyList(), listOf(drainOf(m.name))) }
     }
 
--- a/src/main/kotlin/micatally/fleet/ScaleOut.kt
+++ b/src/main/kotlin/micatally/fleet/ScaleOut.kt
@@ -143,7 +143,7 @@
     ) {
         val offer = request.offer
         log.info(
-            "rented {} of {} {} in {} spot={}: {}",
+            "provisioned {} of {} {} in {} spot={}: {}",
             names.size,
             request.count,
             offer.type,
--- a/src/main/kotlin/micatally/job/Cancellations.kt
+++ b/src/main/kotlin/micatally/job/Cancellations.kt
@@ -10,7 +10,7 @@
 import micatally.wire.asText
 import micatally.worker.CancelledTasks
 
-/** Cancelled jobs of this node's ledgers, and when their users may hear that they are cancelled. */
+/** Cancelled jobs of this node's shards, and when their users may hear that they are cancelled. */
 class Cancellations(
     private val scope: CoroutineScope,
     private val settings: Settings,
@@ -49,7 +49,7 @@
         pending.add(job)
         val published = sharedKeys.value(Keys.cancelledTasks(job.ref)) ?: return false
         job.storedCancelledTasksOverflow = RecordPacking.overflowCount(published)
-        // Written together with the record; this node's copy of the shared keys is as new as its hold on the ledger.
+        // Written together with the record; this node's copy of the shared keys is as new as its hold on the shard.
         job.publishedAt = nowMs()
         return true
     }
@@ -79,7 +79,7 @@
     }
 
     /**
-     * The tasks of withdrawn jobs that their machines do not confirm in time: once their user may hear of the end, any node
+     * The tasks of cancelled jobs that their machines do not confirm in time: once their user may hear of the end, any node
      * may say so, whoever asks. After a change of owner nobody else asks the other controllers again.
      */
     fun follow(now: Long) {
--- a/src/main/kotlin/micatally/job/Job.kt
+++ b/src/main/kotlin/micatally/job/Job.kt
@@ -41,7 +41,7 @@
     val health = JobHealth()
     val stoppedOnce = HashSet<Int>()
 
-    // Of a withdrawn job: since when its tasks are known to stand in the state service, the controllers that have confirmed
+    // Of a cancelled job: since when its tasks are known to stand in the state service, the controllers that have confirmed
     // them since, and whether its user may be told.
     var publishedAt: Long? = null
     val confirmedBy = HashSet<String>()
--- a/src/main/kotlin/micatally/job/JobManager.kt
+++ b/src/main/kotlin/micatally/job/JobManager.kt
@@ -25,7 +25,7 @@
 import micatally.worker.CommandDispatcher
 import org.slf4j.LoggerFactory
 
-/** The jobs of the ledgers that this node holds, and all that happens to their tasks. */
+/** The jobs of the shards that this node holds, and all that happens to their tasks. */
 class JobManager(
     private val scope: CoroutineScope,
     private val settings: Settings,
@@ -101,13 +101,13 @@
         taskIndex: Int,
     ) = job(ref)?.attempts?.get(taskIndex)
 
-    /** Whether all jobs of this node's ledgers are known here. */
+    /** Whether all jobs of this node's shards are known here. */
     val settled get() = own() != null && shards.values.all { it.state == ShardState.ACTIVE }
 
     /** Jobs that were cancelled, until their tasks are gone. */
     val cancellations = Cancellations(scope, settings, membership.sharedKeys, store, nowMs)
 
-    // Ledgers
+    // shards
 
     fun acquired(
         name: String,
@@ -138,7 +138,7 @@
 
     fun loseShard(l: JobShard) {
         if (!l.mine) return
-        log.info("ledger {} lost with {} jobs", l.name, l.jobs.size)
+        log.info("shard {} lost with {} jobs", l.name, l.jobs.size)
         l.transitionTo(ShardState.LOST)
         for (j in l.jobs.values) {
             for (a in j.attempts.values) {
@@ -153,7 +153,7 @@
         quota.forget(l.name)
     }
 
-    /** Whether the ledger's jobs should be known by now and are not: a new job of it might never be started. */
+    /** Whether the shard's jobs should be known by now and are not: a new job of it might never be started. */
     fun isLoadOverdue(l: JobShard) = loader.isOverdue(l)
 
     /** An attempt counts from now on: on its machine, and against the limit of its team. */
@@ -242,9 +242,9 @@
         attempt.transitionTo(AttemptState.TERMINATED, now)
         attempt.machine.detach(attempt, now)
         job.attempts.remove(attempt.taskIndex, attempt)
-        // What a ledger used is forgotten with it; its next holder has counted anew.
+        // What a shard used is forgotten with it; its next holder has counted anew.
         if (job.shard.mine) quota.release(job)
-        log.info("task {} gone: {}", attempt, end)
+        log.info("task {} terminated: {}", attempt, end)
         if (job.state == JobState.DROPPED) return
         if (end.proof == TerminationEvidence.COMPLETED) {
             finished(attempt, ranMs)
@@ -314,7 +314,7 @@
             if (a.incarnation <
                 m.incarnation
             ) {
-                terminate(a, AttemptTermination(TerminationEvidence.NEWER_INCARNATION, "session ${m.incarnation}"))
+                terminate(a, AttemptTermination(TerminationEvidence.NEWER_INCARNATION, "incarnation ${m.incarnation}"))
             }
         }
     }
@@ -426,7 +426,7 @@
 
     // What users ask for
 
-    /** Creates a job of this node's own ledger; the caller waits for the store. */
+    /** Creates a job of this node's own shard; the caller waits for the store. */
     fun create(
         spec: JobSpec,
         shard: JobShard,
@@ -435,7 +435,7 @@
         shard.jobs[spec.ref] = job
         if (spec.isService) arrivals.add(spec)
         log.info(
-            "job {} of {} lane {}: {} tasks of {} cores {} cards",
+            "job {} of {} class {}: {} tasks of {} cores {} GPUs",
             spec.ref,
             spec.team,
             spec.jobClass,
@@ -455,13 +455,13 @@
     fun cancel(job: Job) {
         if (job.state != JobState.OPEN && job.state != JobState.NEW) return
         job.transitionTo(JobState.CANCELLED)
-        log.info("job {} withdrawn with {} tasks", job.ref, job.attempts.size)
+        log.info("job {} cancelled with {} tasks", job.ref, job.attempts.size)
         cancellations.begin(job)
         val now = nowMs()
         val touched = LinkedHashSet<Machine>()
         for (a in job.attempts.values.toList()) {
             if (a.state == AttemptState.INTENDED) {
-                terminate(a, AttemptTermination(TerminationEvidence.NEVER_SENT, "withdrawn"))
+                terminate(a, AttemptTermination(TerminationEvidence.NEVER_SENT, "cancelled"))
                 continue
             }
             a.stop(StopReason.CANCELLED, now)
@@ -471,7 +471,7 @@
         for (m in touched) dispatcher.requestSync(m)
     }
 
-    /** Adopted after a takeover: a withdrawn job's tasks must still go. */
+    /** Adopted after a takeover: a cancelled job's tasks must still go. */
     fun sweep() {
         val now = nowMs()
         for (j in cancellations.unfinished) {
--- a/src/main/kotlin/micatally/job/JobRecord.kt
+++ b/src/main/kotlin/micatally/job/JobRecord.kt
@@ -24,7 +24,7 @@
     private const val DONE = "d"
     private const val CANCELLED = "w"
 
-    /** The tasks of a withdrawn job that are not proven gone, as all nodes watch them. */
+    /** The tasks of a cancelled job that are not proven gone, as all nodes watch them. */
     fun encodeTasks(job: Job): JsonObject =
         CancelledTasksValue.of(
             JsonArray(
@@ -48,13 +48,13 @@
                 },
             )
             put("k", job.taskCount)
-            // Under which hold on the ledger it was written: the record of a new job that is found there is this node's own only then.
+            // Under which hold on the shard it was written: the record of a new job that is found there is this node's own only then.
             put("c", job.shard.term)
             val final = job.state == JobState.DONE || job.state == JobState.CANCELLED
             if (job.spec != null && !(final && job.attempts.isEmpty())) put("s", job.spec.source)
             if (job.doneCount > 0) put("d", ranges(job.done))
             if (final && job.attempts.isEmpty()) return@buildJsonObject
-            // Withdrawn, and the user may have been told: any node may say so.
+            // Cancelled, and the user may have been told: any node may say so.
             if (final && job.cancellationConfirmable) put("x", 1)
             put("n", job.nextAttempt)
             put("t", job.submittedAt)
--- a/src/main/kotlin/micatally/job/JobStore.kt
+++ b/src/main/kotlin/micatally/job/JobStore.kt
@@ -14,7 +14,7 @@
 import micatally.state.Urgency
 import org.slf4j.LoggerFactory
 
-/** Writes job records. A record is always written whole, on the condition that the ledger is still this node's and
+/** Writes job records. A record is always written whole, on the condition that the shard is still this node's and
  * that the record is the one last seen: a write whose answer was lost and which comes late then changes nothing. */
 class JobStore(
     private val scope: CoroutineScope,
@@ -33,7 +33,7 @@
     /** Attempts that are decided but not stored find no room in their job's record. */
     var onRecordFull: (Job, List<Attempt>) -> Unit = { _, _ -> }
 
-    /** A job of a ledger that is still this node's turned out not to be its own, or was never stored. */
+    /** A job of a shard that is still this node's turned out not to be its own, or was never stored. */
     var onDropped: (Job) -> Unit = {}
 
     /** Asks for a write. Intents, ends and new jobs are [urgent]; counts of finished tasks may wait a little. */
@@ -187,7 +187,7 @@
         job.storedCancelledTasksOverflow = snapshot.write.cancelledTasksOverflow
         job.durableVersion = snapshot.version
         job.durableState = if (snapshot.state == JobState.NEW) JobState.OPEN else snapshot.state
-        // The tasks of a withdrawn job stand where all nodes watch them for as long as its record has any: a cancellation
+        // The tasks of a cancelled job stand where all nodes watch them for as long as its record has any: a cancellation
         // that is durable is also known to whoever has contact from then on, a process that starts later included.
         if (!snapshot.write.listsTasks) {
             job.publishedAt = null
--- a/src/main/kotlin/micatally/job/RecordPacking.kt
+++ b/src/main/kotlin/micatally/job/RecordPacking.kt
@@ -81,7 +81,7 @@
         InflaterInputStream(ByteArrayInputStream(bytes)).use { it.readBytes() }.decodeToString()
 }
 
-/** The rows of a kill list: the tasks of a withdrawn job that are not proven gone. */
+/** The rows of a kill list: the tasks of a cancelled job that are not proven gone. */
 object CancelledTasksValue {
     private const val ROWS = "tasks"
 
--- a/src/main/kotlin/micatally/job/ShardLoader.kt
+++ b/src/main/kotlin/micatally/job/ShardLoader.kt
@@ -7,7 +7,7 @@
 import micatally.worker.MachineRegistry
 import org.slf4j.LoggerFactory
 
-/** Brings the jobs of a ledger that this node has just acquired from the state service into memory. */
+/** Brings the jobs of a shard that this node has just acquired from the state service into memory. */
 class ShardLoader(
     private val settings: Settings,
     private val records: ShardRecords,
@@ -18,12 +18,12 @@
 ) {
     private val log = LoggerFactory.getLogger("micatally.job")
 
-    /** Whether the ledger's jobs should be known by now and are not: a new job of it might never be started. */
+    /** Whether the shard's jobs should be known by now and are not: a new job of it might never be started. */
     fun isOverdue(l: JobShard) =
         l.state == ShardState.LOADING &&
             (l.isUnreadable || nowMs() - l.leaderSinceMs > settings.leaseMs / LOADS_A_LEASE)
 
-    /** Tries until the ledger is loaded or lost. */
+    /** Tries until the shard is loaded or lost. */
     suspend fun load(l: JobShard) {
         while (l.mine) {
             if (tryLoad(l)) return
@@ -31,20 +31,20 @@
         }
     }
 
-    /** False if the records can't be had, or can't be read: then nothing of the ledger moves, and the log names the record. */
+    /** False if the records can't be had, or can't be read: then nothing of the shard moves, and the log names the record. */
     private suspend fun tryLoad(l: JobShard): Boolean {
         try {
             val records = records.of(l) { ref, record -> settled(l, ref, record) } ?: return false
             if (!l.mine) return true
             for (record in records) readable(record.ref) { adopt(l, record) }
         } catch (e: UnreadableRecord) {
-            if (!l.isUnreadable) log.error("ledger {} can't be loaded: {}", l.name, e.message)
+            if (!l.isUnreadable) log.error("shard {} can't be loaded: {}", l.name, e.message)
             l.isUnreadable = true
             return false
         }
         l.transitionTo(ShardState.ACTIVE)
         val tookMs = nowMs() - l.leaderSinceMs
-        log.info("ledger {} loaded at epoch {}: {} jobs in {} ms", l.name, l.leader.fencingToken, l.jobs.size, tookMs)
+        log.info("shard {} loaded at fencing token {}: {} jobs in {} ms", l.name, l.leader.fencingToken, l.jobs.size, tookMs)
         reconcileMachines()
         jobManager.requestCycle()
         return true
@@ -93,7 +93,7 @@
         return false
     }
 
-    /** A job of the ledger that is over, with nothing left to do. */
+    /** A job of the shard that is over, with nothing left to do. */
     private fun settled(
         l: JobShard,
         ref: String,
@@ -128,7 +128,7 @@
     }
 
     private companion object {
-        /** A ledger is to be loaded in this part of a worker's lease. */
+        /** A shard is to be loaded in this part of a worker's lease. */
         const val LOADS_A_LEASE = 4
     }
 }
--- a/src/main/kotlin/micatally/job/ShardRecords.kt
+++ b/src/main/kotlin/micatally/job/ShardRecords.kt
@@ -13,7 +13,7 @@
 /**
  * A job's record as it was read.
  *
- * @property plain its unpacked form; null for open and done jobs of other ledgers, which nobody asks for here
+ * @property plain its unpacked form; null for open and done jobs of other shards, which nobody asks for here
  */
 class ShardRecord(
     val ref: String,
@@ -48,19 +48,19 @@
         throw UnreadableRecord(ref, e)
     }
 
-/** Reads the records of jobs for a ledger that has just been acquired. */
+/** Reads the records of jobs for a shard that has just been acquired. */
 class ShardRecords(
     private val state: StateStoreClient,
 ) {
     private val log = LoggerFactory.getLogger("micatally.job")
 
-    /** Records of other ledgers that have been named in the log. */
+    /** Records of other shards that have been named in the log. */
     private val unreadable = HashSet<String>()
 
     /**
-     * The records that something may still have to be done for: those of the ledger, and withdrawn ones of others; null if
+     * The records that something may still have to be done for: those of the shard, and cancelled ones of others; null if
      * they could not be read. Jobs that are over stay in the state service for good, so that there are far more of them than
-     * fit in memory: the ledger's are shown to [onSettled] as they come, and not kept.
+     * fit in memory: the shard's are shown to [onSettled] as they come, and not kept.
      */
     suspend fun of(
         shard: JobShard,
@@ -73,7 +73,7 @@
         return unpacked(open, shard)
     }
 
-    /** What can't be read of another ledger is its holder's matter: the tasks of its withdrawn jobs stand in kill lists too. */
+    /** What can't be read of another shard is its holder's matter: the tasks of its cancelled jobs stand in kill lists too. */
     private fun visit(
         item: KeyValue,
         shard: JobShard,
@@ -105,7 +105,7 @@
     private fun refOf(item: KeyValue) = item.key.removePrefix(Keys.JOB)
 
     /**
-     * A record's further values have its revision, since one transaction writes them. Nobody else writes records of a ledger
+     * A record's further values have its revision, since one transaction writes them. Nobody else writes records of a shard
      * that is held, so for those the two listings agree; null if they don't.
      */
     private suspend fun unpacked(
--- a/src/main/kotlin/micatally/membership/Membership.kt
+++ b/src/main/kotlin/micatally/membership/Membership.kt
@@ -22,7 +22,7 @@
 /** Whether this node may answer workers' reports. */
 enum class LeadershipState { STARTING, LEADING, EXPIRED }
 
-/** Life of this node as the state service sees it: its lease, the shared keys, the ledgers that it holds. */
+/** Life of this node as the state service sees it: its lease, the shared keys, the shards that it holds. */
 class Membership(
     private val scope: CoroutineScope,
     private val settings: Settings,
@@ -50,7 +50,7 @@
     /** Up to when the other controllers themselves have told of every cancellation; see [micatally.peer.Peers]. */
     var peersConfirmedAt: () -> Long = { Long.MIN_VALUE / 2 }
 
-    /** Whether another node can serve this one's ledgers better: then this one has no lease until they are taken, or it can again. */
+    /** Whether another node can serve this one's shards better: then this one has no lease until they are taken, or it can again. */
     var shouldStepDown: () -> Boolean = { false }
 
     /** The summaries of all nodes, and who is told which of them have changed. */
@@ -69,7 +69,7 @@
         why: String,
     ) {
         if (leadership == next) return
-        log.info("right {} -> {}: {} epoch={}", leadership, next, why, sharedKeys.fencingToken)
+        log.info("leadership {} -> {}: {} fencingToken={}", leadership, next, why, sharedKeys.fencingToken)
         leadership = next
     }
 
@@ -99,7 +99,7 @@
         return leadership
     }
 
-    /** True while no other node can have taken this node's ledgers: its lease at the state service cannot have ended. */
+    /** True while no other node can have taken this node's shards: its lease at the state service cannot have ended. */
     fun leaseHolds(): Boolean = lease != null && nowMs() < leaseProvenAt + settings.liveMs * 97 / 100
 
     fun holds(shard: String): Boolean =
@@ -177,7 +177,7 @@
     }
 
     /** The lease is ended here first and then at the state service: nothing is answered from memory from now on. Writes that are
-     * under way are conditional on the ledgers' marks, which their next holder changes. */
+     * under way are conditional on the shards' marks, which their next holder changes. */
     private suspend fun stepDown(held: Long) {
         log.info("lease {} given up: others reach the workers and this node does not", held)
         lease = null
@@ -240,10 +240,10 @@
         checkLeadership()
     }
 
-    /** Takes the node's own ledger at the start, and those of nodes whose lease has ended. */
+    /** Takes the node's own shard at the start, and those of nodes whose lease has ended. */
     private suspend fun takeoverLoop() {
         while (sharedKeys.revision < 0 || lease == null) delay(settings.liveMs / 200)
-        // The workers' leases do not wait for this node's own ledger. When all nodes start at once each raises the epoch,
+        // The workers' leases do not wait for this node's own shard. When all nodes start at once each raises the fencing token,
         // so that most tries fail; they are repeated soon.
         started = true
         checkLeadership()
@@ -284,14 +284,14 @@
                     settings.liveMs / 16
                 ) {
                     deadSince.remove(l)
-                    acquire(l, "its holder ${h.host} is dead", h)
+                    acquire(l, "its leader ${h.host} is dead", h)
                 }
             }
         }
     }
 
     /** Whether the holder has ended: its host has no live key, or another process of it has, which does not know that the
-     * former one had taken this ledger over. Its own ledger a new process acquires by itself. */
+     * former one had taken this shard over. Its own shard a new process acquires by itself. */
     private fun isOrphan(
         shard: String,
         h: ShardLeader,
@@ -301,11 +301,11 @@
     }
 
     /**
-     * One transaction: the ledger's new holder and a raised epoch, on the condition that neither has changed, and that the
+     * One transaction: the shard's new holder and a raised fencing token, on the condition that neither has changed, and that the
      * [former] holder has not come back meanwhile, however late it is carried out: one that did answers from memory again.
      *
-     * @param former the holder that was found dead. The ledger's condition is the mark of that finding, not the one at the time
-     * of the write: the ledger may have passed to a holder that lives
+     * @param former the holder that was found dead. The shard's condition is the mark of that finding, not the one at the time
+     * of the write: the shard may have passed to a holder that lives
      */
     suspend fun acquire(
         shard: String,
@@ -338,17 +338,17 @@
                 )
             }
         if (r !is TransactionResult.Applied) {
-            log.info("ledger {} not acquired ({}): {}", shard, why, r::class.simpleName)
+            log.info("shard {} not acquired ({}): {}", shard, why, r::class.simpleName)
             // The view that the conditions came from was too old, or nobody knows the outcome: look again.
             refresh()
             return holds(shard)
         }
-        log.info("ledger {} acquired at epoch {}: {}", shard, fencingToken, why)
+        log.info("shard {} acquired at fencing token {}: {}", shard, fencingToken, why)
         if (sharedKeys.revision < r.revision) refresh()
         return holds(shard)
     }
 
-    /** Raises the epoch alone: what was sent with a lower token can no longer be carried out where the new one is known. */
+    /** Raises the fencing token alone: what was sent with a lower token can no longer be carried out where the new one is known. */
     suspend fun raiseFencingToken(why: String): Boolean {
         val r =
             state.transact(1, Urgency.LEASE) {
@@ -367,7 +367,7 @@
                     ),
                 )
             }
-        log.info("epoch raised: {} {}", why, r::class.simpleName)
+        log.info("fencing token raised: {} {}", why, r::class.simpleName)
         return r is TransactionResult.Applied
     }
 
--- a/src/main/kotlin/micatally/peer/PeerSummaries.kt
+++ b/src/main/kotlin/micatally/peer/PeerSummaries.kt
@@ -36,7 +36,7 @@
     /** Services that came to the other controllers lately. */
     val recentServices: List<ResourceRequest> get() = theirs.values.flatMap { it.recent }
 
-    /** What waits at a node whose ledgers another one has taken waits there now: counted twice it would be rented for twice. */
+    /** What waits at a node whose shards another one has taken waits there now: counted twice it would be rented for twice. */
     val demand: List<ResourceRequest> get() = theirs.filterKeys { it !in orphanedAt }.values.flatMap { it.demand }
 
     /** A machine has become known: what peers hold on it counts. */
@@ -135,7 +135,7 @@
     }
 
     /** The shared keys have changed: summaries that have no one behind them any more go, a while later. Who took their
-     * ledgers over has to load them before it can say what it holds. */
+     * shards over has to load them before it can say what it holds. */
     fun sharedChanged() {
         if (theirs.isEmpty()) return
         val holders = membership.sharedKeys.shards().mapNotNullTo(HashSet()) { membership.sharedKeys.leader(it)?.host }
@@ -150,7 +150,7 @@
 
     private val orphanedAt = HashMap<String, Long>()
 
-    /** Forgets summaries that nobody stands behind any more, once whoever took their ledgers over has told. */
+    /** Forgets summaries that nobody stands behind any more, once whoever took their shards over has told. */
     fun forgetOrphans() {
         if (orphanedAt.isEmpty()) return
         for ((host, at) in orphanedAt.entries.map { it.key to it.value }) {
--- a/src/main/kotlin/micatally/peer/Peers.kt
+++ b/src/main/kotlin/micatally/peer/Peers.kt
@@ -67,7 +67,7 @@
         var contactAt = Long.MIN_VALUE / 2
         var heardAt = Long.MIN_VALUE / 2
 
-        /** When the question left whose answer told all that the peer has withdrawn, and the epoch of that answer. */
+        /** When the question left whose answer told all that the peer has cancelled, and the fencing token of that answer. */
         var peersConfirmedAt = Long.MIN_VALUE / 2
         var confirmedFencingToken = 0L
     }
@@ -134,7 +134,7 @@
             ?.host
 
     /** The time up to which this node has heard of every cancellation from the other controllers themselves: each has
-     * listed its withdrawn tasks in an answer. Equal epochs show that no ledger has changed hands between the answers.
+     * listed its cancelled tasks in an answer. Equal fencing tokens show that no shard has changed hands between the answers.
      * While the state service is out for all, this keeps the workers' leases alive as long as the controllers hear each other. */
     fun peersConfirmedAt(): Long {
         val fencingToken = membership.sharedKeys.fencingToken
@@ -169,7 +169,7 @@
             while (true) {
                 delay(tellMs)
                 summaries.forgetOrphans()
-                // Before its ledgers are loaded a node does not know what it holds, and an empty summary reads as free room.
+                // Before its shards are loaded a node does not know what it holds, and an empty summary reads as free room.
                 if (jobManager.settled) own.refresh()
                 for (l in lines) {
                     if (!l.talking && nowMs() >= l.nextAt && hasNewsFor(l)) {
@@ -323,7 +323,7 @@
         }
     }
 
-    /** Makes the tasks of a withdrawn job known to the controllers that have not confirmed them yet. Only once they are in
+    /** Makes the tasks of a cancelled job known to the controllers that have not confirmed them yet. Only once they are in
      * the state service: see [micatally.job.Cancellations.mayConfirm]. */
     suspend fun spread(job: Job) {
         if (job.publishedAt == null) return
@@ -345,7 +345,7 @@
         return ByteArray(0)
     }
 
-    /** Asks the holder of a ledger about a job, or hands a cancellation on to it. Null: no usable answer. */
+    /** Asks the holder of a shard about a job, or hands a cancellation on to it. Null: no usable answer. */
     suspend fun ask(
         host: String,
         what: String,
@@ -368,7 +368,7 @@
         /** A message brings at least so many machines' reports; more in a large fleet, see [Peers.notesAtOnce]. */
         private const val LEAST_NOTES = 100
 
-        /** An answer lists at least so many withdrawn tasks; in a large fleet one for each machine. */
+        /** An answer lists at least so many cancelled tasks; in a large fleet one for each machine. */
         private const val MIN_CANCELLED_TASKS = 500
 
         /** Shares of this node's writes that go to summaries. */
--- a/src/main/kotlin/micatally/quota/AllotmentAudit.kt
+++ b/src/main/kotlin/micatally/quota/AllotmentAudit.kt
@@ -3,11 +3,11 @@
 import org.slf4j.LoggerFactory
 
 /**
- * One applied change of a ledger's allotment and what it rested on.
+ * One applied change of a shard's allotment and what it rested on.
  *
  * @property decidedOn mark of the team's key from which the new share was computed and which the write was conditional on
  * @property revision revision of the state service at which it was applied
- * @property use what the ledger used when the share was computed
+ * @property use what the shard used when the share was computed
  */
 class AllotmentChange(
     val team: String,
@@ -23,13 +23,13 @@
 class AllotmentAudit {
     private val log = LoggerFactory.getLogger("micatally.quota")
 
-    /** How often a ledger was seen to use more than its allotment since the start of this process. */
+    /** How often a shard was seen to use more than its allotment since the start of this process. */
     var overuseCount = 0L
         private set
 
     fun changed(change: AllotmentChange) {
         log.info(
-            "team {} ledger {} allotment {} -> {} use {} decided on {} written at {}",
+            "team {} shard {} allotment {} -> {} use {} decided on {} written at {}",
             change.team,
             change.shard,
             change.before,
@@ -49,7 +49,7 @@
     ) {
         overuseCount++
         log.error(
-            "team {} ledger {} uses {} above its allotment {} of mark {}",
+            "team {} shard {} uses {} above its allotment {} of revision {}",
             team,
             shard,
             use,
--- a/src/main/kotlin/micatally/quota/AllotmentRule.kt
+++ b/src/main/kotlin/micatally/quota/AllotmentRule.kt
@@ -2,7 +2,7 @@
 
 import micatally.settings.Team
 
-/** What the holder of a ledger wants of its allotment. */
+/** What the holder of a shard wants of its allotment. */
 sealed interface AllotmentWish {
     /** Room for more tasks beside what is in use: at least one, at best [tasks] of them. */
     class MoreRoom(
@@ -10,15 +10,15 @@
         val tasks: Int,
     ) : AllotmentWish
 
-    /** Nothing more: what is not in use may go to the other ledgers. */
+    /** Nothing more: what is not in use may go to the other shards. */
     data object HandBack : AllotmentWish
 }
 
 /**
- * What a ledger's holder knows when it decides; all of it has to be from the moment at which the row is written.
+ * What a shard's holder knows when it decides; all of it has to be from the moment at which the row is written.
  *
  * @property use what all attempts take that are not proven gone, also those that are decided and not stored yet
- * @property wasShort whether the ledger was found short of the team's limit lately
+ * @property wasShort whether the shard was found short of the team's limit lately
  */
 class AllotmentView(
     val team: Team,
@@ -29,7 +29,7 @@
 )
 
 /**
- * The row that a ledger's holder writes.
+ * The row that a shard's holder writes.
  *
  * @property lowers whether the row holds less than the stored one in some dimension
  * @property isEnough false if the wish was for a task that the limit has no room for now
@@ -41,10 +41,10 @@
 )
 
 /**
- * The one place where a row is decided. What it returns keeps two promises, whatever is wished: the ledger's use stays
+ * The one place where a row is decided. What it returns keeps two promises, whatever is wished: the shard's use stays
  * covered as far as the stored row covers it, and the sum of all rows does not grow beyond the limit.
  *
- * @param slackOfOne the part of a team's limit that a ledger keeps for its next job
+ * @param slackOfOne the part of a team's limit that a shard keeps for its next job
  */
 class AllotmentRule(
     private val slackOfOne: Double,
--- a/src/main/kotlin/micatally/quota/AllotmentWriter.kt
+++ b/src/main/kotlin/micatally/quota/AllotmentWriter.kt
@@ -40,7 +40,7 @@
     /** What an allotment is about to be lowered to. */
     private val bounds = HashMap<AllotmentId, Share>()
 
-    /** The share that the ledger may use of its [stored] one. */
+    /** The share that the shard may use of its [stored] one. */
     fun usable(
         id: AllotmentId,
         stored: Share,
--- a/src/main/kotlin/micatally/quota/Quota.kt
+++ b/src/main/kotlin/micatally/quota/Quota.kt
@@ -11,8 +11,8 @@
 import micatally.state.StateStoreClient
 import micatally.state.Urgency
 
-/** A team's limit is split among the ledgers. A ledger's holder places within its allotment and changes only that one;
- * an intent is written under the ledger's mark, so a holder that has lost the ledger can't use it up any more. */
+/** A team's limit is split among the shards. A shard's holder places within its allotment and changes only that one;
+ * an intent is written under the shard's mark, so a holder that has lost the shard can't use it up any more. */
 class Quota(
     scope: CoroutineScope,
     state: StateStoreClient,
@@ -60,7 +60,7 @@
         return AllotmentView(team, shard.name, allotments(team.name), use.of(id), isShort(id))
     }
 
-    /** Whether the ledger's allotment has room for so many more tasks of this job at once. If not, more is asked for. */
+    /** Whether the shard's allotment has room for so many more tasks of this job at once. If not, more is asked for. */
     fun allows(
         job: Job,
         tasks: Int = 1,
@@ -69,7 +69,7 @@
         val team = teams.team(spec.team) ?: return false
         if (!teams.isCurrent) return false
         if (!team.isLimited) return true
-        // Until its jobs are loaded nobody knows what a ledger uses.
+        // Until its jobs are loaded nobody knows what a shard uses.
         if (job.shard.state != ShardState.ACTIVE) return false
         val stored = allotments(team.name)
         if (stored.isOver(team)) return false
@@ -94,7 +94,7 @@
         if (rule.isWorthWriting(view, decision)) writer.request(shard, team, wish, Urgency.INTENT)
     }
 
-    /** The look of [handBack] in which a ledger was last found short of a team's limit. */
+    /** The look of [handBack] in which a shard was last found short of a team's limit. */
     private val shortAt = HashMap<AllotmentId, Int>()
     private var looks = 0
 
--- a/src/main/kotlin/micatally/quota/ShardUsage.kt
+++ b/src/main/kotlin/micatally/quota/ShardUsage.kt
@@ -2,13 +2,13 @@
 
 import micatally.job.Job
 
-/** A team's allotment in one ledger. */
+/** A team's allotment in one shard. */
 data class AllotmentId(
     val shard: String,
     val team: String,
 )
 
-/** What the attempts of this node's ledgers take, by ledger and team. */
+/** What the attempts of this node's shards take, by shard and team. */
 class ShardUsage {
     private val used = HashMap<AllotmentId, Share>()
 
--- a/src/main/kotlin/micatally/quota/TeamAllotments.kt
+++ b/src/main/kotlin/micatally/quota/TeamAllotments.kt
@@ -7,7 +7,7 @@
 import micatally.settings.Team
 
 /**
- * One ledger's part of a team's limit.
+ * One shard's part of a team's limit.
  *
  * @property isShort its holder has tasks that wait for nothing but the team's limit
  */
@@ -21,7 +21,7 @@
     val modRevision: Long,
     private val rows: Map<String, AllotmentRow>,
 ) {
-    /** The row of a ledger; an empty one if there is none. */
+    /** The row of a shard; an empty one if there is none. */
     fun of(shard: String) = rows[shard] ?: NO_ROW
 
     fun has(shard: String) = shard in rows
--- a/src/main/kotlin/micatally/scale/CpuUsageLines.kt
+++ b/src/main/kotlin/micatally/scale/CpuUsageLines.kt
@@ -11,7 +11,7 @@
 class CpuUsageLines(
     lines: List<String>,
 ) {
-    private val efforts = lines.filter { "micatally.effort" in it }
+    private val efforts = lines.filter { "micatally.cpu" in it }
 
     /** How many there are; each tells of about one lease. */
     val count = efforts.size
@@ -27,7 +27,7 @@
 
     private fun sum(
         pattern: Regex,
-        from: String = "- effort ",
+        from: String = "- cpu usage ",
         to: String = " machines=",
     ): Map<String, CpuUsageFigures> {
         val sums = LinkedHashMap<String, CpuUsageFigures>()
--- a/src/main/kotlin/micatally/scale/Deployment.kt
+++ b/src/main/kotlin/micatally/scale/Deployment.kt
@@ -28,5 +28,5 @@
         return listOf(words.first(), LOG_EFFORT) + words.drop(1).dropLast(1) + extraArguments + words.last()
     }
 
-    private const val LOG_EFFORT = "-Dorg.slf4j.simpleLogger.log.micatally.effort=info"
+    private const val LOG_EFFORT = "-Dorg.slf4j.simpleLogger.log.micatally.cpu=info"
 }
--- a/src/main/kotlin/micatally/scale/ScaleReport.kt
+++ b/src/main/kotlin/micatally/scale/ScaleReport.kt
@@ -83,7 +83,7 @@
     val answerBytesPerSecond: Double,
 )
 
-/** The stand-ins' own processor time, by loop: how much of the machine the experiment itself took. */
+/** The emulators' own processor time, by loop: how much of the machine the experiment itself took. */
 @Serializable
 data class EmulatorFigures(
     val loop: String,
--- a/src/main/kotlin/micatally/scale/ScaleRun.kt
+++ b/src/main/kotlin/micatally/scale/ScaleRun.kt
@@ -34,7 +34,7 @@
 }
 
 /**
- * One scale run: controllers as processes of the packaged program, everything else as stand-ins in this process, on
+ * One scale run: controllers as processes of the packaged program, everything else as emulators in this process, on
  * loopback only. Every process it starts is ended by [close].
  *
  * @param command starts a controller; the settings file is appended
--- a/src/main/kotlin/micatally/scale/Scenario.kt
+++ b/src/main/kotlin/micatally/scale/Scenario.kt
@@ -72,7 +72,7 @@
     @SerialName("cardsMax") val gpusMax: Double = 0.0,
 )
 
-/** The limits of the state service, which its stand-in enforces. */
+/** The limits of the state service, which its emulator enforces. */
 @Serializable
 data class StateServicePlan(
     val requestsPerSecond: Double,
--- a/src/main/kotlin/micatally/settings/Settings.kt
+++ b/src/main/kotlin/micatally/settings/Settings.kt
@@ -93,7 +93,7 @@
     /** Probes of silent machines that may be under way at once. */
     val maxConcurrentProbes get() = maxSockets / 8
 
-    /** How long room counts as held after its owner has changed, until the new one has loaded the ledger and told. */
+    /** How long room counts as held after its owner has changed, until the new one has loaded the shard and told. */
     val handOverMs get() = leaseMs / 4
 
     companion object {
--- a/src/main/kotlin/micatally/wire/PeerMessages.kt
+++ b/src/main/kotlin/micatally/wire/PeerMessages.kt
@@ -85,9 +85,9 @@
 class PeerDeltaResponse(
     /** The changes did not join on to what the receiver has: it needs the whole summary. */
     @ProtoNumber(1) val needsWhole: Boolean = false,
-    /** The epoch that the answering node knows, if it knows all withdrawn tasks of its ledgers; 0 if it doesn't. */
+    /** The fencing token that the answering node knows, if it knows all cancelled tasks of its shards; 0 if it doesn't. */
     @ProtoNumber(2) val fencingToken: Long = 0,
-    /** Tasks of withdrawn jobs that are not proven gone: whoever hears their machines hands the stop on. */
+    /** Tasks of cancelled jobs that are not proven gone: whoever hears their machines hands the stop on. */
     @ProtoNumber(3) val cancelledTasks: List<CancelledTask> = emptyList(),
 )
 
@@ -99,7 +99,7 @@
     @ProtoNumber(4) val attempt: Long,
 )
 
-/** All tasks of a job that was withdrawn. */
+/** All tasks of a job that was cancelled. */
 @Serializable
 class CancelledTaskList(
     @ProtoNumber(1) val cancelledTasks: List<CancelledTask>,
--- a/src/main/kotlin/micatally/worker/CancelledTasks.kt
+++ b/src/main/kotlin/micatally/worker/CancelledTasks.kt
@@ -2,7 +2,7 @@
 
 import micatally.wire.CancelledTask
 
-/** Tasks of withdrawn jobs, as the owners told them. Whichever node hears their machines hands the stop on. A note is kept
+/** Tasks of cancelled jobs, as the owners told them. Whichever node hears their machines hands the stop on. A note is kept
  * well beyond the time that a cancellation has: its owner may end before it can say that the task is gone. */
 class CancelledTasks(
     private val keepMs: Long,
--- a/src/main/kotlin/micatally/worker/CommandDispatcher.kt
+++ b/src/main/kotlin/micatally/worker/CommandDispatcher.kt
@@ -23,7 +23,7 @@
 
 /** What the order channel needs to know of the jobs of this node. */
 interface AttemptDirectory {
-    /** The job's live attempt at this task, or null; [mine] tells whether the job is in an active ledger of this node. */
+    /** The job's live attempt at this task, or null; [mine] tells whether the job is in an active shard of this node. */
     fun mine(ref: String): Boolean
 
     fun attempt(
@@ -93,7 +93,7 @@
             if (a.incarnation != m.incarnation) continue
             val id = AttemptId(a.job.ref, a.taskIndex, a.number)
             val entry = listed[id]
-            // Another node holds the ledger by now, and this one has confirmed the cancellation to it.
+            // Another node holds the shard by now, and this one has confirmed the cancellation to it.
             if (a.stop == null && cancelledTasks.has(m.name, id)) a.stop(StopReason.CANCELLED, now)
             val reconciled = m.confirmedToken >= a.job.shard.leader.fencingToken
             val stop = a.stop
@@ -233,7 +233,7 @@
     private suspend fun send(m: Machine): Boolean {
         m.isSyncRequested = false
         if (m.deleted) return true
-        // Without the lease a node can't tell whether its ledgers are still its own; the token guards, this saves work.
+        // Without the lease a node can't tell whether its shards are still its own; the token guards, this saves work.
         val b = build(m) ?: return true
         val incarnation = m.incarnation
         markSent(m, b.commands)
--- a/src/main/kotlin/micatally/worker/WorkerReach.kt
+++ b/src/main/kotlin/micatally/worker/WorkerReach.kt
@@ -59,7 +59,7 @@
     val isCutOff get() = state == ReachState.CUT_OFF
 
     /**
-     * Whether the node is to leave its ledgers to others. Cuts of a few seconds move nothing, and after its return it keeps its work
+     * Whether the node is to leave its shards to others. Cuts of a few seconds move nothing, and after its return it keeps its work
      * for some leases whatever happens.
      */
     fun mayStepDown(): Boolean {
--- a/src/test/kotlin/micatally/compatibility/StoredValuesTest.kt
+++ b/src/test/kotlin/micatally/compatibility/StoredValuesTest.kt
@@ -162,7 +162,7 @@
             assertTrue(rows.isNotEmpty())
             assertUnchanged(list, CancelledTasksValue.of(JsonArray(rows)))
         }
-        // The run was recorded up to the withdrawal of these two jobs.
+        // The run was recorded up to the cancellation of these two jobs.
         for (ref in listOf("j-000004", "j-000005")) {
             val cancelled = stored("job").filter { it.key == "job/$ref" && "\"e\":\"w\"" in it.text }
             val written = cancelled.map { JobRecord.encodeTasks(decoded(it)).toString() }
--- a/src/test/kotlin/micatally/job/ShardRecordsTest.kt
+++ b/src/test/kotlin/micatally/job/ShardRecordsTest.kt
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test
 
 /**
- * Found in a scale run: with the jobs of three days at the target size, 87,000, no controller could load its ledger any more;
+ * Found in a scale run: with the jobs of three days at the target size, 87,000, no controller could load its shard any more;
  * each ran out of memory on the records of jobs that were over long ago, and nothing was started.
  */
 class ShardRecordsTest {
--- a/src/test/kotlin/micatally/quota/QuotaFleet.kt
+++ b/src/test/kotlin/micatally/quota/QuotaFleet.kt
@@ -55,7 +55,7 @@
 
 /**
  * Several controllers that share teams' limits through one state service, on simulated time. Only what bears on limits is
- * there: copies of the shared keys that lag, allotments, intents under a ledger's mark, ends that are told late, takeovers.
+ * there: copies of the shared keys that lag, allotments, intents under a shard's mark, ends that are told late, takeovers.
  *
  * A task counts as being on a machine from the moment at which the state service holds its intent, which is the earliest
  * at which its start may leave.
@@ -183,7 +183,7 @@
             quota.take(job)
         }
 
-        /** Starts tasks of one job of a ledger and a team, if its allotment allows it. */
+        /** Starts tasks of one job of a shard and a team, if its allotment allows it. */
         fun tryToStart(
             shard: JobShard,
             team: String,
@@ -306,7 +306,7 @@
 
     private var fencingToken = 0
 
-    /** The ledger is in another controller's hands from now on, whether or not the former holder has heard of it. */
+    /** The shard is in another controller's hands from now on, whether or not the former holder has heard of it. */
     fun giveLedger(
         name: String,
         to: Int,
@@ -338,7 +338,7 @@
         failure?.let { throw AssertionError("at $now ms: ${it.message}", it) }
     }
 
-    /** What the state service holds for a ledger. */
+    /** What the state service holds for a shard. */
     fun row(
         team: String,
         shard: String,
@@ -347,7 +347,7 @@
         return Share(row[0].jsonPrimitive.double, row[1].jsonPrimitive.double)
     }
 
-    /** What the tasks of a ledger that may be on machines take. */
+    /** What the tasks of a shard that may be on machines take. */
     fun onMachines(
         team: String,
         shard: String,
--- a/src/test/kotlin/micatally/quota/QuotaScheduleTest.kt
+++ b/src/test/kotlin/micatally/quota/QuotaScheduleTest.kt
@@ -8,7 +8,7 @@
 
 /**
  * Seeded schedules of raises, lowerings, marks of being short, late and lost and refused writes, freezes and takeovers. At each
- * step the sum of a team's rows is at most its limit, and what each ledger has on machines at most its row.
+ * step the sum of a team's rows is at most its limit, and what each shard has on machines at most its row.
  */
 class QuotaScheduleTest {
     private val teams =
@@ -90,7 +90,7 @@
             }
         }
 
-        /** When all is quiet and everything has ended, one ledger gets the whole of a limit. */
+        /** When all is quiet and everything has ended, one shard gets the whole of a limit. */
         private fun checkRoomIsFound() {
             val team = teams.first()
             val whole = Share(1.0, team.gpusMax)
--- a/src/test/kotlin/micatally/quota/QuotaTest.kt
+++ b/src/test/kotlin/micatally/quota/QuotaTest.kt
@@ -32,7 +32,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Allotments of a team's limit, against the stand-in of the state service. */
+/** Allotments of a team's limit, against the emulator of the state service. */
 @OptIn(ExperimentalCoroutinesApi::class)
 class QuotaTest {
     private val limits = hashMapOf("vision" to Team("vision", 0.0, 40.0, 0.0, 0.0))
@@ -87,7 +87,7 @@
                 List(2) { i -> Quota(scope.backgroundScope, state, copies[i], teams, { listOf(shards[i]) }, 2) {} }
         }
 
-        /** What the state service holds for a ledger. */
+        /** What the state service holds for a shard. */
         fun allottedCores(i: Int) =
             (service.value(Keys.team("vision"))?.get("l$i") as? JsonArray)?.get(0)?.jsonPrimitive?.double ?: 0.0
 
@@ -140,7 +140,7 @@
             assertFalse(s.quotas[0].allows(big), "only what is allotted counts")
         }
 
-    /** A ledger that had just changed hands was taken for unused until its jobs were loaded: its allotment was handed back, and
+    /** A shard that had just changed hands was taken for unused until its jobs were loaded: its allotment was handed back, and
      * what was submitted meanwhile was placed on top of what ran (seed 15 of the seeded days). */
     @Test
     fun `a ledger that is not loaded neither uses its allotment nor hands it back`() =
@@ -215,7 +215,7 @@
             assertTrue(s.allottedCores(0) >= 16.0, "allotted ${s.allottedCores(0)}, in use 16")
         }
 
-    /** Found on reading for the incident: with the limit lowered below what two ledgers held, neither could hand back, since
+    /** Found on reading for the incident: with the limit lowered below what two shards held, neither could hand back, since
      * the sum was still above the limit after each one's change; the team stood still for good. */
     @Test
     fun `a limit lowered below what two ledgers hold brings both to hand back`() =
--- a/src/test/kotlin/micatally/scale/SweepTest.kt
+++ b/src/test/kotlin/micatally/scale/SweepTest.kt
@@ -57,7 +57,7 @@
     @Test
     fun `effort lines are summed by kind of work and by urgency`() {
         val line =
-            "[x] INFO micatally.effort - effort reports=10x/20ms/3ms shared keys=4x/8ms/5ms machines=20 waiting=0 " +
+            "[x] INFO micatally.cpu - cpu usage reports=10x/20ms/3ms shared keys=4x/8ms/5ms machines=20 waiting=0 " +
                 "newsReceived=100 newsAnswered=7 writes=lease:2x/0ms/1ms,intent:6x/1ms/9ms requests=lease:30x/0ms/0ms"
         val efforts = CpuUsageLines(listOf(line, line, "something else"))
         assertEquals(2, efforts.count)
--- a/src/test/kotlin/micatally/sim/ArchiveTest.kt
+++ b/src/test/kotlin/micatally/sim/ArchiveTest.kt
@@ -132,7 +132,7 @@
             assertEquals(emptyList<String>(), f.state.keysUnder(Keys.FINAL))
         }
 
-    /** Moves that come late, answers that are lost, processes that end in the middle, ledgers that change hands. */
+    /** Moves that come late, answers that are lost, processes that end in the middle, shards that change hands. */
     @Test
     fun `each record stays in exactly one place through ends, late writes and takeovers`() {
         for (seed in 5..6) {
@@ -172,7 +172,7 @@
             assertKnownEverywhere(refs)
         }
 
-    /** Guards: [micatally.job.JobShard.isUnreadable]; other ledgers' records in [micatally.job.ShardRecords].
+    /** Guards: [micatally.job.JobShard.isUnreadable]; other shards' records in [micatally.job.ShardRecords].
      * A record that can't be read used to end the loading with an exception, while the node went on accepting jobs. */
     @Test
     fun `a controller that can't load its ledger accepts nothing until it can`() {
--- a/src/test/kotlin/micatally/sim/FoundTest.kt
+++ b/src/test/kotlin/micatally/sim/FoundTest.kt
@@ -37,8 +37,8 @@
         return spec.ref
     }
 
-    /** Found by the simulation (seed 159): a node that had taken over a ledger, and then lost the state service, went on
-     * answering from memory after the ledger's own host had come back and its user had cancelled the job there. Found at size:
+    /** Found by the simulation (seed 159): a node that had taken over a shard, and then lost the state service, went on
+     * answering from memory after the shard's own host had come back and its user had cancelled the job there. Found at size:
      * such a node, whose workers know a higher token, asked for the shared keys without pause, and users' questions hung. */
     @Test
     fun `a ledger that was taken over is not answered for from memory`() =
--- a/src/test/kotlin/micatally/sim/GangTest.kt
+++ b/src/test/kotlin/micatally/sim/GangTest.kt
@@ -254,7 +254,7 @@
         return ref
     }
 
-    /** Guard: the same withdrawal as for every job ([micatally.job.Cancellations.mayConfirm]). */
+    /** Guard: the same cancellation as for every job ([micatally.job.Cancellations.mayConfirm]). */
     @Test
     fun `a gang is cancelled in each of its phases`() {
         for ((seed, phase) in GangPhase.entries.withIndex()) {
--- a/src/test/kotlin/micatally/sim/GapTest.kt
+++ b/src/test/kotlin/micatally/sim/GapTest.kt
@@ -148,7 +148,7 @@
         assertEquals(0, f.rules.runsSentAfterCancel, "no start is sent after a confirmation")
     }
 
-    /** The node confirms the tasks of a withdrawn job and is another process a moment later. */
+    /** The node confirms the tasks of a cancelled job and is another process a moment later. */
     private fun Meeting.restartAfterConfirming(node: Int) {
         val host = f.net.hosts.getValue("n$node")
         val plain = host.handler!!
--- a/src/test/kotlin/micatally/sim/LateWritesTest.kt
+++ b/src/test/kotlin/micatally/sim/LateWritesTest.kt
@@ -27,7 +27,7 @@
             allRun(listOf(s.ref))
         }
 
-    /** The submission is repeated at node 0, which has its ledger and is still loading it, since the state service is slow. */
+    /** The submission is repeated at node 0, which has its shard and is still loading it, since the state service is slow. */
     private fun Meeting.repeatWhileLoading(s: JobSpec) {
         val shard = f.live[0]!!.jobManager.own()!!
         f.scope.launch { f.askNode(0, "POST", "/work", s.source.bytes()) }
@@ -38,7 +38,7 @@
     }
 
     /** The live key was written without a condition: carried out late it was tied to a lease that nobody renewed any more. The
-     * key went, peers took the ledger, and its host went on answering from memory. */
+     * key went, peers took the shard, and its host went on answering from memory. */
     @Test
     fun `a live key that is written late does not end the life of its host`() =
         meeting(1, big) {
@@ -56,7 +56,7 @@
             }
         }
 
-    /** A takeover was conditional on the ledger alone: carried out late it took the ledger of a host that had come back. */
+    /** A takeover was conditional on the shard alone: carried out late it took the shard of a host that had come back. */
     @Test
     fun `a takeover that is carried out late does not take the ledger of a host that is live again`() =
         meeting(2, big) {
@@ -78,7 +78,7 @@
             assertEquals(0, leader(0))
         }
 
-    /** An answer that came after the ledger was lost gave back its task's share once more: with the ledger taken back the team
+    /** An answer that came after the shard was lost gave back its task's share once more: with the shard taken back the team
      * seemed to use less than it did, and more was placed than its limit. */
     @Test
     fun `what an attempt of a lost ledger gives back counts nowhere`() =
@@ -136,7 +136,7 @@
             assertTrue(tasks(ref).isEmpty())
         }
 
-    /** A node that had not heard that its ledger was another one's went on sending starts of jobs cancelled there. */
+    /** A node that had not heard that its shard was another one's went on sending starts of jobs cancelled there. */
     @Test
     fun `a leader that hears of nothing sends no start after a cancellation was told`() =
         meeting(6, big) {
@@ -201,7 +201,7 @@
             runUntil(f.lease, "it can be cancelled") { f.rules.isCancelled(s.ref) }
         }
 
-    /** The same after a ledger was lost and taken back by one and the same process: what it had written itself before was taken
+    /** The same after a shard was lost and taken back by one and the same process: what it had written itself before was taken
      * for the lost answer to the repeat, and the repeat written over it: done tasks and attempts were gone, and ran twice. */
     @Test
     fun `a submission repeated while a ledger is taken back does not overwrite the job`() =
--- a/src/test/kotlin/micatally/sim/MeetingsTest.kt
+++ b/src/test/kotlin/micatally/sim/MeetingsTest.kt
@@ -105,8 +105,8 @@
             assertTrue(f.rules.isCancelled(gone))
         }
 
-    /** Guard: attempts that are not proven gone count ([micatally.quota.Quota]), also under the ledger's next holder, and what an
-     * attempt of a lost ledger gives back counts nowhere. */
+    /** Guard: attempts that are not proven gone count ([micatally.quota.Quota]), also under the shard's next holder, and what an
+     * attempt of a lost shard gives back counts nowhere. */
     @Test
     fun `every team is at its limit while jobs are cancelled whose machines hang or are cut off, and the leader changes`() =
         each(big) {
@@ -162,7 +162,7 @@
             assertEquals(84, more.sumOf { tasks(it).size }, "what was cancelled makes room for the rest")
         }
 
-    /** Guard: every write is conditional on the mark of the ledger's acquisition; a withdrawn job's tasks are written with its record. */
+    /** Guard: every write is conditional on the mark of the shard's acquisition; a cancelled job's tasks are written with its record. */
     @Test
     fun `jobs are cancelled in the seconds in which one controller's work changes hands`() =
         each(big) {
@@ -184,7 +184,7 @@
             afterwards(refs)
         }
 
-    /** Guard: an intent is durable before its run leaves, on the condition of the ledger; the successor asks the machine with
+    /** Guard: an intent is durable before its run leaves, on the condition of the shard; the successor asks the machine with
      * its own token first ([micatally.worker.CommandDispatcher]). */
     @Test
     fun `new machines get work at once while writes lag, and the leader ends`() =
@@ -724,7 +724,7 @@
             afterwards(refs)
         }
 
-    /** Guard: the epoch in each acquisition, and as token in each command. */
+    /** Guard: the fencing token in each acquisition, and as token in each command. */
     @Test
     fun `leaders change ten times in two minutes, also inside an outage`() =
         each(big) {
--- a/src/test/kotlin/micatally/sim/RolloutTest.kt
+++ b/src/test/kotlin/micatally/sim/RolloutTest.kt
@@ -74,7 +74,7 @@
             runUntil(60_000, "it is done") { f.rules.completed[s.ref]?.size == 3 }
         }
 
-    /** Ledgers go from old to new and back while jobs are cancelled, the state service is out and a process ends midway. */
+    /** shards go from old to new and back while jobs are cancelled, the state service is out and a process ends midway. */
     @Test
     fun `jobs live through an upgrade with takeovers, an outage and a process that comes back old`() =
         rollout(4) {
--- a/src/test/kotlin/micatally/sim/TakeoverTest.kt
+++ b/src/test/kotlin/micatally/sim/TakeoverTest.kt
@@ -11,8 +11,8 @@
 class TakeoverTest {
     /**
      * Found in the audit of the incident of 2 December: a takeover waits for its turn at the state service. That its holder was
-     * dead was decided on the holder of before; the condition was on the ledger's mark of after, which may be that of a
-     * controller that has taken the ledger meanwhile and lives.
+     * dead was decided on the holder of before; the condition was on the shard's mark of after, which may be that of a
+     * controller that has taken the shard meanwhile and lives.
      */
     @Test
     fun `a takeover that waited does not take the ledger from its next holder`() =
