--- a/src/main/kotlin/micatally/api/UserApi.kt
+++ b/src/main/kotlin/micatally/api/UserApi.kt
@@ -3,14 +3,15 @@
 import com.google.common.cache.CacheBuilder
 import kotlinx.coroutines.withTimeoutOrNull
 import kotlinx.serialization.json.JsonObject
+import micatally.archive.RecordLookup
 import micatally.http.HttpRequest
 import micatally.http.HttpResponse
 import micatally.http.errorResponse
 import micatally.job.Job
+import micatally.job.JobManager
 import micatally.job.JobRecord
 import micatally.job.JobState
 import micatally.job.JobStore
-import micatally.job.JobManager
 import micatally.job.UnreadableRecord
 import micatally.job.readable
 import micatally.membership.LeadershipState
@@ -18,7 +19,6 @@
 import micatally.peer.Peers
 import micatally.scheduling.Placement
 import micatally.scheduling.Scheduler
-import micatally.archive.RecordLookup
 import micatally.settings.Settings
 import micatally.settings.TeamDirectory
 import micatally.state.ReadResult
@@ -28,8 +28,8 @@
 import micatally.wire.Format
 import micatally.wire.JobAnswer
 import micatally.wire.JobSpec
-import micatally.wire.PeerJobResponse
 import micatally.wire.MalformedMessage
+import micatally.wire.PeerJobResponse
 import micatally.wire.bytes
 import micatally.wire.parseObject
 import micatally.wire.textOrNull
@@ -68,7 +68,8 @@
 
     fun health(): HttpResponse =
         when {
-            membership.checkLeadership() != LeadershipState.LEADING || jobManager.own() == null || machines.machineTypes.isEmpty() ->
+            membership.checkLeadership() != LeadershipState.LEADING || jobManager.own() == null ||
+                machines.machineTypes.isEmpty() ->
                 later("starting")
             jobManager.own()?.let { jobManager.isLoadOverdue(it) } == true -> later("the ledger can't be loaded")
             // Others can take what this node has to turn away. In an outage for all every node stays: polls are still answered.
@@ -128,7 +129,9 @@
             return later("no contact with the state service")
         }
         if (jobManager.isLoadOverdue(shard)) return knownOr(jobId) { later("the ledger can't be loaded") }
-        if (reach.isCutOff && jobManager.job(jobId) == null) return knownOr(jobId) { later("no contact with the workers") }
+        if (reach.isCutOff && jobManager.job(jobId) == null) {
+            return knownOr(jobId) { later("no contact with the workers") }
+        }
         if (state.waitingWrites > settings.stateWriteRps) return later("too many submissions at once")
         jobManager.job(jobId)?.let {
             // Of a shard that it has taken over this node can't tell whether it is still its own.
--- a/src/main/kotlin/micatally/api/WorkerApi.kt
+++ b/src/main/kotlin/micatally/api/WorkerApi.kt
@@ -10,15 +10,15 @@
 import micatally.peer.Peers
 import micatally.settings.Settings
 import micatally.wire.Command
-import micatally.wire.Heartbeat
 import micatally.wire.CommandType
+import micatally.wire.Heartbeat
 import micatally.wire.MalformedMessage
 import micatally.wire.bytes
-import micatally.wire.parseObject
 import micatally.wire.heartbeatResponse
+import micatally.wire.parseObject
 import micatally.worker.AttemptId
-import micatally.worker.MachineRegistry
 import micatally.worker.CancelledTasks
+import micatally.worker.MachineRegistry
 
 /** Workers' reports. A 200 keeps a worker's tasks alive, so it is given only while this node is entitled to. */
 class WorkerApi(
--- a/src/main/kotlin/micatally/api/WorkerRedirects.kt
+++ b/src/main/kotlin/micatally/api/WorkerRedirects.kt
@@ -52,7 +52,8 @@
         now: Long,
     ): Boolean {
         val isBackInTime =
-            settings.heartbeatIntervalMs * LONGEST_REPORT_GAP + REPORT_TIMEOUT_MS + NEXT_NODE_MS < settings.leaseMs * SAFE_SHARE
+            settings.heartbeatIntervalMs * LONGEST_REPORT_GAP + REPORT_TIMEOUT_MS + NEXT_NODE_MS <
+                settings.leaseMs * SAFE_SHARE
         if (report.tasks.isNotEmpty() && !isBackInTime) return false
         if (now - (triedAt[host] ?: LONG_AGO) < settings.leaseMs) return false
         triedAt[host] = now
--- a/src/main/kotlin/micatally/archive/ArchivePlan.kt
+++ b/src/main/kotlin/micatally/archive/ArchivePlan.kt
@@ -1,7 +1,7 @@
 package micatally.archive
 
-import micatally.membership.SharedKeyCache
 import micatally.membership.Keys
+import micatally.membership.SharedKeyCache
 import micatally.state.Compare
 import micatally.state.StateLimits
 import micatally.wire.longOrNull
--- a/src/main/kotlin/micatally/archive/RecordArchive.kt
+++ b/src/main/kotlin/micatally/archive/RecordArchive.kt
@@ -6,10 +6,10 @@
 import kotlinx.serialization.json.buildJsonObject
 import kotlinx.serialization.json.put
 import micatally.job.JobRecord
+import micatally.job.JobShard
 import micatally.job.UnreadableRecord
 import micatally.job.readable
 import micatally.membership.Keys
-import micatally.job.JobShard
 import micatally.membership.Membership
 import micatally.settings.Settings
 import micatally.state.Compare
@@ -17,8 +17,8 @@
 import micatally.state.KeyValue
 import micatally.state.Put
 import micatally.state.ReadResult
-import micatally.state.StateStoreClient
 import micatally.state.StateLimits
+import micatally.state.StateStoreClient
 import micatally.state.Transaction
 import micatally.state.TransactionResult
 import micatally.state.Urgency
@@ -58,7 +58,10 @@
     fun start() {
         if (mode == ArchiveMode.OFF) return
         if (recordsAtOnce == 0) {
-            log.warn("records are not archived: {} changes a transaction are too few", settings.maxOperationsPerTransaction)
+            log.warn(
+                "records are not archived: {} changes a transaction are too few",
+                settings.maxOperationsPerTransaction,
+            )
             return
         }
         scope.launch {
@@ -184,7 +187,8 @@
                 if (!shard.mine || !ArchivePlan.mayMove(sharedKeys, hosts)) return@transact null
                 val conditions =
                     items.flatMap { listOf(Compare(it.key, it.modRevision), Compare(finalKey(it), 0)) } +
-                        Compare(Keys.shard(shard.name), shard.leader.modRevision) + ArchivePlan.conditions(sharedKeys, hosts)
+                        Compare(Keys.shard(shard.name), shard.leader.modRevision) +
+                        ArchivePlan.conditions(sharedKeys, hosts)
                 Transaction(conditions, items.flatMap { listOf(Delete(it.key), Put(finalKey(it), it.value)) })
             }
         return when (result) {
--- a/src/main/kotlin/micatally/cli/ControllerStart.kt
+++ b/src/main/kotlin/micatally/cli/ControllerStart.kt
@@ -2,9 +2,9 @@
 
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
+import micatally.controller.Controller
 import micatally.http.Client
 import micatally.http.Server
-import micatally.controller.Controller
 import micatally.settings.Operator
 import micatally.settings.Settings
 import java.io.IOException
--- a/src/main/kotlin/micatally/cli/Main.kt
+++ b/src/main/kotlin/micatally/cli/Main.kt
@@ -1,10 +1,10 @@
 package micatally.cli
 
 import kotlinx.coroutines.runBlocking
+import micatally.emulator.Rehearsal
 import micatally.settings.Operator
 import micatally.settings.Settings
 import micatally.settings.SettingsError
-import micatally.emulator.Rehearsal
 import org.slf4j.LoggerFactory
 import picocli.CommandLine
 import picocli.CommandLine.Model.CommandSpec
--- a/src/main/kotlin/micatally/config/ChangeFile.kt
+++ b/src/main/kotlin/micatally/config/ChangeFile.kt
@@ -5,8 +5,8 @@
 import micatally.settings.nearestName
 import micatally.wire.ConfigurationChange
 import micatally.wire.LineError
-import micatally.wire.TeamSetting
 import micatally.wire.MalformedMessage
+import micatally.wire.TeamSetting
 import micatally.wire.asObject
 import micatally.wire.asText
 import micatally.wire.listOrNull
--- a/src/main/kotlin/micatally/config/ConfigurationSeed.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationSeed.kt
@@ -3,8 +3,8 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import micatally.membership.SharedKeyCache
 import micatally.membership.Keys
+import micatally.membership.SharedKeyCache
 import micatally.settings.Settings
 import micatally.state.Compare
 import micatally.state.Put
@@ -52,9 +52,18 @@
         val group = Put(Keys.configChange(FIRST), ChangeCodec.group(listOf(value)))
         val result =
             state.transact(2, Urgency.ACCEPTANCE) {
-                if (isDue) Transaction(listOf(Compare(Keys.CONFIG, 0L)), listOf(Put(Keys.CONFIG, head), group)) else null
+                if (isDue) {
+                    Transaction(
+                        listOf(Compare(Keys.CONFIG, 0L)),
+                        listOf(Put(Keys.CONFIG, head), group),
+                    )
+                } else {
+                    null
+                }
             }
-        if (result is TransactionResult.Applied) log.info("configuration stored: {} teams of the settings file", teams.size)
+        if (result is TransactionResult.Applied) {
+            log.info("configuration stored: {} teams of the settings file", teams.size)
+        }
         return result is TransactionResult.Applied
     }
 
--- a/src/main/kotlin/micatally/config/ConfigurationStore.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationStore.kt
@@ -2,16 +2,16 @@
 
 import kotlinx.serialization.json.JsonObject
 import micatally.membership.Keys
-import micatally.state.Write
 import micatally.state.Delete
 import micatally.state.KeyValue
 import micatally.state.Put
 import micatally.state.ReadResult
-import micatally.state.StateStoreClient
 import micatally.state.StateLimits
+import micatally.state.StateStoreClient
 import micatally.state.Transaction
 import micatally.state.TransactionResult
 import micatally.state.Urgency
+import micatally.state.Write
 
 /** What became of looking at the stored head. */
 sealed interface HeadRead {
@@ -134,7 +134,13 @@
         val stage = "$process-${stages++}"
         for ((i, part) in parts.withIndex()) {
             val put = Put(Keys.configPart(stage) + "%04d".format(i), part)
-            if (state.transact(1, Urgency.ACCEPTANCE) { Transaction(emptyList(), listOf(put)) } !is TransactionResult.Applied) return null
+            if (state.transact(
+                    1,
+                    Urgency.ACCEPTANCE,
+                ) { Transaction(emptyList(), listOf(put)) } !is TransactionResult.Applied
+            ) {
+                return null
+            }
         }
         return ChangeCodec.encode(change, parts.size, stage)
     }
@@ -144,7 +150,13 @@
         val parts = ChangeCodec.snapshot(configuration, limits.valueBytes)
         for ((i, part) in parts.withIndex()) {
             val put = Put(Keys.configSnapshot(configuration.version) + "%04d".format(i), part)
-            if (state.transact(1, Urgency.SUMMARY) { Transaction(emptyList(), listOf(put)) } !is TransactionResult.Applied) return null
+            if (state.transact(
+                    1,
+                    Urgency.SUMMARY,
+                ) { Transaction(emptyList(), listOf(put)) } !is TransactionResult.Applied
+            ) {
+                return null
+            }
         }
         return parts.size
     }
@@ -161,6 +173,8 @@
                 .flatMap { change -> state.list(Keys.configPart(change.stage), Urgency.SUMMARY)?.items ?: return }
         val deletes: List<Write> =
             (old + parts + snapshots.filter { versionIn(it) < version }).map { Delete(it.key) }
-        for (some in deletes.chunked(limits.maxOperationsPerTransaction)) state.transact(some.size, Urgency.SUMMARY) { Transaction(emptyList(), some) }
+        for (some in deletes.chunked(limits.maxOperationsPerTransaction)) {
+            state.transact(some.size, Urgency.SUMMARY) { Transaction(emptyList(), some) }
+        }
     }
 }
--- a/src/main/kotlin/micatally/config/ConfigurationWriter.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationWriter.kt
@@ -6,8 +6,8 @@
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.withTimeoutOrNull
 import kotlinx.serialization.json.JsonObject
-import micatally.membership.SharedKeyCache
 import micatally.membership.Keys
+import micatally.membership.SharedKeyCache
 import micatally.settings.Settings
 import micatally.state.Compare
 import micatally.state.Put
--- a/src/main/kotlin/micatally/config/LiveConfiguration.kt
+++ b/src/main/kotlin/micatally/config/LiveConfiguration.kt
@@ -3,8 +3,8 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import micatally.membership.SharedKeyCache
 import micatally.membership.Keys
+import micatally.membership.SharedKeyCache
 import micatally.settings.Settings
 import micatally.settings.Team
 import micatally.settings.TeamDirectory
@@ -102,7 +102,15 @@
         appliedAt.addLast(AppliedAt(next.version, nowMs()))
         while (appliedAt.size > MOST_TIMES) appliedAt.removeFirst()
         log.info("configuration {} -> {}", former.version, next.version)
-        transitionTo(if ((head?.version ?: 0L) <= next.version) ConfigurationPhase.CURRENT else ConfigurationPhase.BEHIND)
+        transitionTo(
+            if ((head?.version ?: 0L) <=
+                next.version
+            ) {
+                ConfigurationPhase.CURRENT
+            } else {
+                ConfigurationPhase.BEHIND
+            },
+        )
     }
 
     /** When this controller first decided by [version] or a later one; null if it does not yet. */
--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -9,32 +9,32 @@
 import micatally.api.RecordReads
 import micatally.api.UserApi
 import micatally.api.WorkerApi
+import micatally.archive.ArchiveMode
+import micatally.archive.LoadedShards
+import micatally.archive.RecordArchive
+import micatally.archive.RecordLookup
 import micatally.config.Configuration
 import micatally.config.ConfigurationService
 import micatally.fleet.CloudClient
-import micatally.fleet.PendingWorkload
 import micatally.fleet.FleetManager
+import micatally.fleet.PendingWorkload
 import micatally.http.HttpCaller
 import micatally.http.HttpRequest
 import micatally.http.HttpResponse
 import micatally.http.errorResponse
 import micatally.job.AttemptState
-import micatally.job.JobStore
 import micatally.job.JobManager
+import micatally.job.JobStore
 import micatally.job.RecordForms
+import micatally.job.ShardState
 import micatally.job.StopReason
-import micatally.membership.SharedKeyCache
 import micatally.membership.Keys
-import micatally.job.ShardState
 import micatally.membership.Membership
+import micatally.membership.SharedKeyCache
 import micatally.peer.Peers
-import micatally.scheduling.Scheduler
-import micatally.scheduling.PriorityQueues
 import micatally.quota.Quota
-import micatally.archive.ArchiveMode
-import micatally.archive.LoadedShards
-import micatally.archive.RecordArchive
-import micatally.archive.RecordLookup
+import micatally.scheduling.PriorityQueues
+import micatally.scheduling.Scheduler
 import micatally.settings.Operator
 import micatally.settings.Settings
 import micatally.state.RateBudget
@@ -44,9 +44,9 @@
 import micatally.upgrade.FormatVersion
 import micatally.upgrade.Upgrade
 import micatally.wire.PeerJobRequest
+import micatally.worker.CommandDispatcher
 import micatally.worker.Machine
 import micatally.worker.MachineRegistry
-import micatally.worker.CommandDispatcher
 import micatally.worker.WorkerReach
 import org.slf4j.LoggerFactory
 import kotlin.random.Random
@@ -105,9 +105,27 @@
         RecordArchive(scope, settings, state, membership, operator.archiveMode, loadedShards())
     private val lookup = RecordLookup(state) { archive.mayBeUsed }
     private val store =
-        JobStore(scope, state, forms, settings.heartbeatIntervalMs / 4, settings.leaseMs / 10, { archive.mayBeUsed }, nowMs)
+        JobStore(
+            scope,
+            state,
+            forms,
+            settings.heartbeatIntervalMs / 4,
+            settings.leaseMs / 10,
+            { archive.mayBeUsed },
+            nowMs,
+        )
     val jobManager = JobManager(scope, settings, state, membership, machines, store, nowMs, wallMs)
-    private val dispatcher = CommandDispatcher(scope, http, settings, membership, machines, jobManager, jobManager.cancellations.cancelledTasks, nowMs)
+    private val dispatcher =
+        CommandDispatcher(
+            scope,
+            http,
+            settings,
+            membership,
+            machines,
+            jobManager,
+            jobManager.cancellations.cancelledTasks,
+            nowMs,
+        )
     private val quota =
         Quota(scope, state, membership.sharedKeys, configuration.teams, {
             jobManager.shards.values.filter { it.mine }
@@ -161,7 +179,8 @@
             reach,
             nowMs,
         )
-    private val workers = WorkerApi(settings, membership, machines, peers, jobManager.cancellations.cancelledTasks, nowMs)
+    private val workers =
+        WorkerApi(settings, membership, machines, peers, jobManager.cancellations.cancelledTasks, nowMs)
 
     private fun loadedShards() =
         object : LoadedShards {
@@ -187,7 +206,8 @@
         membership.peersConfirmedAt = { peers.peersConfirmedAt() }
         jobManager.quota = quota
         jobManager.requestCycle = { scheduler.requestCycle() }
-        scheduler.stateAnswers = { state.waitingWrites == 0 && state.get(Keys.FENCING_TOKEN, Urgency.SUMMARY) is ReadResult.Found }
+        scheduler.stateAnswers =
+            { state.waitingWrites == 0 && state.get(Keys.FENCING_TOKEN, Urgency.SUMMARY) is ReadResult.Found }
         scheduler.peerRequests = { peers.demandOfPeers() }
         store.onDurable = { job, written -> jobManager.durable(job, written) }
         store.onDropped = { jobManager.forget(it) }
@@ -254,7 +274,9 @@
             }
             if (k.startsWith(Keys.CANCELLED_TASKS)) jobManager.cancellations.published(k)
             if (k.startsWith(Keys.TEAM)) quota.teamChanged(k.removePrefix(Keys.TEAM))
-            if (k.startsWith(Keys.DRAIN)) machines.of(k.removePrefix(Keys.DRAIN))?.draining = membership.sharedKeys.has(k)
+            if (k.startsWith(Keys.DRAIN)) {
+                machines.of(k.removePrefix(Keys.DRAIN))?.draining = membership.sharedKeys.has(k)
+            }
         }
         peers.sharedChanged()
         scheduler.requestCycle()
@@ -263,7 +285,8 @@
     private fun isReachable(
         m: Machine,
         now: Long,
-    ) = !m.deleted && m.failuresInRow == 0 && now >= m.unreachableUntil && now - m.heardAt < settings.heartbeatIntervalMs * 2
+    ) = !m.deleted && m.failuresInRow == 0 && now >= m.unreachableUntil &&
+        now - m.heardAt < settings.heartbeatIntervalMs * 2
 
     private suspend fun housekeeping() {
         var round = 0
--- a/src/main/kotlin/micatally/emulator/Rehearsal.kt
+++ b/src/main/kotlin/micatally/emulator/Rehearsal.kt
@@ -15,9 +15,9 @@
 import micatally.settings.Settings
 import micatally.settings.Team
 import micatally.state.StateLimits
-import micatally.wire.Resources
-import micatally.wire.MachineType
 import micatally.wire.JobSpec
+import micatally.wire.MachineType
+import micatally.wire.Resources
 import micatally.wire.bytes
 import micatally.wire.parseObject
 import micatally.wire.textOrNull
--- a/src/main/kotlin/micatally/emulator/RuleChecker.kt
+++ b/src/main/kotlin/micatally/emulator/RuleChecker.kt
@@ -2,9 +2,9 @@
 
 import micatally.scheduling.Placement
 import micatally.settings.Team
-import micatally.wire.Resources
 import micatally.wire.Format
 import micatally.wire.JobSpec
+import micatally.wire.Resources
 
 /** A broken rule of the protocol, in the protocol's name for it. */
 class RuleViolation(
--- a/src/main/kotlin/micatally/emulator/StateStoreEmulator.kt
+++ b/src/main/kotlin/micatally/emulator/StateStoreEmulator.kt
@@ -232,7 +232,8 @@
         val limits = this.limits
         if (limits != null &&
             (
-                changed.size > limits.maxOperationsPerTransaction || (o.listOrNull("when") ?: emptyList()).size > limits.maxOperationsPerTransaction * 4 ||
+                changed.size > limits.maxOperationsPerTransaction ||
+                    (o.listOrNull("when") ?: emptyList()).size > limits.maxOperationsPerTransaction * 4 ||
                     o.toString().length > 64 * 1024
             )
         ) {
--- a/src/main/kotlin/micatally/emulator/WorkerEmulator.kt
+++ b/src/main/kotlin/micatally/emulator/WorkerEmulator.kt
@@ -13,10 +13,10 @@
 import micatally.http.HttpResponse
 import micatally.http.Outcome
 import micatally.http.errorResponse
-import micatally.wire.Resources
 import micatally.wire.ExitReason
 import micatally.wire.JobSpec
 import micatally.wire.MalformedMessage
+import micatally.wire.Resources
 import micatally.wire.asObject
 import micatally.wire.bytes
 import micatally.wire.listOrNull
--- a/src/main/kotlin/micatally/fleet/CloudClient.kt
+++ b/src/main/kotlin/micatally/fleet/CloudClient.kt
@@ -79,7 +79,11 @@
                         ProvisioningResult.Provisioned(
                             (parseObject(out.body).listOrNull("cars") ?: emptyList()).map { it.asText() },
                         )
-                    out.status == 503 && out.body.decodeToString().contains("no capacity") -> ProvisioningResult.NoCapacity
+                    out.status == 503 &&
+                        out.body.decodeToString().contains(
+                            "no capacity",
+                        )
+                    -> ProvisioningResult.NoCapacity
                     out.status == 503 || out.status == 429 || out.status == 400 -> ProvisioningResult.Refused
                     else -> ProvisioningResult.Unknown
                 }
--- a/src/main/kotlin/micatally/fleet/ConsolidationPlan.kt
+++ b/src/main/kotlin/micatally/fleet/ConsolidationPlan.kt
@@ -1,8 +1,8 @@
 package micatally.fleet
 
-import micatally.wire.Resources
-import micatally.wire.ResourceRequest
 import micatally.wire.MachineType
+import micatally.wire.ResourceRequest
+import micatally.wire.Resources
 import micatally.worker.Machine
 
 /**
--- a/src/main/kotlin/micatally/fleet/FleetManager.kt
+++ b/src/main/kotlin/micatally/fleet/FleetManager.kt
@@ -6,9 +6,9 @@
 import kotlinx.serialization.json.buildJsonObject
 import kotlinx.serialization.json.put
 import micatally.http.HttpCaller
-import micatally.membership.SharedKeyCache
 import micatally.membership.Keys
 import micatally.membership.Membership
+import micatally.membership.SharedKeyCache
 import micatally.settings.Operator
 import micatally.settings.Settings
 import micatally.state.Compare
@@ -17,8 +17,8 @@
 import micatally.state.Transaction
 import micatally.state.TransactionResult
 import micatally.state.Urgency
-import micatally.wire.ResourceRequest
 import micatally.wire.ListedMachine
+import micatally.wire.ResourceRequest
 import micatally.wire.textOrNull
 import micatally.worker.MachineRegistry
 import org.slf4j.LoggerFactory
@@ -61,7 +61,8 @@
     private val scaleIn =
         ScaleIn(scope, settings, state, cloud, sharedKeys, { isLeader && membership.leaseHolds() }, nowMs)
     private val scaleOut = ScaleOut(scope, settings, state, cloud, sharedKeys, machines, instances, { isLeader }, nowMs)
-    private val silence = MachineFailureDetector(scope, http, settings, machines, instances, fleetDemand::silentZones, nowMs)
+    private val silence =
+        MachineFailureDetector(scope, http, settings, machines, instances, fleetDemand::silentZones, nowMs)
     private val drains =
         GracefulEviction(
             scope,
@@ -191,7 +192,9 @@
 
     private fun followRentals(now: Long) {
         for (m in machines.byName.values) {
-            if (!m.deleted && m.incarnation != 0L) instances.reports(m.name, Offer(m.type, m.zone, m.spot), m.firstHeardAt)
+            if (!m.deleted && m.incarnation != 0L) {
+                instances.reports(m.name, Offer(m.type, m.zone, m.spot), m.firstHeardAt)
+            }
         }
         instances.removeAll(machines.deletedNames)
         instances.observe(now)
--- a/src/main/kotlin/micatally/fleet/GracefulEviction.kt
+++ b/src/main/kotlin/micatally/fleet/GracefulEviction.kt
@@ -4,17 +4,17 @@
 import kotlinx.coroutines.launch
 import kotlinx.serialization.json.buildJsonObject
 import kotlinx.serialization.json.put
-import micatally.membership.SharedKeyCache
 import micatally.membership.Keys
+import micatally.membership.SharedKeyCache
 import micatally.settings.Operator
 import micatally.settings.Settings
-import micatally.state.Write
 import micatally.state.Compare
 import micatally.state.Delete
 import micatally.state.Put
 import micatally.state.StateStoreClient
 import micatally.state.Transaction
 import micatally.state.Urgency
+import micatally.state.Write
 import micatally.wire.ResourceRequest
 import micatally.worker.Machine
 import micatally.worker.MachineRegistry
@@ -109,7 +109,8 @@
         if (drain != null) {
             drain.transitionTo(EvictionState.EMPTY, now)
             val isKnown =
-                now - drain.stateSince > settings.heartbeatIntervalMs + settings.leaseMs / 10 && sharedKeys.has(Keys.DRAIN + m.name)
+                now - drain.stateSince > settings.heartbeatIntervalMs + settings.leaseMs / 10 &&
+                    sharedKeys.has(Keys.DRAIN + m.name)
             if (isKnown) scaleIn.want(m.name)
             return
         }
@@ -203,7 +204,9 @@
         val surplus = listed.filter { it.key.removePrefix(Keys.DRAIN) !in evictions }
         val missing = evictions.keys.filter { it !in names }
         // Only what was off at the last look too: the usual write is under way.
-        for (item in surplus) if (item.key in keysOff) write { conditional(item.key, item.modRevision, Delete(item.key)) }
+        for (item in surplus) {
+            if (item.key in keysOff) write { conditional(item.key, item.modRevision, Delete(item.key)) }
+        }
         for (name in missing) {
             val key = Keys.DRAIN + name
             if (key in keysOff) write { if (name in evictions) conditional(key, 0, drainOf(name)) else null }
--- a/src/main/kotlin/micatally/fleet/MachineTypeCatalog.kt
+++ b/src/main/kotlin/micatally/fleet/MachineTypeCatalog.kt
@@ -32,7 +32,14 @@
         while (true) {
             if (machines.machineTypes.isEmpty()) readStored()
             if (machines.machineTypes.isEmpty() || isLeader()) askCloud()
-            delay(if (machines.machineTypes.isEmpty()) settings.leaseMs / UNKNOWN_SHARE else settings.leaseMs * KNOWN_LEASES)
+            delay(
+                if (machines.machineTypes.isEmpty()) {
+                    settings.leaseMs / UNKNOWN_SHARE
+                } else {
+                    settings.leaseMs *
+                        KNOWN_LEASES
+                },
+            )
         }
     }
 
@@ -49,7 +56,11 @@
         take(fresh)
         val text = fresh.toString()
         if (text == stored || RecordPacking.size(fresh) > settings.valueBytes) return
-        val written = state.transact(1, Urgency.SUMMARY) { Transaction(emptyList(), listOf(Put(Keys.MACHINE_TYPES, fresh))) }
+        val written =
+            state.transact(
+                1,
+                Urgency.SUMMARY,
+            ) { Transaction(emptyList(), listOf(Put(Keys.MACHINE_TYPES, fresh))) }
         if (written is TransactionResult.Applied) stored = text
     }
 
--- a/src/main/kotlin/micatally/fleet/ScaleIn.kt
+++ b/src/main/kotlin/micatally/fleet/ScaleIn.kt
@@ -3,8 +3,8 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import micatally.membership.SharedKeyCache
 import micatally.membership.Keys
+import micatally.membership.SharedKeyCache
 import micatally.settings.Settings
 import micatally.state.Delete
 import micatally.state.Put
@@ -67,7 +67,10 @@
 
     private fun proof(names: List<String>): Transaction {
         val drained = names.map { Keys.DRAIN + it }.filter { sharedKeys.has(it) }
-        return Transaction(emptyList(), names.map { Put(Keys.DELETED_MACHINE + it, EMPTY_OBJECT) } + drained.map { Delete(it) })
+        return Transaction(
+            emptyList(),
+            names.map { Put(Keys.DELETED_MACHINE + it, EMPTY_OBJECT) } + drained.map { Delete(it) },
+        )
     }
 
     /** Old proofs are dropped; a machine whose proof is missed is simply deleted again. */
@@ -75,7 +78,15 @@
         val oldest = nowMs() - settings.leaseMs * KEPT_LEASES
         val old = goneAt.filterValues { it < oldest }.keys.take(settings.maxOperationsPerTransaction / 2)
         if (old.isEmpty() || !mayDelete()) return
-        val dropped = state.transact(old.size, Urgency.SUMMARY) { Transaction(emptyList(), old.map { Delete(Keys.DELETED_MACHINE + it) }) }
+        val dropped =
+            state.transact(old.size, Urgency.SUMMARY) {
+                Transaction(
+                    emptyList(),
+                    old.map {
+                        Delete(Keys.DELETED_MACHINE + it)
+                    },
+                )
+            }
         if (dropped is TransactionResult.Applied) goneAt.keys.removeAll(old.toSet())
     }
 
--- a/src/main/kotlin/micatally/fleet/ScaleOut.kt
+++ b/src/main/kotlin/micatally/fleet/ScaleOut.kt
@@ -3,8 +3,8 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import micatally.membership.SharedKeyCache
 import micatally.membership.Keys
+import micatally.membership.SharedKeyCache
 import micatally.settings.Settings
 import micatally.state.Compare
 import micatally.state.Delete
@@ -45,7 +45,9 @@
         term = newTerm
         requestCount = 0
         answered.clear()
-        for (item in sharedKeys.under(Keys.PROVISIONING)) resume(ProvisioningRequest.parse(item.key.removePrefix(Keys.PROVISIONING), item.value))
+        for (item in sharedKeys.under(Keys.PROVISIONING)) {
+            resume(ProvisioningRequest.parse(item.key.removePrefix(Keys.PROVISIONING), item.value))
+        }
     }
 
     /**
@@ -88,7 +90,10 @@
         carryOut(request) {
             val stored =
                 state.transact(1, Urgency.INTENT) {
-                    Transaction(listOf(Compare(Keys.FLEET, term)), listOf(Put(Keys.PROVISIONING + request.name, request.toJson())))
+                    Transaction(
+                        listOf(Compare(Keys.FLEET, term)),
+                        listOf(Put(Keys.PROVISIONING + request.name, request.toJson())),
+                    )
                 }
             if (stored is TransactionResult.Applied) provision(request)
         }
@@ -162,7 +167,14 @@
         val key = Keys.PROVISIONING + request.name
         state.transact(1, Urgency.SUMMARY) {
             val isNoted = sharedKeys.has(key) && request.name in answered
-            if (isNoted) Transaction(listOf(Compare(key, sharedKeys.modRevision(key))), listOf(Put(key, request.toJson()))) else null
+            if (isNoted) {
+                Transaction(
+                    listOf(Compare(key, sharedKeys.modRevision(key))),
+                    listOf(Put(key, request.toJson())),
+                )
+            } else {
+                null
+            }
         }
     }
 
--- a/src/main/kotlin/micatally/fleet/ScaleOutPlan.kt
+++ b/src/main/kotlin/micatally/fleet/ScaleOutPlan.kt
@@ -1,8 +1,8 @@
 package micatally.fleet
 
-import micatally.wire.Resources
-import micatally.wire.ResourceRequest
 import micatally.wire.MachineType
+import micatally.wire.ResourceRequest
+import micatally.wire.Resources
 
 /** A machine type in a zone, spot or ordinary: what the cloud is asked for. */
 data class Offer(
--- a/src/main/kotlin/micatally/gang/GangPolicy.kt
+++ b/src/main/kotlin/micatally/gang/GangPolicy.kt
@@ -1,8 +1,8 @@
 package micatally.gang
 
 import micatally.job.Attempt
-import micatally.job.AttemptTermination
 import micatally.job.AttemptState
+import micatally.job.AttemptTermination
 import micatally.job.Job
 import micatally.wire.ExitReason
 
--- a/src/main/kotlin/micatally/gang/GangSupervisor.kt
+++ b/src/main/kotlin/micatally/gang/GangSupervisor.kt
@@ -1,12 +1,12 @@
 package micatally.gang
 
 import micatally.job.Attempt
-import micatally.job.AttemptTermination
 import micatally.job.AttemptState
-import micatally.job.TerminationEvidence
+import micatally.job.AttemptTermination
 import micatally.job.Job
 import micatally.job.JobState
 import micatally.job.StopReason
+import micatally.job.TerminationEvidence
 import micatally.worker.Machine
 import org.slf4j.LoggerFactory
 
@@ -120,7 +120,10 @@
         val machines = LinkedHashSet<Machine>()
         for (attempt in job.attempts.values.toList()) {
             if (attempt.state == AttemptState.INTENDED) {
-                jobManager.terminate(attempt, AttemptTermination(TerminationEvidence.NEVER_SENT, "the gang's run has ended"))
+                jobManager.terminate(
+                    attempt,
+                    AttemptTermination(TerminationEvidence.NEVER_SENT, "the gang's run has ended"),
+                )
                 continue
             }
             attempt.stop(reason, now)
--- a/src/main/kotlin/micatally/job/Attempt.kt
+++ b/src/main/kotlin/micatally/job/Attempt.kt
@@ -56,7 +56,9 @@
         nowMs: Long,
     ) {
         if (next == state) return
-        check(next.ordinal > state.ordinal) { "attempt ${job.jobId}/$taskIndex#$number may not go from $state to $next" }
+        check(
+            next.ordinal > state.ordinal,
+        ) { "attempt ${job.jobId}/$taskIndex#$number may not go from $state to $next" }
         state = next
         if (next == AttemptState.RUNNING && runningSince == null) runningSince = nowMs
     }
--- a/src/main/kotlin/micatally/job/Cancellations.kt
+++ b/src/main/kotlin/micatally/job/Cancellations.kt
@@ -2,8 +2,8 @@
 
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.launch
-import micatally.membership.SharedKeyCache
 import micatally.membership.Keys
+import micatally.membership.SharedKeyCache
 import micatally.settings.Settings
 import micatally.wire.CancelledTask
 import micatally.wire.asLong
@@ -73,7 +73,11 @@
     fun published(key: String) {
         val jobId = key.removePrefix(Keys.CANCELLED_TASKS).substringBefore('/')
         val main = sharedKeys.value(Keys.cancelledTasks(jobId)) ?: return
-        val parts = (0 until RecordPacking.overflowCount(main)).map { sharedKeys.value(Keys.cancelledTasksPart(jobId, it)) ?: return }
+        val parts =
+            (0 until RecordPacking.overflowCount(main)).map {
+                sharedKeys.value(Keys.cancelledTasksPart(jobId, it))
+                    ?: return
+            }
         val rows = CancelledTasksValue.rows(RecordPacking.unpack(main, parts))
         cancelledTasks.take(rows.map { CancelledTask(it[0].asText(), jobId, it[1].asLong().toInt(), it[2].asLong()) })
     }
--- a/src/main/kotlin/micatally/job/JobManager.kt
+++ b/src/main/kotlin/micatally/job/JobManager.kt
@@ -4,25 +4,25 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import micatally.gang.GangTaskControl
 import micatally.gang.GangSupervisor
+import micatally.gang.GangTaskControl
 import micatally.gang.GangTiming
-import micatally.membership.ShardLeader
 import micatally.membership.Keys
 import micatally.membership.Membership
+import micatally.membership.ShardLeader
 import micatally.quota.Quota
 import micatally.settings.Settings
 import micatally.state.StateStoreClient
 import micatally.state.Urgency
-import micatally.wire.ResourceRequest
 import micatally.wire.ExitReason
 import micatally.wire.JobAnswer
 import micatally.wire.JobSpec
 import micatally.wire.ListedTask
-import micatally.worker.Machine
-import micatally.worker.MachineRegistry
+import micatally.wire.ResourceRequest
 import micatally.worker.AttemptDirectory
 import micatally.worker.CommandDispatcher
+import micatally.worker.Machine
+import micatally.worker.MachineRegistry
 import org.slf4j.LoggerFactory
 
 /** The jobs of the shards that this node holds, and all that happens to their tasks. */
@@ -45,7 +45,8 @@
     var requestCycle: () -> Unit = {}
     val faults = FaultJudgement(settings, machines)
 
-    val gangs = GangSupervisor(this, GangTiming(settings.gangWaitMs, settings.gangPeerMs, settings.heartbeatIntervalMs), nowMs)
+    val gangs =
+        GangSupervisor(this, GangTiming(settings.gangWaitMs, settings.gangPeerMs, settings.heartbeatIntervalMs), nowMs)
 
     override fun requestSync(machine: Machine) = dispatcher.requestSync(machine)
 
@@ -226,7 +227,9 @@
             val team = job.spec?.team ?: continue
             val unsent = job.attempts.values.filter { it.state <= AttemptState.RECORDED }
             if (unsent.isEmpty() || !isAffected(team) || !quota.isSuspended(team)) continue
-            for (attempt in unsent) terminate(attempt, AttemptTermination(TerminationEvidence.NEVER_SENT, "the limit of $team was lowered"))
+            for (attempt in unsent) {
+                terminate(attempt, AttemptTermination(TerminationEvidence.NEVER_SENT, "the limit of $team was lowered"))
+            }
         }
     }
 
@@ -322,7 +325,9 @@
     fun deleted(m: Machine) {
         m.deleted = true
         m.unansweredRuns.clear()
-        for (a in m.attempts.toList()) terminate(a, AttemptTermination(TerminationEvidence.MACHINE_DELETED, "machine gone"))
+        for (a in m.attempts.toList()) {
+            terminate(a, AttemptTermination(TerminationEvidence.MACHINE_DELETED, "machine gone"))
+        }
     }
 
     /** A newer task list of a machine. Without an answer to our own request it proves only what can't change any more. */
@@ -345,7 +350,9 @@
         if (!own &&
             m.attempts.any {
                 it.state >= AttemptState.PULLING && it.incarnation == m.incarnation &&
-                    m.tasks.none { t -> t.jobId == it.job.jobId && t.taskIndex == it.taskIndex && t.attempt == it.number }
+                    m.tasks.none { t ->
+                        t.jobId == it.job.jobId && t.taskIndex == it.taskIndex && t.attempt == it.number
+                    }
             }
         ) {
             m.needsStatus = true
@@ -448,7 +455,9 @@
 
     /** The job is not this node's after all. None of its tasks was ever sent: that takes a record that is durable. */
     fun forget(job: Job) {
-        for (a in job.attempts.values.toList()) terminate(a, AttemptTermination(TerminationEvidence.NEVER_SENT, "job not accepted"))
+        for (a in job.attempts.values.toList()) {
+            terminate(a, AttemptTermination(TerminationEvidence.NEVER_SENT, "job not accepted"))
+        }
         job.shard.jobs.remove(job.jobId, job)
     }
 
--- a/src/main/kotlin/micatally/job/JobRecord.kt
+++ b/src/main/kotlin/micatally/job/JobRecord.kt
@@ -145,7 +145,8 @@
     private fun mayHaveAttempts(o: JsonObject) = o["a"] != null || RecordPacking.isPacked(o)
 
     /** Whether a user may hear of the end that the record has. */
-    fun isCancellationConfirmable(o: JsonObject) = state(o) != JobState.CANCELLED || !mayHaveAttempts(o) || o["x"] != null
+    fun isCancellationConfirmable(o: JsonObject) =
+        state(o) != JobState.CANCELLED || !mayHaveAttempts(o) || o["x"] != null
 
     fun placed(o: JsonObject): List<Placed> =
         (o.listOrNull("a") ?: emptyList()).flatMap { e ->
--- a/src/main/kotlin/micatally/job/JobStore.kt
+++ b/src/main/kotlin/micatally/job/JobStore.kt
@@ -4,8 +4,8 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import micatally.membership.Keys
 import micatally.archive.RecordLookup
+import micatally.membership.Keys
 import micatally.state.Compare
 import micatally.state.ReadResult
 import micatally.state.StateStoreClient
--- a/src/main/kotlin/micatally/job/RecordWrite.kt
+++ b/src/main/kotlin/micatally/job/RecordWrite.kt
@@ -2,10 +2,10 @@
 
 import kotlinx.serialization.json.JsonObject
 import micatally.membership.Keys
-import micatally.state.Write
 import micatally.state.Delete
 import micatally.state.Put
 import micatally.state.StateLimits
+import micatally.state.Write
 
 /**
  * The changes that bring a job's record, and the kill list beside it, to the state service in one transaction.
@@ -75,7 +75,11 @@
         changes += overflowChanges(main, job.storedOverflow) { Keys.jobPart(job.jobId, it) }
         if (cancelledTasks != null) {
             changes += Put(Keys.cancelledTasks(job.jobId), cancelledTasks.main)
-            changes += overflowChanges(cancelledTasks, job.storedCancelledTasksOverflow) { Keys.cancelledTasksPart(job.jobId, it) }
+            changes +=
+                overflowChanges(
+                    cancelledTasks,
+                    job.storedCancelledTasksOverflow,
+                ) { Keys.cancelledTasksPart(job.jobId, it) }
         } else if (job.publishedAt != null) {
             changes += Delete(Keys.cancelledTasks(job.jobId))
             changes += (0 until job.storedCancelledTasksOverflow).map { Delete(Keys.cancelledTasksPart(job.jobId, it)) }
--- a/src/main/kotlin/micatally/job/ServiceArrivals.kt
+++ b/src/main/kotlin/micatally/job/ServiceArrivals.kt
@@ -1,7 +1,7 @@
 package micatally.job
 
-import micatally.wire.ResourceRequest
 import micatally.wire.JobSpec
+import micatally.wire.ResourceRequest
 
 /** The services that were submitted to this node lately, as a measure of those that will come while a machine boots. */
 class ServiceArrivals(
--- a/src/main/kotlin/micatally/job/ShardLoader.kt
+++ b/src/main/kotlin/micatally/job/ShardLoader.kt
@@ -44,7 +44,13 @@
         }
         l.transitionTo(ShardState.ACTIVE)
         val tookMs = nowMs() - l.leaderSinceMs
-        log.info("shard {} loaded at fencing token {}: {} jobs in {} ms", l.name, l.leader.fencingToken, l.jobs.size, tookMs)
+        log.info(
+            "shard {} loaded at fencing token {}: {} jobs in {} ms",
+            l.name,
+            l.leader.fencingToken,
+            l.jobs.size,
+            tookMs,
+        )
         reconcileMachines()
         jobManager.requestCycle()
         return true
@@ -110,7 +116,15 @@
         val machine = machines.known(placed.machine, placed.addr, placed.type, placed.zone, placed.spot)
         if (machine.incarnation == 0L) machine.incarnation = placed.incarnation
         val attempt =
-            Attempt(job, placed.taskIndex, placed.number, machine, placed.incarnation, job.service, AttemptState.DISPATCHED)
+            Attempt(
+                job,
+                placed.taskIndex,
+                placed.number,
+                machine,
+                placed.incarnation,
+                job.service,
+                AttemptState.DISPATCHED,
+            )
         job.attempts[placed.taskIndex] = attempt
         jobManager.attach(attempt)
     }
--- a/src/main/kotlin/micatally/membership/Membership.kt
+++ b/src/main/kotlin/micatally/membership/Membership.kt
@@ -232,7 +232,9 @@
         provenAt: Long,
     ) {
         viewProvenAt = maxOf(viewProvenAt, provenAt)
-        if (lease != null && sharedKeys.revision >= liveModRevision && sharedKeys.modRevision(Keys.live(settings.host)) != liveModRevision) {
+        if (lease != null && sharedKeys.revision >= liveModRevision &&
+            sharedKeys.modRevision(Keys.live(settings.host)) != liveModRevision
+        ) {
             log.info("lease {}: the live key is not its own any more", lease)
             lease = null
         }
@@ -316,7 +318,9 @@
         val r =
             state.transact(2, Urgency.LEASE) {
                 val shardModRevision = sharedKeys.modRevision(Keys.shard(shard))
-                if (former != null && (former.modRevision != shardModRevision || !isOrphan(shard, former))) return@transact null
+                if (former != null && (former.modRevision != shardModRevision || !isOrphan(shard, former))) {
+                    return@transact null
+                }
                 fencingToken = sharedKeys.fencingToken + 1
                 Transaction(
                     listOfNotNull(
--- a/src/main/kotlin/micatally/peer/OwnSummary.kt
+++ b/src/main/kotlin/micatally/peer/OwnSummary.kt
@@ -8,9 +8,9 @@
 import micatally.membership.Membership
 import micatally.scheduling.Scheduler
 import micatally.settings.Settings
-import micatally.wire.ResourceRequest
-import micatally.wire.HeldCapacity
 import micatally.wire.CapacitySummary
+import micatally.wire.HeldCapacity
+import micatally.wire.ResourceRequest
 import micatally.worker.MachineRegistry
 
 /** What this node holds on machines and what waits here, numbered so that peers are told changes only. */
@@ -60,7 +60,10 @@
             }
             val images = m.ownImages.toList()
             mine[m.name] =
-                Mine(HeldCapacity(m.name, u.cores, u.gpus, u.memoryGb, images, images.map { m.images[it] ?: 0.0 }), next)
+                Mine(
+                    HeldCapacity(m.name, u.cores, u.gpus, u.memoryGb, images, images.map { m.images[it] ?: 0.0 }),
+                    next,
+                )
             changed = true
         }
         val demandNow = scheduler.unplaced.values.toList()
--- a/src/main/kotlin/micatally/peer/PeerSummaries.kt
+++ b/src/main/kotlin/micatally/peer/PeerSummaries.kt
@@ -3,10 +3,10 @@
 import micatally.membership.Keys
 import micatally.membership.Membership
 import micatally.settings.Settings
-import micatally.wire.Resources
-import micatally.wire.ResourceRequest
-import micatally.wire.HeldCapacity
 import micatally.wire.CapacitySummary
+import micatally.wire.HeldCapacity
+import micatally.wire.ResourceRequest
+import micatally.wire.Resources
 import micatally.wire.textOrNull
 import micatally.worker.Machine
 import micatally.worker.MachineRegistry
--- a/src/main/kotlin/micatally/peer/Peers.kt
+++ b/src/main/kotlin/micatally/peer/Peers.kt
@@ -24,17 +24,17 @@
 import micatally.state.StateStoreClient
 import micatally.state.Transaction
 import micatally.state.Urgency
-import micatally.wire.Resources
-import micatally.wire.ResourceRequest
+import micatally.wire.CancelledTaskList
+import micatally.wire.CapacitySummary
 import micatally.wire.HeartbeatAcknowledgements
 import micatally.wire.HeldCapacity
 import micatally.wire.MachineStatus
+import micatally.wire.PeerDelta
 import micatally.wire.PeerDeltaResponse
-import micatally.wire.PeerJobResponse
 import micatally.wire.PeerJobRequest
-import micatally.wire.PeerDelta
-import micatally.wire.CapacitySummary
-import micatally.wire.CancelledTaskList
+import micatally.wire.PeerJobResponse
+import micatally.wire.ResourceRequest
+import micatally.wire.Resources
 import micatally.wire.textOrNull
 import micatally.worker.Machine
 import micatally.worker.MachineRegistry
@@ -341,7 +341,9 @@
     }
 
     fun takeCancelledTasks(body: ByteArray): ByteArray {
-        jobManager.cancellations.cancelledTasks.take(ProtoBuf.decodeFromByteArray<CancelledTaskList>(body).cancelledTasks)
+        jobManager.cancellations.cancelledTasks.take(
+            ProtoBuf.decodeFromByteArray<CancelledTaskList>(body).cancelledTasks,
+        )
         return ByteArray(0)
     }
 
--- a/src/main/kotlin/micatally/peer/SummaryPieces.kt
+++ b/src/main/kotlin/micatally/peer/SummaryPieces.kt
@@ -66,7 +66,10 @@
             // next time, when the pieces are measured again.
             val result =
                 state.transact(1, Urgency.SUMMARY) {
-                    encode(i, machines).takeIf(::fits)?.let { Transaction(emptyList(), listOf(Put("$key/$i", packed(it)))) }
+                    encode(
+                        i,
+                        machines,
+                    ).takeIf(::fits)?.let { Transaction(emptyList(), listOf(Put("$key/$i", packed(it)))) }
                 }
             if (result is TransactionResult.Applied) written[i] = now
             nextPiece = i + 1
--- a/src/main/kotlin/micatally/quota/AllotmentWriter.kt
+++ b/src/main/kotlin/micatally/quota/AllotmentWriter.kt
@@ -3,10 +3,10 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import micatally.membership.SharedKeyCache
-import micatally.membership.Keys
 import micatally.job.JobShard
 import micatally.job.ShardState
+import micatally.membership.Keys
+import micatally.membership.SharedKeyCache
 import micatally.settings.Team
 import micatally.settings.TeamDirectory
 import micatally.state.Compare
@@ -182,7 +182,8 @@
         while (!change.isSeen()) delay(SEEN_EVERY_MS)
     }
 
-    private fun hasOtherMark(sent: Pending) = sharedKeys.modRevision(Keys.team(sent.view.team.name)) != sent.view.stored.modRevision
+    private fun hasOtherMark(sent: Pending) =
+        sharedKeys.modRevision(Keys.team(sent.view.team.name)) != sent.view.stored.modRevision
 
     /** The same transaction again until there is an answer; then until the key is seen to have changed, also when the repeat
      * shows that it has, since this node's copy may still hold the former allotment. */
@@ -194,7 +195,9 @@
         change.isSeen = { !shard.mine || hasOtherMark(sent) }
         while (!change.isSeen()) {
             val again = state.transact(1, Urgency.SUMMARY) { sent.transact.takeIf { shard.state == ShardState.ACTIVE } }
-            if (again is TransactionResult.Applied || again is TransactionResult.Failed) return awaitSeen(change) { hasOtherMark(sent) }
+            if (again is TransactionResult.Applied || again is TransactionResult.Failed) {
+                return awaitSeen(change) { hasOtherMark(sent) }
+            }
             delay(REPEAT_MS)
         }
     }
--- a/src/main/kotlin/micatally/quota/Quota.kt
+++ b/src/main/kotlin/micatally/quota/Quota.kt
@@ -2,10 +2,10 @@
 
 import kotlinx.coroutines.CoroutineScope
 import micatally.job.Job
-import micatally.membership.SharedKeyCache
-import micatally.membership.Keys
 import micatally.job.JobShard
 import micatally.job.ShardState
+import micatally.membership.Keys
+import micatally.membership.SharedKeyCache
 import micatally.settings.Team
 import micatally.settings.TeamDirectory
 import micatally.state.StateStoreClient
--- a/src/main/kotlin/micatally/quota/Share.kt
+++ b/src/main/kotlin/micatally/quota/Share.kt
@@ -41,8 +41,7 @@
 val Team.limit get() = Share(maxOf(coresMax, 0.0), maxOf(gpusMax, 0.0))
 
 /** The part of [share] that the team is limited in: the other dimension has no allotment. */
-fun Team.limitedPart(share: Share) =
-    Share(if (coresMax > 0) share.cores else 0.0, if (gpusMax > 0) share.gpus else 0.0)
+fun Team.limitedPart(share: Share) = Share(if (coresMax > 0) share.cores else 0.0, if (gpusMax > 0) share.gpus else 0.0)
 
 /** Whether [allotted] has room for [use]. */
 fun Team.covers(
--- a/src/main/kotlin/micatally/scale/CpuUsageLines.kt
+++ b/src/main/kotlin/micatally/scale/CpuUsageLines.kt
@@ -20,7 +20,8 @@
     val work: Map<String, CpuUsageFigures> = sum(Regex("""([a-z][a-z ]*)=(\d+)x/(\d+)ms/(\d+)ms"""))
 
     /** Writes to the state service by urgency; the longest time is how long one of them waited. */
-    val writes: Map<String, CpuUsageFigures> = sum(Regex("""([a-z]+):(\d+)x/(\d+)ms/(\d+)ms"""), "writes=", " requests=")
+    val writes: Map<String, CpuUsageFigures> =
+        sum(Regex("""([a-z]+):(\d+)x/(\d+)ms/(\d+)ms"""), "writes=", " requests=")
 
     val newsBytesReceived = efforts.sumOf { number(it, "newsReceived=") }
     val newsBytesAnswered = efforts.sumOf { number(it, "newsAnswered=") }
--- a/src/main/kotlin/micatally/scale/RunHistory.kt
+++ b/src/main/kotlin/micatally/scale/RunHistory.kt
@@ -1,11 +1,11 @@
 package micatally.scale
 
-import micatally.settings.Team
 import micatally.emulator.FleetTasks
 import micatally.emulator.OnMachine
 import micatally.emulator.RuleChecker
 import micatally.emulator.RuleViolation
 import micatally.emulator.WorkerEmulator
+import micatally.settings.Team
 import micatally.wire.JobSpec
 
 /** A broken rule together with all that is known of the job that broke it. */
@@ -151,7 +151,9 @@
     @Synchronized
     fun checkAllEnded() {
         val jobId = openJobs.firstOrNull() ?: return
-        checked(jobId) { throw RuleViolation("not_ended", "${openJobs.size} accepted jobs have not ended, $jobId first") }
+        checked(
+            jobId,
+        ) { throw RuleViolation("not_ended", "${openJobs.size} accepted jobs have not ended, $jobId first") }
     }
 
     // What machines do
--- a/src/main/kotlin/micatally/scale/Users.kt
+++ b/src/main/kotlin/micatally/scale/Users.kt
@@ -3,9 +3,9 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
+import micatally.emulator.MessageObserver
 import micatally.http.HttpCaller
 import micatally.http.Outcome
-import micatally.emulator.MessageObserver
 import micatally.wire.JobAnswer
 import micatally.wire.MalformedMessage
 import micatally.wire.bytes
--- a/src/main/kotlin/micatally/scheduling/AllOrNothingPlacement.kt
+++ b/src/main/kotlin/micatally/scheduling/AllOrNothingPlacement.kt
@@ -6,12 +6,12 @@
 import micatally.gang.GangPhase
 import micatally.gang.GangPlacement
 import micatally.job.Job
-import micatally.job.JobStore
 import micatally.job.JobManager
+import micatally.job.JobStore
 import micatally.quota.Quota
 import micatally.settings.Settings
-import micatally.wire.ResourceRequest
 import micatally.wire.JobSpec
+import micatally.wire.ResourceRequest
 import micatally.worker.Machine
 
 /** Places the tasks of gangs, and of services that must be in one zone, all at once or not at all. */
@@ -76,7 +76,9 @@
             return null
         }
         val attempt = number()
-        for ((index, task) in tasks.withIndex()) jobManager.place(job, task, assignment.machines[index].machine, attempt)
+        for ((index, task) in tasks.withIndex()) {
+            jobManager.place(job, task, assignment.machines[index].machine, attempt)
+        }
         store.touch(job, true)
         return assignment
     }
--- a/src/main/kotlin/micatally/scheduling/ClusterView.kt
+++ b/src/main/kotlin/micatally/scheduling/ClusterView.kt
@@ -1,9 +1,9 @@
 package micatally.scheduling
 
 import micatally.settings.Settings
-import micatally.wire.Resources
-import micatally.wire.ResourceRequest
 import micatally.wire.JobSpec
+import micatally.wire.ResourceRequest
+import micatally.wire.Resources
 import micatally.worker.Machine
 import micatally.worker.MachineRegistry
 
--- a/src/main/kotlin/micatally/scheduling/MachineSelector.kt
+++ b/src/main/kotlin/micatally/scheduling/MachineSelector.kt
@@ -3,9 +3,9 @@
 import micatally.gang.GangCandidate
 import micatally.job.Attempt
 import micatally.job.Job
-import micatally.wire.Resources
-import micatally.wire.MachineType
 import micatally.wire.JobSpec
+import micatally.wire.MachineType
+import micatally.wire.Resources
 import micatally.worker.Machine
 
 /**
--- a/src/main/kotlin/micatally/scheduling/Placement.kt
+++ b/src/main/kotlin/micatally/scheduling/Placement.kt
@@ -2,10 +2,10 @@
 
 import micatally.job.Attempt
 import micatally.job.Job
-import micatally.wire.Resources
-import micatally.wire.ResourceRequest
-import micatally.wire.MachineType
 import micatally.wire.JobSpec
+import micatally.wire.MachineType
+import micatally.wire.ResourceRequest
+import micatally.wire.Resources
 import micatally.worker.Machine
 
 /** Where a task may go, and where it goes best. Decisions only; no I/O and no clock of its own. */
--- a/src/main/kotlin/micatally/scheduling/Preemption.kt
+++ b/src/main/kotlin/micatally/scheduling/Preemption.kt
@@ -4,11 +4,11 @@
 import micatally.job.AttemptState
 import micatally.job.StopReason
 import micatally.settings.Settings
-import micatally.wire.Resources
-import micatally.wire.MachineType
 import micatally.wire.JobSpec
-import micatally.worker.Machine
+import micatally.wire.MachineType
+import micatally.wire.Resources
 import micatally.worker.CommandDispatcher
+import micatally.worker.Machine
 import org.slf4j.LoggerFactory
 
 /** A waiting task that fits nowhere, of this owner or of another one. */
@@ -129,7 +129,12 @@
             stoppedForPeersAt[key] = now
             val resources = Resources(d.cores, d.gpus, d.memoryGb)
             val need =
-                PlacementRequest(resources, d.priority, 0, "a peer's ${d.image}", { m -> view.mayUse(d, m) }, { m, f, free ->
+                PlacementRequest(resources, d.priority, 0, "a peer's ${d.image}", { m ->
+                    view.mayUse(
+                        d,
+                        m,
+                    )
+                }, { m, f, free ->
                     (
                         if (d.image in
                             m.images
--- a/src/main/kotlin/micatally/scheduling/ReplicaMigration.kt
+++ b/src/main/kotlin/micatally/scheduling/ReplicaMigration.kt
@@ -6,14 +6,14 @@
 import micatally.job.Attempt
 import micatally.job.AttemptState
 import micatally.job.Job
-import micatally.job.JobStore
 import micatally.job.JobManager
+import micatally.job.JobStore
 import micatally.job.StopReason
 import micatally.quota.Quota
 import micatally.settings.Settings
 import micatally.wire.JobSpec
-import micatally.worker.Machine
 import micatally.worker.CommandDispatcher
+import micatally.worker.Machine
 import org.slf4j.LoggerFactory
 
 /** Moves replicas off machines that are being emptied. */
--- a/src/main/kotlin/micatally/scheduling/Scheduler.kt
+++ b/src/main/kotlin/micatally/scheduling/Scheduler.kt
@@ -3,18 +3,18 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
+import micatally.controller.CpuUsage
 import micatally.job.AttemptState
 import micatally.job.Job
-import micatally.job.JobStore
 import micatally.job.JobManager
-import micatally.controller.CpuUsage
+import micatally.job.JobStore
 import micatally.quota.Quota
 import micatally.settings.Settings
-import micatally.wire.Resources
-import micatally.wire.ResourceRequest
 import micatally.wire.JobSpec
-import micatally.worker.MachineRegistry
+import micatally.wire.ResourceRequest
+import micatally.wire.Resources
 import micatally.worker.CommandDispatcher
+import micatally.worker.MachineRegistry
 import org.slf4j.LoggerFactory
 
 /** Decision rounds: from the top queue down, skipping what finds no room. They run on events, with a budget of time
--- a/src/main/kotlin/micatally/upgrade/Upgrade.kt
+++ b/src/main/kotlin/micatally/upgrade/Upgrade.kt
@@ -5,8 +5,8 @@
 import kotlinx.coroutines.launch
 import kotlinx.serialization.json.buildJsonObject
 import kotlinx.serialization.json.put
-import micatally.membership.SharedKeyCache
 import micatally.membership.Keys
+import micatally.membership.SharedKeyCache
 import micatally.settings.Settings
 import micatally.state.Compare
 import micatally.state.Put
--- a/src/main/kotlin/micatally/upgrade/UpgradePlan.kt
+++ b/src/main/kotlin/micatally/upgrade/UpgradePlan.kt
@@ -1,7 +1,7 @@
 package micatally.upgrade
 
-import micatally.membership.SharedKeyCache
 import micatally.membership.Keys
+import micatally.membership.SharedKeyCache
 import micatally.wire.longOrNull
 
 /**
--- a/src/main/kotlin/micatally/wire/Json.kt
+++ b/src/main/kotlin/micatally/wire/Json.kt
@@ -31,7 +31,8 @@
 
 fun JsonObject.textOrNull(name: String): String? {
     val value = present(name) ?: return null
-    return (value as? JsonPrimitive)?.takeIf { it.isString }?.content ?: throw MalformedMessage("$name must be a string")
+    return (value as? JsonPrimitive)?.takeIf { it.isString }?.content
+        ?: throw MalformedMessage("$name must be a string")
 }
 
 fun JsonObject.text(name: String): String = textOrNull(name) ?: throw MalformedMessage("$name is missing")
@@ -47,7 +48,8 @@
 
 fun JsonObject.longOrNull(name: String): Long? {
     val value = present(name) ?: return null
-    val primitive = (value as? JsonPrimitive)?.takeUnless { it.isString } ?: throw MalformedMessage("$name must be an integer")
+    val primitive =
+        (value as? JsonPrimitive)?.takeUnless { it.isString } ?: throw MalformedMessage("$name must be an integer")
     primitive.longOrNull?.let { return it }
     val number = primitive.doubleOrNull
     if (number == null || number != Math.rint(number) ||
@@ -81,6 +83,7 @@
 fun JsonElement.asText(): String =
     (this as? JsonPrimitive)?.takeIf { it.isString }?.content ?: throw MalformedMessage("a string was expected")
 
-fun JsonElement.asLong(): Long = (this as? JsonPrimitive)?.longOrNull ?: throw MalformedMessage("an integer was expected")
+fun JsonElement.asLong(): Long =
+    (this as? JsonPrimitive)?.longOrNull ?: throw MalformedMessage("an integer was expected")
 
 fun JsonElement.bytes(): ByteArray = toString().encodeToByteArray()
--- a/src/main/kotlin/micatally/worker/CommandDispatcher.kt
+++ b/src/main/kotlin/micatally/worker/CommandDispatcher.kt
@@ -6,16 +6,16 @@
 import micatally.http.HttpCaller
 import micatally.http.Outcome
 import micatally.job.Attempt
-import micatally.job.AttemptTermination
 import micatally.job.AttemptState
-import micatally.job.TerminationEvidence
-import micatally.job.StopReason
+import micatally.job.AttemptTermination
 import micatally.job.ShardState
+import micatally.job.StopReason
+import micatally.job.TerminationEvidence
 import micatally.membership.Membership
 import micatally.settings.Settings
 import micatally.wire.Command
-import micatally.wire.Heartbeat
 import micatally.wire.CommandType
+import micatally.wire.Heartbeat
 import micatally.wire.bytes
 import micatally.wire.commandRequest
 import micatally.wire.parseObject
@@ -238,7 +238,14 @@
         val incarnation = m.incarnation
         markSent(m, b.commands)
         m.needsStatus = false
-        val out = http.call(m.addr, "POST", "/orders", commandRequest(b.token, incarnation, b.commands).bytes(), answerMs)
+        val out =
+            http.call(
+                m.addr,
+                "POST",
+                "/orders",
+                commandRequest(b.token, incarnation, b.commands).bytes(),
+                answerMs,
+            )
         if (out is Outcome.Answer && (out.status == 200 || out.status == 409)) {
             m.failuresInRow = 0
             m.unreachableUntil = 0
@@ -309,7 +316,10 @@
                     m.needsStatus = true
                 } else {
                     killedAt.remove(a)
-                    attemptDirectory.terminate(a, AttemptTermination(TerminationEvidence.DIRECT_RESPONSE, "not on the machine"))
+                    attemptDirectory.terminate(
+                        a,
+                        AttemptTermination(TerminationEvidence.DIRECT_RESPONSE, "not on the machine"),
+                    )
                 }
             } else if (e.ended) {
                 killedAt.remove(a)
--- a/src/main/kotlin/micatally/worker/Machine.kt
+++ b/src/main/kotlin/micatally/worker/Machine.kt
@@ -1,8 +1,8 @@
 package micatally.worker
 
 import micatally.job.Attempt
-import micatally.wire.Resources
 import micatally.wire.ListedTask
+import micatally.wire.Resources
 
 /** One attempt's name on a machine. */
 data class AttemptId(
@@ -203,7 +203,13 @@
         freedAt = nowMs
         freedBy = null
         ownUsed =
-            if (attempts.isEmpty() && promises.isEmpty()) Resources.NONE else ownUsed - (a.job.spec?.resources ?: Resources.NONE)
+            if (attempts.isEmpty() &&
+                promises.isEmpty()
+            ) {
+                Resources.NONE
+            } else {
+                ownUsed - (a.job.spec?.resources ?: Resources.NONE)
+            }
         sum()
     }
 
@@ -213,7 +219,9 @@
         resources: Resources,
         nowMs: Long,
     ) {
-        val old = (if (resources == Resources.NONE) othersUsed.remove(host) else othersUsed.put(host, resources)) ?: Resources.NONE
+        val old =
+            (if (resources == Resources.NONE) othersUsed.remove(host) else othersUsed.put(host, resources))
+                ?: Resources.NONE
         if (!old.fitsIn(resources)) {
             freedAt = nowMs
             freedBy = host
--- a/src/main/kotlin/micatally/worker/MachineRegistry.kt
+++ b/src/main/kotlin/micatally/worker/MachineRegistry.kt
@@ -1,10 +1,10 @@
 package micatally.worker
 
-import micatally.wire.MachineType
+import micatally.wire.Heartbeat
 import micatally.wire.ListedTask
 import micatally.wire.MachineStatus
+import micatally.wire.MachineType
 import micatally.wire.TaskStatus
-import micatally.wire.Heartbeat
 
 /** All machines that this node knows of, by name. Knowledge is only as new as the newest (session, tick). */
 class MachineRegistry(
@@ -78,7 +78,21 @@
                     it.saved,
                 )
             }
-        return apply(m, n.incarnation, n.sequence, if (n.spotNoticeS < 0) null else n.spotNoticeS, tasks, false, n.ageMs)
+        return apply(
+            m,
+            n.incarnation,
+            n.sequence,
+            if (n.spotNoticeS <
+                0
+            ) {
+                null
+            } else {
+                n.spotNoticeS
+            },
+            tasks,
+            false,
+            n.ageMs,
+        )
     }
 
     private fun apply(
@@ -117,7 +131,9 @@
     fun heard(n: MachineStatus) {
         val m = known(n.machine, n.addr, n.type, n.zone, n.spot)
         m.heardAt = maxOf(m.heardAt, nowMs() - n.ageMs)
-        if (n.incarnation > m.incarnation || n.incarnation == m.incarnation && n.changedAtSequence > m.sequence) onMissedChange(m)
+        if (n.incarnation > m.incarnation || n.incarnation == m.incarnation && n.changedAtSequence > m.sequence) {
+            onMissedChange(m)
+        }
     }
 
     fun note(
@@ -146,9 +162,11 @@
     /** How long a machine type takes to boot, the longest if no type is named: how far ahead the fleet has to look, and how
      * long it may dwell. */
     fun bootMs(type: String?): Long =
-        ((machineTypes[type]?.readyS ?: machineTypes.values.maxOfOrNull { it.readyS } ?: 0.0) * 1000).toLong().coerceAtLeast(
-            MIN_BOOT_MS,
-        )
+        ((machineTypes[type]?.readyS ?: machineTypes.values.maxOfOrNull { it.readyS } ?: 0.0) * 1000)
+            .toLong()
+            .coerceAtLeast(
+                MIN_BOOT_MS,
+            )
 
     fun total(m: Machine) = machineTypes[m.type]?.resources
 
--- a/src/test/kotlin/micatally/compatibility/MessagesTest.kt
+++ b/src/test/kotlin/micatally/compatibility/MessagesTest.kt
@@ -12,6 +12,7 @@
 import kotlinx.serialization.json.JsonObject
 import kotlinx.serialization.protobuf.ProtoBuf
 import kotlinx.serialization.serializer
+import micatally.archive.ArchiveMode
 import micatally.cli.Loop
 import micatally.config.ConfigurationClient
 import micatally.config.ConfigurationPaths
@@ -24,7 +25,6 @@
 import micatally.http.Server
 import micatally.http.errorResponse
 import micatally.peer.Peers
-import micatally.archive.ArchiveMode
 import micatally.settings.Operator
 import micatally.settings.Settings
 import micatally.settings.SettingsError
@@ -35,23 +35,25 @@
 import micatally.state.Put
 import micatally.state.RateBudget
 import micatally.state.ReadResult
-import micatally.state.StateStoreClient
 import micatally.state.StateLimits
+import micatally.state.StateStoreClient
 import micatally.state.Transaction
 import micatally.state.TransactionResult
 import micatally.state.Urgency
-import micatally.wire.Resources
 import micatally.wire.AppliedVersion
+import micatally.wire.CancelledTask
+import micatally.wire.CancelledTaskList
+import micatally.wire.CapacitySummary
 import micatally.wire.ChangeAnswer
 import micatally.wire.ChangeStatus
 import micatally.wire.Command
+import micatally.wire.CommandType
 import micatally.wire.ConfigurationChange
 import micatally.wire.ConfigurationStatus
 import micatally.wire.ConfigurationView
-import micatally.wire.ResourceRequest
 import micatally.wire.ExitReason
-import micatally.wire.MachineType
 import micatally.wire.Format
+import micatally.wire.Heartbeat
 import micatally.wire.HeartbeatAcknowledgements
 import micatally.wire.HeldCapacity
 import micatally.wire.HistoryAnswer
@@ -62,25 +64,23 @@
 import micatally.wire.ListedMachine
 import micatally.wire.ListedTask
 import micatally.wire.MachineStatus
+import micatally.wire.MachineType
+import micatally.wire.MalformedMessage
+import micatally.wire.PeerDelta
 import micatally.wire.PeerDeltaResponse
-import micatally.wire.TaskStatus
-import micatally.wire.PeerJobResponse
 import micatally.wire.PeerJobRequest
-import micatally.wire.PeerDelta
+import micatally.wire.PeerJobResponse
 import micatally.wire.Priority
-import micatally.wire.Heartbeat
+import micatally.wire.ResourceRequest
+import micatally.wire.Resources
 import micatally.wire.RollbackRequest
-import micatally.wire.CapacitySummary
 import micatally.wire.StatusRequest
+import micatally.wire.TaskStatus
 import micatally.wire.TeamSetting
-import micatally.wire.CommandType
-import micatally.wire.MalformedMessage
-import micatally.wire.CancelledTask
-import micatally.wire.CancelledTaskList
 import micatally.wire.bytes
 import micatally.wire.commandRequest
-import micatally.wire.parseObject
 import micatally.wire.heartbeatResponse
+import micatally.wire.parseObject
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertNull
@@ -585,7 +585,10 @@
     fun `a transaction and its answers`() =
         runTest {
             assertEquals(432L, (transaction(answer(200, "state/applied.json")) as TransactionResult.Applied).revision)
-            assertEquals(setOf("a/b", "c/d"), (transaction(answer(409, "state/failed.json")) as TransactionResult.Failed).keys)
+            assertEquals(
+                setOf("a/b", "c/d"),
+                (transaction(answer(409, "state/failed.json")) as TransactionResult.Failed).keys,
+            )
             assertEquals(TransactionResult.NoSuchLease, transaction(answer(400, "state/no-lease.json")))
             assertEquals(TransactionResult.TooLarge, transaction(answer(400)))
             assertEquals(TransactionResult.Limited, transaction(answer(429)))
@@ -630,9 +633,33 @@
         MachineStatus("m-000231", "10.1.0.232:9000", "g8", "a", true, 3, 88, 25.5, noteTasks, 1500, 77)
     private val room = HeldCapacity("m-000231", 2.5, 1.0, 6.5, listOf("img-07", "img-08"), listOf(6.2, 3.5))
     private val demand =
-        ResourceRequest(2.5, 1.0, 6.5, listOf("g8"), listOf("a", "b"), true, 12, 2, true, 240.5, "img-07", listOf(4, 5), true)
+        ResourceRequest(
+            2.5,
+            1.0,
+            6.5,
+            listOf("g8"),
+            listOf("a", "b"),
+            true,
+            12,
+            2,
+            true,
+            240.5,
+            "img-07",
+            listOf(4, 5),
+            true,
+        )
     private val summary =
-        CapacitySummary("pitbox-1", "p-9", 17, listOf(room), listOf(demand), 16, 2, 5, listOf(ResourceRequest(1.5, 2.5, 3.5)))
+        CapacitySummary(
+            "pitbox-1",
+            "p-9",
+            17,
+            listOf(room),
+            listOf(demand),
+            16,
+            2,
+            5,
+            listOf(ResourceRequest(1.5, 2.5, 3.5)),
+        )
     private val allNews =
         PeerDelta(listOf(note), summary, listOf("m-1", "m-2"), listOf(note), true, "pitbox-1")
     private val cancelled = CancelledTask("m-000231", "j-000412", 3, 2)
--- a/src/test/kotlin/micatally/compatibility/StoredValuesTest.kt
+++ b/src/test/kotlin/micatally/compatibility/StoredValuesTest.kt
@@ -7,35 +7,35 @@
 import kotlinx.serialization.json.JsonArray
 import kotlinx.serialization.json.JsonObject
 import kotlinx.serialization.protobuf.ProtoBuf
+import micatally.archive.ArchivePlan
 import micatally.config.ChangeCodec
 import micatally.config.Configuration
+import micatally.emulator.StateStoreEmulator
 import micatally.fleet.ProvisioningRequest
 import micatally.http.HttpCaller
 import micatally.http.HttpRequest
 import micatally.http.Outcome
 import micatally.job.Attempt
 import micatally.job.AttemptState
+import micatally.job.CancelledTasksValue
 import micatally.job.Job
 import micatally.job.JobRecord
-import micatally.job.JobState
-import micatally.job.CancelledTasksValue
-import micatally.membership.SharedKeyCache
-import micatally.membership.ShardLeader
-import micatally.membership.Keys
 import micatally.job.JobShard
+import micatally.job.JobState
 import micatally.job.ShardState
+import micatally.membership.Keys
+import micatally.membership.ShardLeader
+import micatally.membership.SharedKeyCache
 import micatally.peer.SummaryPieces
 import micatally.quota.TeamAllotments
-import micatally.archive.ArchivePlan
-import micatally.emulator.StateStoreEmulator
 import micatally.state.KeyValue
 import micatally.state.Listing
 import micatally.state.RateBudget
 import micatally.state.StateStoreClient
 import micatally.upgrade.UpgradePlan
-import micatally.wire.MachineType
-import micatally.wire.HeartbeatAcknowledgements
 import micatally.wire.CapacitySummary
+import micatally.wire.HeartbeatAcknowledgements
+import micatally.wire.MachineType
 import micatally.wire.parseObject
 import micatally.wire.text
 import micatally.worker.Machine
@@ -132,7 +132,10 @@
         val record = stored.value
         val (process, fencingToken) = JobRecord.termOf(record).split(':')
         val name = JobRecord.shardOf(record)
-        val shard = JobShard(name, ShardLeader(name, process, fencingToken.toLong(), 1)).also { it.transitionTo(ShardState.ACTIVE) }
+        val shard =
+            JobShard(name, ShardLeader(name, process, fencingToken.toLong(), 1)).also {
+                it.transitionTo(ShardState.ACTIVE)
+            }
         val job = JobRecord.decode(stored.key.substringAfter('/'), record, shard, 1)
         val machines = HashMap<String, Machine>()
         for (p in JobRecord.placed(record)) {
@@ -172,10 +175,13 @@
 
     @Test
     fun `epoch, ledgers, live keys and the fleet's holder`() {
-        for (fencingToken in stored("c-epoch")) assertEquals(fencingToken.text, "{\"n\":${sharedKeys(listOf(fencingToken)).fencingToken}}")
+        for (fencingToken in stored("c-epoch")) {
+            assertEquals(fencingToken.text, "{\"n\":${sharedKeys(listOf(fencingToken)).fencingToken}}")
+        }
         for (shard in stored("c-ledger")) {
             val leader = sharedKeys(listOf(shard)).leader(shard.key.removePrefix("c/ledger/"))!!
-            val text = "{\"host\":\"${leader.host}\",\"process\":\"${leader.process}\",\"epoch\":${leader.fencingToken}}"
+            val token = leader.fencingToken
+            val text = "{\"host\":\"${leader.host}\",\"process\":\"${leader.process}\",\"epoch\":$token}"
             assertEquals(shard.text, text)
         }
         for (live in stored("c-live")) {
--- a/src/test/kotlin/micatally/fleet/ScaleOutPlanTest.kt
+++ b/src/test/kotlin/micatally/fleet/ScaleOutPlanTest.kt
@@ -1,8 +1,8 @@
 package micatally.fleet
 
-import micatally.wire.Resources
-import micatally.wire.ResourceRequest
 import micatally.wire.MachineType
+import micatally.wire.ResourceRequest
+import micatally.wire.Resources
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -10,7 +10,8 @@
 class ScaleOutPlanTest {
     private val small = MachineType("small", Resources(8.0, 0.0, 32.0), 40.0, 0.1, 0.62, 0.2, 30.0, listOf("a"))
     private val large = MachineType("large", Resources(32.0, 0.0, 64.0), 70.0, 0.1, 2.01, 0.5, 15.0, listOf("a", "b"))
-    private val gpus = MachineType("cards", Resources(96.0, 8.0, 768.0), 400.0, 1.7, 27.0, 7.0, 30.0, listOf("a", "b", "c"))
+    private val gpus =
+        MachineType("cards", Resources(96.0, 8.0, 768.0), 400.0, 1.7, 27.0, 7.0, 30.0, listOf("a", "b", "c"))
 
     private fun gateway(
         count: Int,
--- a/src/test/kotlin/micatally/upgrade/FormatTest.kt
+++ b/src/test/kotlin/micatally/upgrade/FormatTest.kt
@@ -11,20 +11,20 @@
 import micatally.job.AttemptState
 import micatally.job.Job
 import micatally.job.JobRecord
-import micatally.membership.SharedKeyCache
-import micatally.membership.ShardLeader
-import micatally.membership.Keys
 import micatally.job.JobShard
 import micatally.job.ShardState
+import micatally.membership.Keys
+import micatally.membership.ShardLeader
+import micatally.membership.SharedKeyCache
 import micatally.state.KeyValue
 import micatally.state.Listing
+import micatally.wire.CancelledTaskList
+import micatally.wire.CapacitySummary
 import micatally.wire.HeartbeatAcknowledgements
+import micatally.wire.PeerDelta
 import micatally.wire.PeerDeltaResponse
-import micatally.wire.PeerJobResponse
 import micatally.wire.PeerJobRequest
-import micatally.wire.PeerDelta
-import micatally.wire.CapacitySummary
-import micatally.wire.CancelledTaskList
+import micatally.wire.PeerJobResponse
 import micatally.worker.Machine
 import org.junit.jupiter.api.Assertions.assertArrayEquals
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -49,7 +49,10 @@
     private fun shardOf(record: JsonObject): JobShard {
         val (process, fencingToken) = JobRecord.termOf(record).split(':')
         val name = JobRecord.shardOf(record)
-        return JobShard(name, ShardLeader(name, process, fencingToken.toLong(), 1)).also { it.transitionTo(ShardState.ACTIVE) }
+        return JobShard(
+            name,
+            ShardLeader(name, process, fencingToken.toLong(), 1),
+        ).also { it.transitionTo(ShardState.ACTIVE) }
     }
 
     private fun decoded(
@@ -146,7 +149,11 @@
         )
         for ((key, value) in under(Keys.CAPACITY)) {
             val room = Base64.getDecoder().decode((value.getValue("b") as JsonPrimitive).content)
-            assertArrayEquals(room, ProtoBuf.encodeToByteArray(ProtoBuf.decodeFromByteArray<CapacitySummary>(room)), key)
+            assertArrayEquals(
+                room,
+                ProtoBuf.encodeToByteArray(ProtoBuf.decodeFromByteArray<CapacitySummary>(room)),
+                key,
+            )
         }
     }
 
