--- a/src/main/kotlin/micatally/api/WorkerApi.kt
+++ b/src/main/kotlin/micatally/api/WorkerApi.kt
@@ -44,7 +44,7 @@
         val m = machines.of(report.machine)
         val before = m?.tasks
         val news = machines.apply(report, false)
-        val known = machines.known(report.machine, report.addr, report.type, report.zone, report.spot)
+        val known = machines.known(report.machine, report.addr, report.type, report.zone, report.isSpot)
         if (news && (before == null || differs(before, report))) peers.tell(known)
         // The node does not know the fencing token that the worker knows: it may have been replaced without having heard.
         if (report.token > membership.sharedKeys.fencingToken) {
--- a/src/main/kotlin/micatally/emulator/CloudEmulator.kt
+++ b/src/main/kotlin/micatally/emulator/CloudEmulator.kt
@@ -32,7 +32,7 @@
         val name: String,
         val type: String,
         val zone: String,
-        val spot: Boolean,
+        val isSpot: Boolean,
         val at: Long,
     ) {
         var worker: WorkerEmulator? = null
@@ -106,7 +106,7 @@
                 delay(bootMs(f))
                 if (c.removedAt != null) return@launch
                 c.upAt = nowMs()
-                c.worker = boot(name, f, c.zone, c.spot).also { it.start() }
+                c.worker = boot(name, f, c.zone, c.isSpot).also { it.start() }
             }
         }
         answered[booking] = names
@@ -117,14 +117,14 @@
     suspend fun addRunning(
         flavor: MachineType,
         zone: String,
-        spot: Boolean,
+        isSpot: Boolean,
         count: Int,
     ) {
         repeat(count) {
-            val car = Car("m-%06d".format(next++), flavor.label, zone, spot, nowMs())
+            val car = Car("m-%06d".format(next++), flavor.label, zone, isSpot, nowMs())
             cars[car.name] = car
             car.upAt = nowMs()
-            car.worker = boot(car.name, flavor, zone, spot).also { it.start() }
+            car.worker = boot(car.name, flavor, zone, isSpot).also { it.start() }
         }
     }
 
@@ -135,7 +135,7 @@
         if (c.removedAt != null) return
         c.removedAt = nowMs()
         c.worker?.stop()
-        capacity.merge(Triple(c.type, c.zone, c.spot), 1, Int::plus)
+        capacity.merge(Triple(c.type, c.zone, c.isSpot), 1, Int::plus)
     }
 
     /** No more machines of this type are to be had. */
@@ -161,7 +161,7 @@
                                 put("addr", c.worker?.addr ?: "")
                                 put("rig", c.type)
                                 put("circuit", c.zone)
-                                put("loaners", c.spot)
+                                put("loaners", c.isSpot)
                                 put(
                                     "status",
                                     if ((c.upAt ?: Long.MAX_VALUE) <=
--- a/src/main/kotlin/micatally/emulator/LoopbackFleet.kt
+++ b/src/main/kotlin/micatally/emulator/LoopbackFleet.kt
@@ -92,7 +92,7 @@
             capacity(),
             plan.listLagMs,
             workerLoop::nowMs,
-            { name, flavor, zone, spot -> worker(name, flavor, zone, spot) },
+            { name, flavor, zone, isSpot -> worker(name, flavor, zone, isSpot) },
         ).also { it.bootMs = { _ -> plan.bootMs } }
     val state = StateStoreEmulator(plan.stateLimits, stateLoop::nowMs)
     val cloudAddr = "127.0.0.1:" + serve(workerLoop, MessageObserver.Interface.CLOUD) { cloud.handle(it) }.port
@@ -111,7 +111,7 @@
         val capacity = HashMap<Triple<String, String, Boolean>, Int>()
         for (zone in plan.zones) {
             for (flavor in plan.machineTypes) {
-                for (spot in listOf(true, false)) capacity[Triple(flavor.label, zone, spot)] = plan.machinesOfEachKind
+                for (isSpot in listOf(true, false)) capacity[Triple(flavor.label, zone, isSpot)] = plan.machinesOfEachKind
             }
         }
         return capacity
@@ -150,7 +150,7 @@
         name: String,
         flavor: MachineType,
         zone: String,
-        spot: Boolean,
+        isSpot: Boolean,
     ): WorkerEmulator {
         lateinit var worker: WorkerEmulator
         val addr = "127.0.0.1:" + serve(workerLoop, MessageObserver.Interface.ORDER) { worker.handle(it) }.port
@@ -164,7 +164,7 @@
                 addr,
                 flavor.label,
                 zone,
-                spot,
+                isSpot,
                 flavor.resources,
                 flavor.pullGbPerS,
                 plan.heartbeatIntervalMs,
--- a/src/main/kotlin/micatally/emulator/RuleChecker.kt
+++ b/src/main/kotlin/micatally/emulator/RuleChecker.kt
@@ -19,7 +19,7 @@
     val machine: String,
     val type: String,
     val zone: String,
-    val spot: Boolean,
+    val isSpot: Boolean,
 )
 
 /** The protocol's rules, checked from outside: by what machines do and what users are told. */
@@ -102,7 +102,7 @@
             }.let { if (it.isNotEmpty()) throw RuleViolation("ran_twice", "$t while on ${it.first().machine}") }
         val spec = specs[t.jobId] ?: throw RuleViolation("invented", "$t of a job that nobody submitted")
         if (spec.types != null && t.type !in spec.types || spec.zone != null && spec.zone != t.zone ||
-            t.spot && !spec.spot
+            t.isSpot && !spec.isSpot
         ) {
             throw RuleViolation("wrong_place", "$t")
         }
--- a/src/main/kotlin/micatally/emulator/WorkerEmulator.kt
+++ b/src/main/kotlin/micatally/emulator/WorkerEmulator.kt
@@ -75,7 +75,7 @@
     val addr: String,
     val type: String,
     val zone: String,
-    val spot: Boolean,
+    val isSpot: Boolean,
     private val total: Resources,
     private val pullGbPerS: Double,
     private val heartbeatIntervalMs: Long,
@@ -213,7 +213,7 @@
             put("addr", addr)
             put("rig", type)
             put("circuit", zone)
-            put("loaners", spot)
+            put("loaners", isSpot)
             put("stint", incarnation)
             put("tick", ++sequence)
             put("baton", token)
--- a/src/main/kotlin/micatally/fleet/CloudClient.kt
+++ b/src/main/kotlin/micatally/fleet/CloudClient.kt
@@ -59,7 +59,7 @@
         request: String,
         type: String,
         zone: String,
-        spot: Boolean,
+        isSpot: Boolean,
         count: Int,
     ): ProvisioningResult {
         val body =
@@ -67,7 +67,7 @@
                 put("booking", request)
                 put("rig", type)
                 put("circuit", zone)
-                put("loaners", spot)
+                put("loaners", isSpot)
                 put("count", count)
             }
         return when (val out = send("POST", "/machines", body, Urgency.ACCEPTANCE)) {
--- a/src/main/kotlin/micatally/fleet/FleetManager.kt
+++ b/src/main/kotlin/micatally/fleet/FleetManager.kt
@@ -167,7 +167,7 @@
             ListedMachine.STARTING -> instances.listed(line, now)
             ListedMachine.RUNNING -> {
                 instances.listed(line, now)
-                machines.known(line.name, line.addr, line.type, line.zone, line.spot)
+                machines.known(line.name, line.addr, line.type, line.zone, line.isSpot)
             }
             else ->
                 if (unknownStates.add(line.status)) {
@@ -193,7 +193,7 @@
     private fun followRentals(now: Long) {
         for (m in machines.byName.values) {
             if (!m.deleted && m.incarnation != 0L) {
-                instances.reports(m.name, Offer(m.type, m.zone, m.spot), m.firstHeardAt)
+                instances.reports(m.name, Offer(m.type, m.zone, m.isSpot), m.firstHeardAt)
             }
         }
         instances.removeAll(machines.deletedNames)
--- a/src/main/kotlin/micatally/fleet/GracefulEviction.kt
+++ b/src/main/kotlin/micatally/fleet/GracefulEviction.kt
@@ -130,7 +130,7 @@
     ): Boolean {
         val isType = d.types.isEmpty() || m.type in d.types
         val isZone = d.zones.isEmpty() || m.zone in d.zones
-        return isType && isZone && (!m.spot || d.spot)
+        return isType && isZone && (!m.isSpot || d.isSpot)
     }
 
     private fun emptySome(now: Long) {
--- a/src/main/kotlin/micatally/fleet/ProvisionedInstances.kt
+++ b/src/main/kotlin/micatally/fleet/ProvisionedInstances.kt
@@ -53,7 +53,7 @@
         val instance =
             byName.getOrPut(
                 line.name,
-            ) { ProvisionedInstance(line.name, Offer(line.type, line.zone, line.spot), provisionedAtMs) }
+            ) { ProvisionedInstance(line.name, Offer(line.type, line.zone, line.isSpot), provisionedAtMs) }
         instance.provisionedAtMs = minOf(instance.provisionedAtMs, provisionedAtMs)
         if (line.status == ListedMachine.RUNNING) instance.cameUp()
     }
--- a/src/main/kotlin/micatally/fleet/ProvisioningRequest.kt
+++ b/src/main/kotlin/micatally/fleet/ProvisioningRequest.kt
@@ -29,7 +29,7 @@
         buildJsonObject {
             put(TYPE, offer.type)
             put(ZONE, offer.zone)
-            put(SPOT, offer.spot)
+            put(SPOT, offer.isSpot)
             put(COUNT, count)
             if (machines.isNotEmpty()) put(MACHINES, JsonArray(machines.map { JsonPrimitive(it) }))
         }
--- a/src/main/kotlin/micatally/fleet/ScaleOut.kt
+++ b/src/main/kotlin/micatally/fleet/ScaleOut.kt
@@ -73,7 +73,7 @@
         val coming =
             instances.coming(now).mapNotNullTo(ArrayList()) { instance ->
                 machines.machineTypes[instance.offer.type]?.let { type ->
-                    ScaleOutPlan.Room(instance.offer.type, instance.offer.zone, instance.offer.spot, type.resources)
+                    ScaleOutPlan.Room(instance.offer.type, instance.offer.zone, instance.offer.isSpot, type.resources)
                 }
             }
         val market = Market({ (refusedUntil[it] ?: 0L) > now }, { instances.bootTimes.slowness(it) })
@@ -118,13 +118,13 @@
         val at = nowMs()
         var isUnclear = false
         while (true) {
-            when (val result = cloud.rent(request.name, offer.type, offer.zone, offer.spot, request.count)) {
+            when (val result = cloud.rent(request.name, offer.type, offer.zone, offer.isSpot, request.count)) {
                 is ProvisioningResult.Provisioned -> {
                     provisioned(request, result.names, at)
                     return
                 }
                 ProvisioningResult.NoCapacity -> {
-                    log.info("no capacity for {} in {} spot={}", offer.type, offer.zone, offer.spot)
+                    log.info("no capacity for {} in {} spot={}", offer.type, offer.zone, offer.isSpot)
                     refuse(offer)
                     break
                 }
@@ -153,7 +153,7 @@
             request.count,
             offer.type,
             offer.zone,
-            offer.spot,
+            offer.isSpot,
             names,
         )
         instances.provisioned(names.filter { it !in machines.deletedNames }, offer, at)
--- a/src/main/kotlin/micatally/fleet/ScaleOutPlan.kt
+++ b/src/main/kotlin/micatally/fleet/ScaleOutPlan.kt
@@ -8,7 +8,7 @@
 data class Offer(
     val type: String,
     val zone: String,
-    val spot: Boolean,
+    val isSpot: Boolean,
 )
 
 /**
@@ -27,7 +27,7 @@
     class Room(
         val type: String,
         val zone: String,
-        val spot: Boolean,
+        val isSpot: Boolean,
         var free: Resources,
     )
 
@@ -35,8 +35,8 @@
         d: ResourceRequest,
         type: String,
         zone: String,
-        spot: Boolean,
-    ) = (d.types.isEmpty() || type in d.types) && (d.zones.isEmpty() || zone in d.zones) && (!spot || d.spot)
+        isSpot: Boolean,
+    ) = (d.types.isEmpty() || type in d.types) && (d.zones.isEmpty() || zone in d.zones) && (!isSpot || d.isSpot)
 
     /** What tasks without cards may use of a room: not the cores that the cards in it will need. */
     private fun open(
@@ -73,10 +73,10 @@
     private data class Shape(
         val task: Resources,
         val types: List<String>,
-        val spot: Boolean,
+        val isSpot: Boolean,
     )
 
-    private fun shape(d: ResourceRequest) = Shape(Resources(d.cores, d.gpus, d.memoryGb), d.types, d.spot)
+    private fun shape(d: ResourceRequest) = Shape(Resources(d.cores, d.gpus, d.memoryGb), d.types, d.isSpot)
 
     /** Fills the rooms that are coming first, then picks offers for the rest, by the cost of what each would carry.
      * [coming] is changed. */
@@ -103,7 +103,7 @@
             fun roomIn(zone: String) = zoneRoom == null || (zoneRoom[zone] ?: 0) > 0
 
             fun fill(r: Room) {
-                if (!allowed(d, r.type, r.zone, r.spot)) return
+                if (!allowed(d, r.type, r.zone, r.isSpot)) return
                 val machine = amounts[r.type] ?: return
                 while (left > 0 && roomIn(r.zone) &&
                     task.fitsIn(if (keepsCores) open(task, r.free, machine) else r.free)
@@ -124,12 +124,12 @@
                     val n = perMachine(task, f.resources, keepsCores)
                     if (n == 0) continue
                     for (z in f.zones) {
-                        for (spot in if (d.spot) listOf(true, false) else listOf(false)) {
-                            val o = Offer(f.label, z, spot)
-                            if (!allowed(d, f.label, z, spot) || market.isRefused(o) || !roomIn(z)) continue
+                        for (isSpot in if (d.isSpot) listOf(true, false) else listOf(false)) {
+                            val o = Offer(f.label, z, isSpot)
+                            if (!allowed(d, f.label, z, isSpot) || market.isRefused(o) || !roomIn(z)) continue
                             val many = maxOf(left, bulk[shape(d)] ?: 0)
                             val cost =
-                                f.price(spot) * Math.ceil(many.toDouble() / n) / many *
+                                f.price(isSpot) * Math.ceil(many.toDouble() / n) / many *
                                     (1 + (perZone["${f.label}/$z"] ?: 0) * ZONE_BALANCE) *
                                     (1 + (market.slowness(o) - 1) * SLOWNESS_WEIGHT)
                             if (cost < bestCost) {
@@ -141,7 +141,7 @@
                 }
                 val o = best ?: break
                 val f = machineTypes.first { it.label == o.type }
-                val room = Room(o.type, o.zone, o.spot, f.resources)
+                val room = Room(o.type, o.zone, o.isSpot, f.resources)
                 out.merge(o, 1, Int::plus)
                 perZone.merge("${o.type}/${o.zone}", 1, Int::plus)
                 coming.add(room)
--- a/src/main/kotlin/micatally/job/JobRecord.kt
+++ b/src/main/kotlin/micatally/job/JobRecord.kt
@@ -75,7 +75,7 @@
                                     add(JsonPrimitive(m.addr))
                                     add(JsonPrimitive(m.type))
                                     add(JsonPrimitive(m.zone))
-                                    add(JsonPrimitive(if (m.spot) 1 else 0))
+                                    add(JsonPrimitive(if (m.isSpot) 1 else 0))
                                     for (a in list) {
                                         add(JsonPrimitive(a.taskIndex))
                                         add(JsonPrimitive(a.number))
@@ -119,7 +119,7 @@
         val addr: String,
         val type: String,
         val zone: String,
-        val spot: Boolean,
+        val isSpot: Boolean,
         val taskIndex: Int,
         val number: Long,
     )
--- a/src/main/kotlin/micatally/scale/RunHistory.kt
+++ b/src/main/kotlin/micatally/scale/RunHistory.kt
@@ -203,7 +203,7 @@
         machine: WorkerEmulator,
         jobId: String,
         taskIndex: Int,
-    ) = OnMachine(jobId, taskIndex, machine.name, machine.type, machine.zone, machine.spot)
+    ) = OnMachine(jobId, taskIndex, machine.name, machine.type, machine.zone, machine.isSpot)
 
     private companion object {
         const val ACCEPTED = 201
--- a/src/main/kotlin/micatally/scheduling/ClusterView.kt
+++ b/src/main/kotlin/micatally/scheduling/ClusterView.kt
@@ -106,7 +106,7 @@
     ): Boolean {
         val isType = demand.types.isEmpty() || m.type in demand.types
         val isZone = demand.zones.isEmpty() || m.zone in demand.zones
-        return isType && isZone && (!m.spot || demand.spot)
+        return isType && isZone && (!m.isSpot || demand.isSpot)
     }
 
     private companion object {
--- a/src/main/kotlin/micatally/scheduling/Placement.kt
+++ b/src/main/kotlin/micatally/scheduling/Placement.kt
@@ -70,7 +70,7 @@
             spec.resources.memoryGb,
             spec.types?.toList() ?: emptyList(),
             zones,
-            spec.spot,
+            spec.isSpot,
             count,
             spec.priority.ordinal,
             spec.isService,
@@ -84,7 +84,7 @@
     fun kindAllowed(
         spec: JobSpec,
         m: Machine,
-    ) = (!m.spot || spec.spot) && (spec.types == null || m.type in spec.types)
+    ) = (!m.isSpot || spec.isSpot) && (spec.types == null || m.type in spec.types)
 
     /** How long the image will take, by the type's nominal rate; nothing if the machine has it, and part of it if a
      * task of this node waits for it there already. */
@@ -126,7 +126,7 @@
             val perCard = f.resources.cores / f.resources.gpus * CORES_KEPT
             if (left.cores < left.gpus * perCard) s += STARVES_CARDS
         }
-        if (m.spot && spec.spot) s -= SPOT_BONUS
+        if (m.isSpot && spec.isSpot) s -= SPOT_BONUS
         return s
     }
 
--- a/src/main/kotlin/micatally/scheduling/Scheduler.kt
+++ b/src/main/kotlin/micatally/scheduling/Scheduler.kt
@@ -72,7 +72,7 @@
         val resources: Resources,
         val types: Set<String>?,
         val zones: List<String>,
-        val spot: Boolean,
+        val isSpot: Boolean,
         val service: Boolean,
         val priority: Int,
     )
@@ -89,7 +89,7 @@
         settings.zones.filter {
             rule.allows(it)
         },
-        spec.spot,
+        spec.isSpot,
         spec.isService,
         spec.priority.ordinal,
     )
--- a/src/main/kotlin/micatally/wire/CloudMessages.kt
+++ b/src/main/kotlin/micatally/wire/CloudMessages.kt
@@ -13,7 +13,7 @@
     val readyS: Double,
     val zones: List<String>,
 ) {
-    fun price(spot: Boolean) = if (spot) spotHourly else hourly
+    fun price(isSpot: Boolean) = if (isSpot) spotHourly else hourly
 
     companion object {
         fun parseAll(o: JsonObject): List<MachineType> =
@@ -39,7 +39,7 @@
     val addr: String,
     val type: String,
     val zone: String,
-    val spot: Boolean,
+    val isSpot: Boolean,
     val status: String,
     val ageS: Double,
 ) {
--- a/src/main/kotlin/micatally/wire/JobMessages.kt
+++ b/src/main/kotlin/micatally/wire/JobMessages.kt
@@ -74,7 +74,7 @@
     val zone: String?,
     val together: Boolean,
     val scatter: Boolean,
-    val spot: Boolean,
+    val isSpot: Boolean,
     val estimateS: Double,
     val checkpointS: Double,
     val saveS: Double,
--- a/src/main/kotlin/micatally/wire/WorkerMessages.kt
+++ b/src/main/kotlin/micatally/wire/WorkerMessages.kt
@@ -61,7 +61,7 @@
     val addr: String,
     val type: String,
     val zone: String,
-    val spot: Boolean,
+    val isSpot: Boolean,
     val incarnation: Long,
     val sequence: Long,
     val token: Long,
--- a/src/main/kotlin/micatally/worker/Machine.kt
+++ b/src/main/kotlin/micatally/worker/Machine.kt
@@ -17,7 +17,7 @@
     addr: String,
     type: String,
     zone: String,
-    spot: Boolean,
+    isSpot: Boolean,
 ) {
     var addr = addr
         private set
@@ -25,7 +25,7 @@
         private set
     var zone = zone
         private set
-    var spot = spot
+    var isSpot = isSpot
         private set
 
     /** What a name alone could not tell. */
@@ -33,13 +33,13 @@
         addr: String,
         type: String,
         zone: String,
-        spot: Boolean,
+        isSpot: Boolean,
     ) {
         if (this.addr.isEmpty() && addr.isNotEmpty()) this.addr = addr
         if (this.type.isNotEmpty() || type.isEmpty()) return
         this.type = type
         this.zone = zone
-        this.spot = spot
+        this.isSpot = isSpot
     }
 
     var incarnation = 0L
--- a/src/main/kotlin/micatally/worker/MachineRegistry.kt
+++ b/src/main/kotlin/micatally/worker/MachineRegistry.kt
@@ -38,24 +38,24 @@
         addr: String,
         type: String,
         zone: String,
-        spot: Boolean,
+        isSpot: Boolean,
     ): Machine =
         byName
             .getOrPut(name) {
-                Machine(name, addr, type, zone, spot).also {
+                Machine(name, addr, type, zone, isSpot).also {
                     it.deleted = name in deletedNames
                     it.busyAt =
                         nowMs()
                     onNew(it)
                 }
-            }.also { it.describe(addr, type, zone, spot) }
+            }.also { it.describe(addr, type, zone, isSpot) }
 
     /** A report from the worker itself; [ownAnswer] when it is the answer to an order of ours. True if it was news. */
     fun apply(
         r: Heartbeat,
         ownAnswer: Boolean,
     ): Boolean {
-        val m = known(r.machine, r.addr, r.type, r.zone, r.spot)
+        val m = known(r.machine, r.addr, r.type, r.zone, r.isSpot)
         // Copies of old reports come late and show nothing.
         return apply(m, r.incarnation, r.sequence, r.spotNoticeS, r.tasks, ownAnswer, 0).also { if (it) reached(m) }
     }
@@ -66,7 +66,7 @@
     }
 
     fun apply(n: MachineStatus): Boolean {
-        val m = known(n.machine, n.addr, n.type, n.zone, n.spot)
+        val m = known(n.machine, n.addr, n.type, n.zone, n.isSpot)
         val tasks =
             n.tasks.map {
                 ListedTask(
@@ -129,7 +129,7 @@
 
     /** Another node hears this machine, without its task list being known here; it may say that there is a newer one. */
     fun heard(n: MachineStatus) {
-        val m = known(n.machine, n.addr, n.type, n.zone, n.spot)
+        val m = known(n.machine, n.addr, n.type, n.zone, n.isSpot)
         m.heardAt = maxOf(m.heardAt, nowMs() - n.ageMs)
         if (n.incarnation > m.incarnation || n.incarnation == m.incarnation && n.changedAtSequence > m.sequence) {
             onMissedChange(m)
@@ -144,7 +144,7 @@
         m.addr,
         m.type,
         m.zone,
-        m.spot,
+        m.isSpot,
         m.incarnation,
         m.sequence,
         m.spotNoticeAt?.let { maxOf(0L, it - nowMs()) / 1000.0 } ?: -1.0,
--- a/src/test/kotlin/micatally/compatibility/MessagesTest.kt
+++ b/src/test/kotlin/micatally/compatibility/MessagesTest.kt
@@ -150,7 +150,7 @@
         assertEquals(6.2, spec.imageGb)
         assertEquals(setOf("g8", "small"), spec.types)
         assertEquals("a", spec.zone)
-        assertEquals(listOf(true, false, true), listOf(spec.together, spec.scatter, spec.spot))
+        assertEquals(listOf(true, false, true), listOf(spec.together, spec.scatter, spec.isSpot))
         assertEquals(listOf(240.0, 30.0, 4.0), listOf(spec.estimateS, spec.checkpointS, spec.saveS))
         assertEquals(900.0, spec.deadlineS)
         assertEquals(text("users/submit.json"), spec.source.toString())
@@ -312,7 +312,7 @@
         assertEquals("10.1.0.232:9000", report.addr)
         assertEquals("g8", report.type)
         assertEquals("a", report.zone)
-        assertTrue(report.spot)
+        assertTrue(report.isSpot)
         assertEquals(listOf(3L, 88L, 41L), listOf(report.incarnation, report.sequence, report.token))
         assertEquals(25.5, report.spotNoticeS)
         val expected =
@@ -471,7 +471,7 @@
                     listOf("m-000232", "", "small", "b", false, "starting", 2.0),
                     listOf("m-000233", "10.1.0.234:9000", "g8", "c", false, "failed", 7.25),
                 ),
-                machines.map { listOf(it.name, it.addr, it.type, it.zone, it.spot, it.status, it.ageS) },
+                machines.map { listOf(it.name, it.addr, it.type, it.zone, it.isSpot, it.status, it.ageS) },
             )
             assertEquals(
                 listOf("starting", "running", "failed"),
@@ -667,7 +667,7 @@
     private fun assertNote(read: MachineStatus) {
         assertEquals(listOf("m-000231", "10.1.0.232:9000", "g8"), listOf(read.machine, read.addr, read.type))
         assertEquals("a", read.zone)
-        assertTrue(read.spot)
+        assertTrue(read.isSpot)
         assertEquals(listOf(3L, 88L), listOf(read.incarnation, read.sequence))
         assertEquals(25.5, read.spotNoticeS)
         assertEquals(listOf(1500L, 77L), listOf(read.ageMs, read.changedAtSequence))
@@ -684,7 +684,7 @@
         assertEquals(listOf(2.5, 1.0, 6.5), listOf(read.cores, read.gpus, read.memoryGb))
         assertEquals(listOf("g8"), read.types)
         assertEquals(listOf("a", "b"), read.zones)
-        assertEquals(listOf(true, true, true), listOf(read.spot, read.service, read.isGang))
+        assertEquals(listOf(true, true, true), listOf(read.isSpot, read.service, read.isGang))
         assertEquals(listOf(12, 2), listOf(read.count, read.priority))
         assertEquals(240.5, read.estimateS)
         assertEquals("img-07", read.image)
@@ -750,7 +750,7 @@
         kept("peers/empty.hex", StatusRequest())
         assertTrue(kept("peers/empty.hex", HistoryAnswer()).isAvailable)
         val demand = kept("peers/demand-least.hex", ResourceRequest(1.5, 2.5, 3.5))
-        assertEquals(listOf(false, 1, 0, false), listOf(demand.spot, demand.count, demand.priority, demand.service))
+        assertEquals(listOf(false, 1, 0, false), listOf(demand.isSpot, demand.count, demand.priority, demand.service))
     }
 
     private fun SimFleet.expectPeer(
--- a/src/test/kotlin/micatally/compatibility/StoredValuesTest.kt
+++ b/src/test/kotlin/micatally/compatibility/StoredValuesTest.kt
@@ -139,7 +139,7 @@
         val job = JobRecord.decode(stored.key.substringAfter('/'), record, shard, 1)
         val machines = HashMap<String, Machine>()
         for (p in JobRecord.placed(record)) {
-            val machine = machines.getOrPut(p.machine) { Machine(p.machine, p.addr, p.type, p.zone, p.spot) }
+            val machine = machines.getOrPut(p.machine) { Machine(p.machine, p.addr, p.type, p.zone, p.isSpot) }
             job.attempts[p.taskIndex] =
                 Attempt(job, p.taskIndex, p.number, machine, p.incarnation, job.service, AttemptState.DISPATCHED)
         }
--- a/src/test/kotlin/micatally/sim/GangTest.kt
+++ b/src/test/kotlin/micatally/sim/GangTest.kt
@@ -389,7 +389,7 @@
                     .machine
             val listed = m.tasks + ListedTask(jobId, pending, 500, ListedTask.ENDED, ExitReason.DONE.word, false)
             machines.apply(
-                Heartbeat(m.name, m.addr, m.type, m.zone, m.spot, m.incarnation, m.sequence + 1, 0, null, listed),
+                Heartbeat(m.name, m.addr, m.type, m.zone, m.isSpot, m.incarnation, m.sequence + 1, 0, null, listed),
                 false,
             )
             assertTrue(job.done[pending])
--- a/src/test/kotlin/micatally/sim/RulesTest.kt
+++ b/src/test/kotlin/micatally/sim/RulesTest.kt
@@ -24,8 +24,8 @@
         taskIndex: Int,
         machine: String = "m",
         zone: String = "a",
-        spot: Boolean = false,
-    ) = OnMachine(jobId, taskIndex, machine, "small", zone, spot)
+        isSpot: Boolean = false,
+    ) = OnMachine(jobId, taskIndex, machine, "small", zone, isSpot)
 
     private fun broken(
         rule: String,
@@ -50,7 +50,7 @@
             for (i in 0..1) r.started(on("j-000001", i), 0)
             broken("wrong_place") { r.started(on("j-000001", 2), 0) }
         }
-        rules().let { r -> broken("wrong_place") { r.started(on("j-000002", 0, spot = true), 0) } }
+        rules().let { r -> broken("wrong_place") { r.started(on("j-000002", 0, isSpot = true), 0) } }
         rules().let { r ->
             r.asksToCancel("j-000002")
             r.told("j-000002", "withdrawn", 0)
--- a/src/test/kotlin/micatally/sim/SimFleet.kt
+++ b/src/test/kotlin/micatally/sim/SimFleet.kt
@@ -434,7 +434,7 @@
         name: String,
         f: MachineType,
         zone: String,
-        spot: Boolean,
+        isSpot: Boolean,
     ): WorkerEmulator {
         val host = SimNet.Host(name, zone)
         net.hosts[name] = host
@@ -448,7 +448,7 @@
                 "$name:9",
                 f.label,
                 zone,
-                spot,
+                isSpot,
                 f.resources,
                 f.pullGbPerS,
                 settings[0].heartbeatIntervalMs,
@@ -498,7 +498,7 @@
         m: WorkerEmulator,
         jobId: String,
         taskIndex: Int,
-    ) = OnMachine(jobId, taskIndex, m.name, m.type, m.zone, m.spot)
+    ) = OnMachine(jobId, taskIndex, m.name, m.type, m.zone, m.isSpot)
 
     override fun started(
         machine: WorkerEmulator,
@@ -528,7 +528,7 @@
     ): Boolean {
         val allowed =
             workers.filter { w ->
-                (s.types == null || w.type in s.types) && (!w.spot || s.spot) &&
+                (s.types == null || w.type in s.types) && (!w.isSpot || s.isSpot) &&
                     (s.zone == null || w.zone == s.zone)
             }
         val rooms =
@@ -567,7 +567,7 @@
                     missing > 0 && !rules.isFinal(jobId) && !rules.isAskedToCancel(jobId) &&
                         rules.underLimit(s) &&
                         workers.any { w ->
-                            (s.types == null || w.type in s.types) && (!w.spot || s.spot) && allowed(w.zone) &&
+                            (s.types == null || w.type in s.types) && (!w.isSpot || s.isSpot) && allowed(w.zone) &&
                                 s.resources.fitsIn(w.free)
                         }
                 }
--- a/src/test/kotlin/micatally/sim/SimTest.kt
+++ b/src/test/kotlin/micatally/sim/SimTest.kt
@@ -76,7 +76,7 @@
                             false
                     }
                 }
-            7 -> for (w in cloud.workers.filter { it.spot }.take(3)) {
+            7 -> for (w in cloud.workers.filter { it.isSpot }.take(3)) {
                 note("taken ${w.name}")
                 loseShard(w)
             }
--- a/src/test/kotlin/micatally/upgrade/FormatTest.kt
+++ b/src/test/kotlin/micatally/upgrade/FormatTest.kt
@@ -62,7 +62,7 @@
         val job = JobRecord.decode(key.removePrefix(Keys.JOB), record, shardOf(record), 1)
         val machines = HashMap<String, Machine>()
         for (p in JobRecord.placed(record)) {
-            val m = machines.getOrPut(p.machine) { Machine(p.machine, p.addr, p.type, p.zone, p.spot) }
+            val m = machines.getOrPut(p.machine) { Machine(p.machine, p.addr, p.type, p.zone, p.isSpot) }
             job.attempts[p.taskIndex] =
                 Attempt(job, p.taskIndex, p.number, m, p.incarnation, job.service, AttemptState.DISPATCHED)
         }
