--- a/src/main/kotlin/micatally/emulator/GangEmulator.kt
+++ b/src/main/kotlin/micatally/emulator/GangEmulator.kt
@@ -26,7 +26,7 @@
 
     fun exit(
         reason: ExitReason,
-        saved: Boolean,
+        isSaved: Boolean,
     )
 }
 
@@ -109,18 +109,18 @@
             val until = firstKillMs!! + times.peerMs
             while (told.size < spec.taskCount && nowMs() < until) delay(STEP_MS)
             if (members[member.task] !== member) return
-            val whole = told.size == spec.taskCount && members.size == spec.taskCount || over && saved
+            val whole = told.size == spec.taskCount && members.size == spec.taskCount || over && isSaved
             if (whole && !over) {
                 over = true
-                saved = true
+                isSaved = true
                 savedStops++
                 safeProgressMs[spec.jobId] = stoppedAtMs
             }
             if (!over) fail()
-            leaveWith(member, ExitReason.STOPPED, saved)
+            leaveWith(member, ExitReason.STOPPED, isSaved)
         }
 
-        private var saved = false
+        private var isSaved = false
         private var stoppedAtMs = 0L
 
         private fun keepProgress(ms: Long) {
@@ -132,10 +132,10 @@
         private fun leaveWith(
             member: GangMember,
             reason: ExitReason,
-            saved: Boolean,
+            isSaved: Boolean,
         ) {
             members.remove(member.task, member)
-            member.exit(reason, saved)
+            member.exit(reason, isSaved)
         }
 
         /** The progress since the last checkpoint is lost, and the other tasks notice. */
--- a/src/main/kotlin/micatally/emulator/WorkerEmulator.kt
+++ b/src/main/kotlin/micatally/emulator/WorkerEmulator.kt
@@ -91,7 +91,7 @@
     ) {
         var status = "pulling"
         var why: String? = null
-        var saved = false
+        var isSaved = false
         var job: Job? = null
         var run: GangTable.GangRun? = null
         var member: GangMember? = null
@@ -117,10 +117,10 @@
 
         override fun exit(
             reason: ExitReason,
-            saved: Boolean,
+            isSaved: Boolean,
         ) {
             if (!t.isOnMachine || !alive) return
-            t.saved = saved
+            t.isSaved = isSaved
             end(t, reason.word)
         }
     }
@@ -227,7 +227,7 @@
                             put("start", t.attempt)
                             put("status", t.status)
                             if (t.why != null) put("retire_reason", t.why)
-                            if (t.saved) put("saved", true)
+                            if (t.isSaved) put("saved", true)
                         }
                     },
                 ),
@@ -389,7 +389,7 @@
             t.job =
                 scope.launch {
                     delay((spec.saveS * 1000).toLong())
-                    t.saved = true
+                    t.isSaved = true
                     end(t, "stopped")
                 }
             return
--- a/src/main/kotlin/micatally/wire/PeerMessages.kt
+++ b/src/main/kotlin/micatally/wire/PeerMessages.kt
@@ -11,7 +11,7 @@
     @ProtoNumber(3) val attempt: Long,
     @ProtoNumber(4) val status: String,
     @ProtoNumber(5) val why: String = "",
-    @ProtoNumber(6) val saved: Boolean = false,
+    @ProtoNumber(6) val isSaved: Boolean = false,
 )
 
 /** A worker's report as handed on by the controller that got it. */
--- a/src/main/kotlin/micatally/wire/WorkerMessages.kt
+++ b/src/main/kotlin/micatally/wire/WorkerMessages.kt
@@ -14,7 +14,7 @@
     val attempt: Long,
     val status: String,
     val why: String?,
-    val saved: Boolean,
+    val isSaved: Boolean,
 ) {
     val ended get() = status == ENDED
     val done get() = ended && reason == ExitReason.DONE
@@ -88,14 +88,14 @@
             val slash = name.lastIndexOf('/')
             val taskIndex = if (slash < 0) null else name.substring(slash + 1).toIntOrNull()
             if (taskIndex == null) throw MalformedMessage("lap must look like j-000412/3")
-            val saved = (o["saved"] as? JsonPrimitive)?.booleanOrNull ?: false
+            val isSaved = (o["saved"] as? JsonPrimitive)?.booleanOrNull ?: false
             return ListedTask(
                 name.substring(0, slash),
                 taskIndex,
                 o.long("start"),
                 o.text("status"),
                 o.textOrNull("retire_reason"),
-                saved,
+                isSaved,
             )
         }
     }
--- a/src/main/kotlin/micatally/worker/CommandDispatcher.kt
+++ b/src/main/kotlin/micatally/worker/CommandDispatcher.kt
@@ -329,7 +329,7 @@
                         if (e.done) TerminationEvidence.COMPLETED else TerminationEvidence.DIRECT_RESPONSE,
                         e.why ?: "",
                         e.reason,
-                        e.saved,
+                        e.isSaved,
                     ),
                 )
                 m.isSyncRequested = true
--- a/src/main/kotlin/micatally/worker/MachineRegistry.kt
+++ b/src/main/kotlin/micatally/worker/MachineRegistry.kt
@@ -75,7 +75,7 @@
                     it.attempt,
                     it.status,
                     it.why.ifEmpty { null },
-                    it.saved,
+                    it.isSaved,
                 )
             }
         return apply(
@@ -150,7 +150,7 @@
         m.spotNoticeAt?.let { maxOf(0L, it - nowMs()) / 1000.0 } ?: -1.0,
         if (withTasks) {
             m.tasks.map {
-                TaskStatus(it.jobId, it.taskIndex, it.attempt, it.status, it.why ?: "", it.saved)
+                TaskStatus(it.jobId, it.taskIndex, it.attempt, it.status, it.why ?: "", it.isSaved)
             }
         } else {
             emptyList()
--- a/src/test/kotlin/micatally/compatibility/MessagesTest.kt
+++ b/src/test/kotlin/micatally/compatibility/MessagesTest.kt
@@ -324,7 +324,7 @@
         assertEquals(expected, report.tasks)
         assertEquals(
             listOf("j-000399", 7, 5L, "ended", "stopped", true),
-            report.tasks.last().run { listOf(jobId, taskIndex, attempt, status, why, saved) },
+            report.tasks.last().run { listOf(jobId, taskIndex, attempt, status, why, isSaved) },
         )
     }
 
@@ -676,7 +676,7 @@
                 listOf("j-000412", 3, 2L, "running", "", false),
                 listOf("j-000398", 7, 5L, "ended", "stopped", true),
             ),
-            read.tasks.map { listOf(it.jobId, it.taskIndex, it.attempt, it.status, it.why, it.saved) },
+            read.tasks.map { listOf(it.jobId, it.taskIndex, it.attempt, it.status, it.why, it.isSaved) },
         )
     }
 
