--- a/src/main/kotlin/micatally/api/WorkerApi.kt
+++ b/src/main/kotlin/micatally/api/WorkerApi.kt
@@ -87,7 +87,7 @@
     private fun killsFor(r: Heartbeat): List<Command> =
         r.tasks
             .filter {
-                !it.ended && cancelledTasks.has(r.machine, AttemptId(it.jobId, it.taskIndex, it.attempt))
+                !it.isEnded && cancelledTasks.has(r.machine, AttemptId(it.jobId, it.taskIndex, it.attempt))
             }.map { Command(CommandType.KILL, it.jobId, it.taskIndex, it.attempt, 0.0) }
 
     private fun refuse(): HttpResponse {
--- a/src/main/kotlin/micatally/fleet/GracefulEviction.kt
+++ b/src/main/kotlin/micatally/fleet/GracefulEviction.kt
@@ -120,7 +120,7 @@
 
     private fun isEmpty(m: Machine): Boolean {
         val u = m.used
-        return m.tasks.all { it.ended } && m.attempts.isEmpty() && u.cores < EPSILON && u.gpus < EPSILON &&
+        return m.tasks.all { it.isEnded } && m.attempts.isEmpty() && u.cores < EPSILON && u.gpus < EPSILON &&
             u.memoryGb < EPSILON
     }
 
--- a/src/main/kotlin/micatally/job/JobManager.kt
+++ b/src/main/kotlin/micatally/job/JobManager.kt
@@ -343,7 +343,7 @@
                 requestSync = listedAttempt(a, t, own) || requestSync
             } else {
                 requestSync = true
-                if (t.done) doneUnderFormerAttempt(job, t.taskIndex)
+                if (t.isDone) doneUnderFormerAttempt(job, t.taskIndex)
             }
         }
         // What was there and is missing proves nothing, since nobody knows who took it away; but the machine is asked.
@@ -387,12 +387,12 @@
             ListedTask.SAVING -> reached(a, AttemptState.SAVING)
             ListedTask.ENDED -> {
                 if (t.reason == null) logOnce("task $a ended for an unknown reason: ${t.why}")
-                if (t.done) {
+                if (t.isDone) {
                     terminate(a, AttemptTermination(TerminationEvidence.COMPLETED, "done", ExitReason.DONE))
                 } else if (!own) {
                     a.machine.needsStatus = true
                 }
-                return t.done || !own
+                return t.isDone || !own
             }
             // Neither gone nor running.
             else -> logOnce("task $a is in an unknown state: ${t.status}")
@@ -491,7 +491,7 @@
             }
         }
         for (m in machines.byName.values) {
-            if (m.deleted || m.attempts.isEmpty() && m.tasks.none { it.ended && mine(it.jobId) }) continue
+            if (m.deleted || m.attempts.isEmpty() && m.tasks.none { it.isEnded && mine(it.jobId) }) continue
             if (m.isSyncing) continue
             if (m.attempts.any {
                     it.stop != null || it.state == AttemptState.RECORDED ||
@@ -499,7 +499,7 @@
                         m.confirmedToken < it.job.shard.leader.fencingToken
                 } ||
                 m.needsStatus ||
-                m.tasks.any { it.ended && mine(it.jobId) }
+                m.tasks.any { it.isEnded && mine(it.jobId) }
             ) {
                 dispatcher.requestSync(m)
             }
--- a/src/main/kotlin/micatally/wire/WorkerMessages.kt
+++ b/src/main/kotlin/micatally/wire/WorkerMessages.kt
@@ -16,8 +16,8 @@
     val why: String?,
     val isSaved: Boolean,
 ) {
-    val ended get() = status == ENDED
-    val done get() = ended && reason == ExitReason.DONE
+    val isEnded get() = status == ENDED
+    val isDone get() = isEnded && reason == ExitReason.DONE
     val reason get() = ExitReason.of(why)
 
     companion object {
--- a/src/main/kotlin/micatally/worker/CommandDispatcher.kt
+++ b/src/main/kotlin/micatally/worker/CommandDispatcher.kt
@@ -105,7 +105,7 @@
                     continue
                 }
                 covered.add(a)
-                if (entry?.ended == true) {
+                if (entry?.isEnded == true) {
                     ask = true
                     continue
                 }
@@ -140,7 +140,7 @@
             if (!attemptDirectory.mine(t.jobId)) continue
             val a = attemptDirectory.attempt(t.jobId, t.taskIndex)
             if (a != null && a.number == t.attempt && a.machine === m) continue
-            if (!t.ended) {
+            if (!t.isEnded) {
                 commands.add(Command(CommandType.KILL, t.jobId, t.taskIndex, t.attempt, 0.0))
                 continue
             }
@@ -321,12 +321,12 @@
                         AttemptTermination(TerminationEvidence.DIRECT_RESPONSE, "not on the machine"),
                     )
                 }
-            } else if (e.ended) {
+            } else if (e.isEnded) {
                 killedAt.remove(a)
                 attemptDirectory.terminate(
                     a,
                     AttemptTermination(
-                        if (e.done) TerminationEvidence.COMPLETED else TerminationEvidence.DIRECT_RESPONSE,
+                        if (e.isDone) TerminationEvidence.COMPLETED else TerminationEvidence.DIRECT_RESPONSE,
                         e.why ?: "",
                         e.reason,
                         e.isSaved,
@@ -335,7 +335,7 @@
                 m.isSyncRequested = true
             }
         }
-        if (m.tasks.any { it.ended && attemptDirectory.mine(it.jobId) }) m.isSyncRequested = true
+        if (m.tasks.any { it.isEnded && attemptDirectory.mine(it.jobId) }) m.isSyncRequested = true
         if (m.isSyncRequested && build(m) == null) m.isSyncRequested = false
     }
 
