--- a/src/main/kotlin/micatally/api/UserApi.kt
+++ b/src/main/kotlin/micatally/api/UserApi.kt
@@ -285,7 +285,7 @@
         val host = membership.sharedKeys.leader(shard)?.host ?: return null
         if (host == settings.host || !membership.sharedKeys.isLive(host) || !peers.reaches(host)) return null
         val a = peers.ask(host, what, jobId, askMs) ?: return null
-        return JobAnswer(jobId, a.status, a.done, a.running).also { jobManager.rememberFinal(it) }
+        return JobAnswer(jobId, a.status, a.doneCount, a.runningCount).also { jobManager.rememberFinal(it) }
     }
 
     suspend fun cancel(jobId: String): HttpResponse {
@@ -330,9 +330,9 @@
     // The same for other controllers
 
     fun peerQuery(jobId: String): PeerJobResponse =
-        local(jobId)?.let { PeerJobResponse(true, it.status, it.done, it.running) } ?: PeerJobResponse()
+        local(jobId)?.let { PeerJobResponse(true, it.status, it.doneCount, it.runningCount) } ?: PeerJobResponse()
 
     suspend fun peerCancel(jobId: String): PeerJobResponse =
-        (jobManager.final(jobId) ?: withdrawHere(jobId))?.let { PeerJobResponse(true, it.status, it.done, it.running) }
+        (jobManager.final(jobId) ?: withdrawHere(jobId))?.let { PeerJobResponse(true, it.status, it.doneCount, it.runningCount) }
             ?: PeerJobResponse()
 }
--- a/src/main/kotlin/micatally/fleet/ScaleOutPlan.kt
+++ b/src/main/kotlin/micatally/fleet/ScaleOutPlan.kt
@@ -98,7 +98,7 @@
             val task = Resources(d.cores, d.gpus, d.memoryGb)
             val keepsCores = mayKeepCores(d, task, machineTypes)
             var left = d.count
-            val zoneRoom = if (d.zoneRoom.isEmpty()) null else d.zones.zip(d.zoneRoom).toMap(HashMap())
+            val zoneRoom = if (d.zoneLimits.isEmpty()) null else d.zones.zip(d.zoneLimits).toMap(HashMap())
 
             fun roomIn(zone: String) = zoneRoom == null || (zoneRoom[zone] ?: 0) > 0
 
--- a/src/main/kotlin/micatally/job/JobManager.kt
+++ b/src/main/kotlin/micatally/job/JobManager.kt
@@ -386,7 +386,7 @@
             ListedTask.RUNNING -> if (reached(a, AttemptState.RUNNING)) started(a)
             ListedTask.SAVING -> reached(a, AttemptState.SAVING)
             ListedTask.ENDED -> {
-                if (t.reason == null) logOnce("task $a ended for an unknown reason: ${t.why}")
+                if (t.exitReason == null) logOnce("task $a ended for an unknown reason: ${t.exitReasonText}")
                 if (t.isDone) {
                     terminate(a, AttemptTermination(TerminationEvidence.COMPLETED, "done", ExitReason.DONE))
                 } else if (!own) {
--- a/src/main/kotlin/micatally/job/ServiceArrivals.kt
+++ b/src/main/kotlin/micatally/job/ServiceArrivals.kt
@@ -34,7 +34,7 @@
             spec.resources.memoryGb,
             spec.types?.toList() ?: emptyList(),
             count = alike.sumOf { it.spec.taskCount },
-            service = true,
+            isService = true,
         )
     }
 
--- a/src/main/kotlin/micatally/peer/OwnSummary.kt
+++ b/src/main/kotlin/micatally/peer/OwnSummary.kt
@@ -91,7 +91,7 @@
                 }.map { it.room },
             demand,
             base,
-            recent = recent,
+            recentServices = recent,
         )
 
     /** Machines on which this node holds anything. */
--- a/src/main/kotlin/micatally/peer/PeerSummaries.kt
+++ b/src/main/kotlin/micatally/peer/PeerSummaries.kt
@@ -48,17 +48,17 @@
     fun take(s: CapacitySummary): Boolean {
         if (s.host == settings.host) return true
         val old = theirs[s.host]?.takeIf { it.process == s.process }
-        if (old != null && old.number >= s.number) return true
-        if (s.base > (old?.number ?: 0L)) return false
-        val t = if (old != null && s.base > 0) old else succeed(s.host, s.process)
-        t.number = s.number
+        if (old != null && old.number >= s.version) return true
+        if (s.baseVersion > (old?.number ?: 0L)) return false
+        val t = if (old != null && s.baseVersion > 0) old else succeed(s.host, s.process)
+        t.number = s.version
         t.demand = s.demand
-        t.recent = s.recent
-        if (s.base == 0L) {
-            val there = s.rooms.mapTo(HashSet()) { it.machine }
+        t.recent = s.recentServices
+        if (s.baseVersion == 0L) {
+            val there = s.held.mapTo(HashSet()) { it.machine }
             for (name in t.rooms.keys.filter { it !in there }) put(s.host, t, HeldCapacity(name))
         }
-        for (r in s.rooms) put(s.host, t, r)
+        for (r in s.held) put(s.host, t, r)
         return true
     }
 
@@ -79,18 +79,18 @@
                     ?.process
         if (current != null && current != s.process) return
         val t = theirs[s.host]?.takeIf { it.process == s.process } ?: succeed(s.host, s.process)
-        if (t.number >= s.number) return
-        if (s.bucket == 0) t.demand = s.demand
-        val there = s.rooms.mapTo(HashSet()) { it.machine }
+        if (t.number >= s.version) return
+        if (s.partitionIndex == 0) t.demand = s.demand
+        val there = s.held.mapTo(HashSet()) { it.machine }
         for (name in t.rooms.keys.filter {
             bucketOf(
                 it,
-                s.buckets,
-            ) == s.bucket && it !in there
+                s.partitionCount,
+            ) == s.partitionIndex && it !in there
         }) {
             put(s.host, t, HeldCapacity(name))
         }
-        for (r in s.rooms) put(s.host, t, r)
+        for (r in s.held) put(s.host, t, r)
     }
 
     private fun put(
--- a/src/main/kotlin/micatally/peer/Peers.kt
+++ b/src/main/kotlin/micatally/peer/Peers.kt
@@ -221,7 +221,7 @@
         if (out is Outcome.Answer && out.status == 200) {
             l.failures = 0
             val answer = ProtoBuf.decodeFromByteArray<PeerDeltaResponse>(out.body)
-            l.toldSummary = if (answer.needsWhole) 0 else sentNumber
+            l.toldSummary = if (answer.needsFullSummary) 0 else sentNumber
             jobManager.cancellations.cancelledTasks.take(answer.cancelledTasks)
             l.confirmedFencingToken = answer.fencingToken
             l.peersConfirmedAt = at
@@ -238,7 +238,7 @@
         val news = ProtoBuf.decodeFromByteArray<PeerDelta>(body)
         lines.find { it.peer.host == news.host }?.let {
             it.heardAt = nowMs()
-            if (news.stateContact) it.contactAt = nowMs()
+            if (news.hasStateStoreContact) it.contactAt = nowMs()
             // A peer that talks can be talked to again at once.
             if (it.failures > 0) {
                 it.failures = 0
@@ -246,13 +246,13 @@
             }
         }
         var new = news.summary != null
-        for (n in news.notes) if (machines.apply(n)) new = true
-        for (n in news.heard) {
+        for (n in news.machineStatuses) if (machines.apply(n)) new = true
+        for (n in news.heartbeatAcknowledgements) {
             machines.heard(n)
             machines.of(n.machine)?.heardBy(news.host, nowMs() - n.ageMs)
         }
         val joined = news.summary?.let { summaries.take(it) } ?: true
-        if (news.retire.isNotEmpty()) onRetire(news.retire)
+        if (news.deletionRequests.isNotEmpty()) onRetire(news.deletionRequests)
         if (new) onNews()
         val cancelledTasks = jobManager.cancellations.unfinishedTasks()
         val most = maxOf(MIN_CANCELLED_TASKS, machines.byName.size)
@@ -278,7 +278,7 @@
                     ProtoBuf.decodeFromByteArray<CapacitySummary>(bytes),
                 )
             } else {
-                for (n in ProtoBuf.decodeFromByteArray<HeartbeatAcknowledgements>(bytes).notes) machines.heard(n)
+                for (n in ProtoBuf.decodeFromByteArray<HeartbeatAcknowledgements>(bytes).machineStatuses) machines.heard(n)
             }
         }
     }
@@ -357,7 +357,7 @@
         val peer = settings.peers.find { it.host == host } ?: return null
         val out = http.call(peer.addr, "POST", what, ProtoBuf.encodeToByteArray(PeerJobRequest(jobId)), timeoutMs)
         if (out !is Outcome.Answer || out.status != 200) return null
-        return ProtoBuf.decodeFromByteArray<PeerJobResponse>(out.body).takeIf { it.known }
+        return ProtoBuf.decodeFromByteArray<PeerJobResponse>(out.body).takeIf { it.isKnown }
     }
 
     companion object {
--- a/src/main/kotlin/micatally/scheduling/AllOrNothingPlacement.kt
+++ b/src/main/kotlin/micatally/scheduling/AllOrNothingPlacement.kt
@@ -98,7 +98,7 @@
         val fullest = demand.zones.maxBy { fitting[it] ?: 0 }
         val zone = if ((fitting[fullest] ?: 0) > 0) fullest else demand.zones[turn]
         val missing = maxOf(1, count - (fitting[zone] ?: 0))
-        return demand.copy(zones = listOf(zone), count = missing, zoneRoom = emptyList())
+        return demand.copy(zones = listOf(zone), count = missing, zoneLimits = emptyList())
     }
 
     private companion object {
--- a/src/main/kotlin/micatally/scheduling/ClusterView.kt
+++ b/src/main/kotlin/micatally/scheduling/ClusterView.kt
@@ -48,7 +48,7 @@
         peerRequests: List<ResourceRequest>,
         now: Long,
     ) {
-        peerServices = peerRequests.filter { it.service }
+        peerServices = peerRequests.filter { it.isService }
         foreignGangs = peerRequests.filter { it.isGang }
         val usable = machines.byName.values.filter { isUsable(it, now) && freeOf(it).cores > Resources.SLACK }
         open = usable
--- a/src/main/kotlin/micatally/wire/JobMessages.kt
+++ b/src/main/kotlin/micatally/wire/JobMessages.kt
@@ -178,15 +178,15 @@
 data class JobAnswer(
     val jobId: String,
     val status: String,
-    val done: Int,
-    val running: Int,
+    val doneCount: Int,
+    val runningCount: Int,
 ) {
     fun json() =
         buildJsonObject {
             put("ref", jobId)
             put("status", status)
-            put("done", done)
-            put("running", running)
+            put("done", doneCount)
+            put("running", runningCount)
         }
 
     fun brief() =
--- a/src/main/kotlin/micatally/wire/PeerMessages.kt
+++ b/src/main/kotlin/micatally/wire/PeerMessages.kt
@@ -10,7 +10,7 @@
     @ProtoNumber(2) val taskIndex: Int,
     @ProtoNumber(3) val attempt: Long,
     @ProtoNumber(4) val status: String,
-    @ProtoNumber(5) val why: String = "",
+    @ProtoNumber(5) val exitReason: String = "",
     @ProtoNumber(6) val isSaved: Boolean = false,
 )
 
@@ -54,37 +54,37 @@
     @ProtoNumber(6) val isSpot: Boolean = false,
     @ProtoNumber(7) val count: Int = 1,
     @ProtoNumber(8) val priority: Int = 0,
-    @ProtoNumber(9) val service: Boolean = false,
+    @ProtoNumber(9) val isService: Boolean = false,
     @ProtoNumber(10) val estimateS: Double = 0.0,
     @ProtoNumber(11) val image: String = "",
     /** For each of [zones], how many of them may go there at the most; empty: any number. */
-    @ProtoNumber(12) val zoneRoom: List<Int> = emptyList(),
+    @ProtoNumber(12) val zoneLimits: List<Int> = emptyList(),
     /** They start only all together; a receiver of the previous version takes them for independent ones. */
     @ProtoNumber(13) val isGang: Boolean = false,
 )
 
-/** An owner's free-room summary: what it holds where, and what it could not place. With a [base] only the rooms are in
+/** An owner's free-room summary: what it holds where, and what it could not place. With a [baseVersion] only the rooms are in
  * it that have changed since the summary of that number, those given up as empty ones; the demand is always whole.
- * Through the state service it goes in pieces of one value each: piece [bucket] of [buckets] holds all rooms whose
+ * Through the state service it goes in pieces of one value each: piece [partitionIndex] of [partitionCount] holds all rooms whose
  * machines fall in it, and the first one holds the demand. */
 @Serializable
 class CapacitySummary(
     @ProtoNumber(1) val host: String,
     @ProtoNumber(2) val process: String,
-    @ProtoNumber(3) val number: Long,
-    @ProtoNumber(4) val rooms: List<HeldCapacity> = emptyList(),
+    @ProtoNumber(3) val version: Long,
+    @ProtoNumber(4) val held: List<HeldCapacity> = emptyList(),
     @ProtoNumber(5) val demand: List<ResourceRequest> = emptyList(),
-    @ProtoNumber(6) val base: Long = 0,
-    @ProtoNumber(7) val bucket: Int = 0,
-    @ProtoNumber(8) val buckets: Int = 0,
+    @ProtoNumber(6) val baseVersion: Long = 0,
+    @ProtoNumber(7) val partitionIndex: Int = 0,
+    @ProtoNumber(8) val partitionCount: Int = 0,
     /** Services that were submitted here lately, by shape: what may come next. */
-    @ProtoNumber(9) val recent: List<ResourceRequest> = emptyList(),
+    @ProtoNumber(9) val recentServices: List<ResourceRequest> = emptyList(),
 )
 
 @Serializable
 class PeerDeltaResponse(
     /** The changes did not join on to what the receiver has: it needs the whole summary. */
-    @ProtoNumber(1) val needsWhole: Boolean = false,
+    @ProtoNumber(1) val needsFullSummary: Boolean = false,
     /** The fencing token that the answering node knows, if it knows all cancelled tasks of its shards; 0 if it doesn't. */
     @ProtoNumber(2) val fencingToken: Long = 0,
     /** Tasks of cancelled jobs that are not proven gone: whoever hears their machines hands the stop on. */
@@ -107,21 +107,21 @@
 
 @Serializable
 class PeerDelta(
-    @ProtoNumber(1) val notes: List<MachineStatus> = emptyList(),
+    @ProtoNumber(1) val machineStatuses: List<MachineStatus> = emptyList(),
     @ProtoNumber(2) val summary: CapacitySummary? = null,
     /** Machines that the sender wants deleted, because they are silent or fail what they start. */
-    @ProtoNumber(3) val retire: List<String> = emptyList(),
+    @ProtoNumber(3) val deletionRequests: List<String> = emptyList(),
     /** Machines that the sender has heard itself, without their tasks. */
-    @ProtoNumber(4) val heard: List<MachineStatus> = emptyList(),
+    @ProtoNumber(4) val heartbeatAcknowledgements: List<MachineStatus> = emptyList(),
     /** Whether the sender has proof of contact with the state service from just now. */
-    @ProtoNumber(5) val stateContact: Boolean = false,
+    @ProtoNumber(5) val hasStateStoreContact: Boolean = false,
     @ProtoNumber(6) val host: String = "",
 )
 
 /** What a node writes to the state service for nodes that can't be told directly. */
 @Serializable
 class HeartbeatAcknowledgements(
-    @ProtoNumber(1) val notes: List<MachineStatus>,
+    @ProtoNumber(1) val machineStatuses: List<MachineStatus>,
 )
 
 @Serializable
@@ -131,8 +131,8 @@
 
 @Serializable
 class PeerJobResponse(
-    @ProtoNumber(1) val known: Boolean = false,
+    @ProtoNumber(1) val isKnown: Boolean = false,
     @ProtoNumber(2) val status: String = "",
-    @ProtoNumber(3) val done: Int = 0,
-    @ProtoNumber(4) val running: Int = 0,
+    @ProtoNumber(3) val doneCount: Int = 0,
+    @ProtoNumber(4) val runningCount: Int = 0,
 )
--- a/src/main/kotlin/micatally/wire/WorkerMessages.kt
+++ b/src/main/kotlin/micatally/wire/WorkerMessages.kt
@@ -13,12 +13,12 @@
     val taskIndex: Int,
     val attempt: Long,
     val status: String,
-    val why: String?,
+    val exitReasonText: String?,
     val isSaved: Boolean,
 ) {
     val isEnded get() = status == ENDED
-    val isDone get() = isEnded && reason == ExitReason.DONE
-    val reason get() = ExitReason.of(why)
+    val isDone get() = isEnded && exitReason == ExitReason.DONE
+    val exitReason get() = ExitReason.of(exitReasonText)
 
     companion object {
         const val PULLING = "pulling"
--- a/src/main/kotlin/micatally/worker/CommandDispatcher.kt
+++ b/src/main/kotlin/micatally/worker/CommandDispatcher.kt
@@ -327,8 +327,8 @@
                     a,
                     AttemptTermination(
                         if (e.isDone) TerminationEvidence.COMPLETED else TerminationEvidence.DIRECT_RESPONSE,
-                        e.why ?: "",
-                        e.reason,
+                        e.exitReasonText ?: "",
+                        e.exitReason,
                         e.isSaved,
                     ),
                 )
--- a/src/main/kotlin/micatally/worker/MachineRegistry.kt
+++ b/src/main/kotlin/micatally/worker/MachineRegistry.kt
@@ -74,7 +74,7 @@
                     it.taskIndex,
                     it.attempt,
                     it.status,
-                    it.why.ifEmpty { null },
+                    it.exitReason.ifEmpty { null },
                     it.isSaved,
                 )
             }
@@ -150,7 +150,7 @@
         m.spotNoticeAt?.let { maxOf(0L, it - nowMs()) / 1000.0 } ?: -1.0,
         if (withTasks) {
             m.tasks.map {
-                TaskStatus(it.jobId, it.taskIndex, it.attempt, it.status, it.why ?: "", it.isSaved)
+                TaskStatus(it.jobId, it.taskIndex, it.attempt, it.status, it.exitReasonText ?: "", it.isSaved)
             }
         } else {
             emptyList()
--- a/src/test/kotlin/micatally/compatibility/MessagesTest.kt
+++ b/src/test/kotlin/micatally/compatibility/MessagesTest.kt
@@ -324,7 +324,7 @@
         assertEquals(expected, report.tasks)
         assertEquals(
             listOf("j-000399", 7, 5L, "ended", "stopped", true),
-            report.tasks.last().run { listOf(jobId, taskIndex, attempt, status, why, isSaved) },
+            report.tasks.last().run { listOf(jobId, taskIndex, attempt, status, exitReasonText, isSaved) },
         )
     }
 
@@ -676,7 +676,7 @@
                 listOf("j-000412", 3, 2L, "running", "", false),
                 listOf("j-000398", 7, 5L, "ended", "stopped", true),
             ),
-            read.tasks.map { listOf(it.jobId, it.taskIndex, it.attempt, it.status, it.why, it.isSaved) },
+            read.tasks.map { listOf(it.jobId, it.taskIndex, it.attempt, it.status, it.exitReason, it.isSaved) },
         )
     }
 
@@ -684,24 +684,24 @@
         assertEquals(listOf(2.5, 1.0, 6.5), listOf(read.cores, read.gpus, read.memoryGb))
         assertEquals(listOf("g8"), read.types)
         assertEquals(listOf("a", "b"), read.zones)
-        assertEquals(listOf(true, true, true), listOf(read.isSpot, read.service, read.isGang))
+        assertEquals(listOf(true, true, true), listOf(read.isSpot, read.isService, read.isGang))
         assertEquals(listOf(12, 2), listOf(read.count, read.priority))
         assertEquals(240.5, read.estimateS)
         assertEquals("img-07", read.image)
-        assertEquals(listOf(4, 5), read.zoneRoom)
+        assertEquals(listOf(4, 5), read.zoneLimits)
     }
 
     private fun assertSummary(read: CapacitySummary) {
         assertEquals(listOf("pitbox-1", "p-9"), listOf(read.host, read.process))
-        assertEquals(listOf(17L, 16L), listOf(read.number, read.base))
-        assertEquals(listOf(2, 5), listOf(read.bucket, read.buckets))
-        val held = read.rooms.single()
+        assertEquals(listOf(17L, 16L), listOf(read.version, read.baseVersion))
+        assertEquals(listOf(2, 5), listOf(read.partitionIndex, read.partitionCount))
+        val held = read.held.single()
         assertEquals("m-000231", held.machine)
         assertEquals(listOf(2.5, 1.0, 6.5), listOf(held.cores, held.gpus, held.memoryGb))
         assertEquals(listOf("img-07", "img-08"), held.images)
         assertEquals(listOf(6.2, 3.5), held.imagesGb)
         assertDemand(read.demand.single())
-        assertEquals(listOf(ResourceRequest(1.5, 2.5, 3.5)), read.recent)
+        assertEquals(listOf(ResourceRequest(1.5, 2.5, 3.5)), read.recentServices)
     }
 
     private fun assertWithdrawn(read: CancelledTask) =
@@ -713,21 +713,21 @@
     @Test
     fun `news between controllers`() {
         val news = kept("peers/news.hex", allNews)
-        assertNote(news.notes.single())
+        assertNote(news.machineStatuses.single())
         assertSummary(news.summary!!)
-        assertEquals(listOf("m-1", "m-2"), news.retire)
-        assertNote(news.heard.single())
-        assertTrue(news.stateContact)
+        assertEquals(listOf("m-1", "m-2"), news.deletionRequests)
+        assertNote(news.heartbeatAcknowledgements.single())
+        assertTrue(news.hasStateStoreContact)
         assertEquals("pitbox-1", news.host)
         val answer = kept("peers/news-answer.hex", PeerDeltaResponse(true, 41, listOf(cancelled)))
-        assertTrue(answer.needsWhole)
+        assertTrue(answer.needsFullSummary)
         assertEquals(41L, answer.fencingToken)
         assertWithdrawn(answer.cancelledTasks.single())
     }
 
     @Test
     fun `what controllers leave for each other in the state service`() {
-        assertNote(kept("peers/heard.hex", HeartbeatAcknowledgements(listOf(note))).notes.single())
+        assertNote(kept("peers/heard.hex", HeartbeatAcknowledgements(listOf(note))).machineStatuses.single())
         assertSummary(kept("peers/summary.hex", summary))
         assertWithdrawn(kept("peers/kills.hex", CancelledTaskList(listOf(cancelled))).cancelledTasks.single())
     }
@@ -736,7 +736,7 @@
     fun `questions between controllers`() {
         assertEquals("j-000412", kept("peers/ask.hex", PeerJobRequest("j-000412")).jobId)
         val answer = kept("peers/answer.hex", PeerJobResponse(true, "running", 3, 13))
-        assertEquals(listOf(true, "running", 3, 13), listOf(answer.known, answer.status, answer.done, answer.running))
+        assertEquals(listOf(true, "running", 3, 13), listOf(answer.isKnown, answer.status, answer.doneCount, answer.runningCount))
     }
 
     @Test
@@ -750,7 +750,7 @@
         kept("peers/empty.hex", StatusRequest())
         assertTrue(kept("peers/empty.hex", HistoryAnswer()).isAvailable)
         val demand = kept("peers/demand-least.hex", ResourceRequest(1.5, 2.5, 3.5))
-        assertEquals(listOf(false, 1, 0, false), listOf(demand.isSpot, demand.count, demand.priority, demand.service))
+        assertEquals(listOf(false, 1, 0, false), listOf(demand.isSpot, demand.count, demand.priority, demand.isService))
     }
 
     private fun SimFleet.expectPeer(
--- a/src/test/kotlin/micatally/fleet/ScaleOutPlanTest.kt
+++ b/src/test/kotlin/micatally/fleet/ScaleOutPlanTest.kt
@@ -16,7 +16,7 @@
     private fun gateway(
         count: Int,
         room: List<Int>,
-    ) = ResourceRequest(2.0, 0.0, 2.7, zones = listOf("a", "b", "c"), count = count, service = true, zoneRoom = room)
+    ) = ResourceRequest(2.0, 0.0, 2.7, zones = listOf("a", "b", "c"), count = count, isService = true, zoneLimits = room)
 
     private fun plan(
         demands: List<ResourceRequest>,
