--- a/src/main/kotlin/micatally/peer/OwnSummary.kt
+++ b/src/main/kotlin/micatally/peer/LocalCapacitySummary.kt
@@ -14,7 +14,7 @@
 import micatally.worker.MachineRegistry
 
 /** What this node holds on machines and what waits here, numbered so that peers are told changes only. */
-internal class OwnSummary(
+internal class LocalCapacitySummary(
     private val settings: Settings,
     private val membership: Membership,
     private val machines: MachineRegistry,
--- a/src/main/kotlin/micatally/peer/PeerSummaries.kt
+++ b/src/main/kotlin/micatally/peer/PeerCapacitySummaries.kt
@@ -15,7 +15,7 @@
 internal val HeldCapacity.isHeld get() = cores > 0 || gpus > 0 || memoryGb > 0
 
 /** What the other controllers hold on machines and what waits there, as they tell directly or through the state service. */
-internal class PeerSummaries(
+internal class PeerCapacitySummaries(
     private val settings: Settings,
     private val membership: Membership,
     private val machines: MachineRegistry,
@@ -83,7 +83,7 @@
         if (s.partitionIndex == 0) t.demand = s.demand
         val there = s.held.mapTo(HashSet()) { it.machine }
         for (name in t.rooms.keys.filter {
-            bucketOf(
+            partitionOf(
                 it,
                 s.partitionCount,
             ) == s.partitionIndex && it !in there
--- a/src/main/kotlin/micatally/peer/Peers.kt
+++ b/src/main/kotlin/micatally/peer/Peers.kt
@@ -73,8 +73,8 @@
     }
 
     private val lines = settings.peers.map { Line(it) }
-    private val own = OwnSummary(settings, membership, machines, jobManager, scheduler)
-    private val summaries = PeerSummaries(settings, membership, machines, nowMs)
+    private val own = LocalCapacitySummary(settings, membership, machines, jobManager, scheduler)
+    private val summaries = PeerCapacitySummaries(settings, membership, machines, nowMs)
     private val tellMs = settings.heartbeatIntervalMs / TELLS_A_REPORT
 
     /** Every machine may have something new in each report interval, and all of it has to get through in that time. */
@@ -291,8 +291,8 @@
         return maxOf(1, (writes * share).toInt())
     }
 
-    private val roomPieces = SummaryPieces(state, settings.valueBytes, Keys.CAPACITY + settings.host)
-    private val heardPieces = SummaryPieces(state, settings.valueBytes, Keys.HEARTBEATS + settings.host)
+    private val roomPieces = SummaryPartitions(state, settings.valueBytes, Keys.CAPACITY + settings.host)
+    private val heardPieces = SummaryPartitions(state, settings.valueBytes, Keys.HEARTBEATS + settings.host)
 
     private suspend fun publishLoop() {
         var publishedNumber = 0L
@@ -301,7 +301,7 @@
             if (own.number != publishedNumber) {
                 publishedNumber = own.number
                 roomPieces.write(own.heldMachines, mostPieces(), own::contentOf) { piece, names ->
-                    ProtoBuf.encodeToByteArray(own.piece(names, piece, roomPieces.buckets))
+                    ProtoBuf.encodeToByteArray(own.piece(names, piece, roomPieces.partitionCount))
                 }
             }
             // Only needed while a peer can't be told directly.
--- a/src/main/kotlin/micatally/peer/SummaryPieces.kt
+++ b/src/main/kotlin/micatally/peer/SummaryPartitions.kt
@@ -10,11 +10,11 @@
 import micatally.state.Urgency
 import java.util.Base64
 
-/** The piece of a list that a machine belongs to, of [buckets]. */
-internal fun bucketOf(
+/** The piece of a list that a machine belongs to, of [partitionCount]. */
+internal fun partitionOf(
     machine: String,
-    buckets: Int,
-) = Math.floorMod(machine.hashCode(), buckets)
+    partitionCount: Int,
+) = Math.floorMod(machine.hashCode(), partitionCount)
 
 /**
  * A list by machine in the state service. Values have a limit, so it goes in pieces, as many as it takes for each to fit;
@@ -22,12 +22,12 @@
  *
  * @param key the piece's number is appended to it
  */
-internal class SummaryPieces(
+internal class SummaryPartitions(
     private val state: StateStoreClient,
     private val valueBytes: Int,
     private val key: String,
 ) {
-    var buckets = 1
+    var partitionCount = 1
         private set
     private var nextPiece = 0
     private val written = HashMap<Int, Any>()
@@ -50,9 +50,9 @@
         var parts: List<List<String>>
         var left = most
         while (true) {
-            parts = List(buckets) { i -> names.filter { bucketOf(it, buckets) == i } }
+            parts = List(partitionCount) { i -> names.filter { partitionOf(it, partitionCount) == i } }
             if (parts.withIndex().all { (i, p) -> p.size < 2 || fits(encode(i, p)) }) break
-            buckets *= 2
+            partitionCount *= 2
             written.clear()
         }
         // Goes round, so that each piece has its turn when only some may be written.
--- a/src/test/kotlin/micatally/compatibility/StoredValuesTest.kt
+++ b/src/test/kotlin/micatally/compatibility/StoredValuesTest.kt
@@ -26,7 +26,7 @@
 import micatally.membership.Keys
 import micatally.membership.ShardLeader
 import micatally.membership.SharedKeyCache
-import micatally.peer.SummaryPieces
+import micatally.peer.SummaryPartitions
 import micatally.quota.TeamAllotments
 import micatally.state.KeyValue
 import micatally.state.Listing
@@ -247,7 +247,7 @@
                     Outcome.Answer(response.status, response.body)
                 }
             val budget = RateBudget(backgroundScope, 10_000.0, { testScheduler.currentTime })
-            val pieces = SummaryPieces(StateStoreClient(http, "state", budget, budget, 500), 1 shl 20, "s/room/n0")
+            val pieces = SummaryPartitions(StateStoreClient(http, "state", budget, budget, 500), 1 shl 20, "s/room/n0")
             pieces.write(listOf("m"), 1, { _, names -> names }) { _, _ -> bytes }
             text = service.value("s/room/n0/0").toString()
         }
--- a/src/test/kotlin/micatally/peer/SummaryPiecesTest.kt
+++ b/src/test/kotlin/micatally/peer/SummaryPartitionsTest.kt
@@ -12,12 +12,12 @@
 import org.junit.jupiter.api.Test
 
 @OptIn(ExperimentalCoroutinesApi::class)
-class SummaryPiecesTest {
+class SummaryPartitionsTest {
     private val valueBytes = 2048
     private val sent = ArrayList<Int>()
     private val machines = List(20) { "m-%06d".format(it) }
 
-    private fun TestScope.pieces(): SummaryPieces {
+    private fun TestScope.pieces(): SummaryPartitions {
         val http =
             HttpCaller { _, _, _, body, _ ->
                 sent.add(body!!.size)
@@ -25,7 +25,7 @@
             }
 
         fun budget() = RateBudget(backgroundScope, 100.0, { testScheduler.currentTime })
-        return SummaryPieces(StateStoreClient(http, "state:1", budget(), budget(), 1000), valueBytes, "s/room/a")
+        return SummaryPartitions(StateStoreClient(http, "state:1", budget(), budget(), 1000), valueBytes, "s/room/a")
     }
 
     @Test
@@ -34,7 +34,7 @@
             val pieces = pieces()
             val write = suspend { pieces.write(machines, 100, { _, p -> p }) { _, p -> ByteArray(p.size * 200) } }
             write()
-            assertTrue(pieces.buckets > 1)
+            assertTrue(pieces.partitionCount > 1)
             assertTrue(sent.all { it < valueBytes }, "$sent")
             val first = sent.size
             write()
@@ -45,7 +45,7 @@
         }
 
     /** Found with 4,000 workers: a summary that had fitted grew while it waited for its turn, and the state service refused
-     * it as too large. Guard: it is measured again in [SummaryPieces.write] when it leaves. */
+     * it as too large. Guard: it is measured again in [SummaryPartitions.write] when it leaves. */
     @Test
     fun `a piece that has grown beyond a value while it waited is left to the next time`() =
         runTest {
