--- /dev/null
+++ b/src/main/kotlin/micatally/membership/ShardLeader.kt
@@ -0,0 +1,8 @@
+package micatally.membership
+
+class ShardLeader(
+    val host: String,
+    val process: String,
+    val fencingToken: Long,
+    val modRevision: Long,
+)
