--- a/src/main/kotlin/micatally/state/RateBudget.kt
+++ b/src/main/kotlin/micatally/state/RateBudget.kt
@@ -7,9 +7,6 @@
 import kotlin.coroutines.Continuation
 import kotlin.coroutines.resume
 
-/** What a call to the state service is for, most urgent first. */
-enum class Urgency { LEASE, ACCEPTANCE, INTENT, SUMMARY }
-
 /** A token bucket whose waiters are served by urgency, then in order. Work lands unevenly on the controllers, so what is
  * urgent also tries the share that others may have left unused, [lent] a second, until the service says no. */
 class RateBudget(
