--- a/src/main/kotlin/micatally/membership/SharedKeyCache.kt
+++ b/src/main/kotlin/micatally/membership/SharedKeyCache.kt
@@ -4,138 +4,75 @@
 import micatally.state.KeyValue
 import micatally.state.Listing
 import micatally.state.WatchEvents
-import micatally.wire.longOrNull
-import micatally.wire.textOrNull
 
-/** The keys that every node keeps a copy of. All that decides lies under one prefix, so one watch shows it at one revision. */
-object Keys {
-    const val PREFIX = "c/"
-    const val FENCING_TOKEN = "c/epoch"
-    const val FLEET = "c/fleet"
-
-    /** The version of the stored forms that may be written, and the version that each host has come up with. */
-    const val FORMAT = "c/format"
-    const val VERSION = "c/version/"
-    const val SHARD = "c/ledger/"
-    const val LIVE = "c/live/"
-    const val TEAM = "c/team/"
-
-    /** Summaries lie under a prefix of their own: they are by far the larger part, and a node that has only just started
-     * can answer workers without them. */
-    const val SUMMARIES = "s/"
-    const val CAPACITY = "s/room/"
-    const val DELETED_MACHINE = "c/gone/"
-    const val HEARTBEATS = "s/heard/"
-    const val PROVISIONING = "c/rent/"
-    const val CANCELLED_TASKS = "c/kill/"
-    const val DRAIN = "c/drain/"
-    const val JOB = "job/"
-
-    /** Records of jobs that are over, and which hosts look for them there. */
-    const val FINAL = "final/"
-    const val ARCHIVE = "c/archive/"
-    const val MACHINE_TYPES = "flavors"
-
-    /** What does not fit in the value of a job's record. Not under [JOB], or the previous program would read it as a record. */
-    const val JOB_PART = "part/"
-
-    /** The head of the stored configuration, which all watch; the rest lies apart, read when the head has changed. */
-    const val CONFIG = "c/config"
-    const val CONFIG_CHANGE = "config/change/"
-    const val CONFIG_SNAPSHOT = "config/snapshot/"
-
-    fun configChange(version: Long) = CONFIG_CHANGE + "%012d".format(version)
-
-    /** Prefix of the values of one snapshot. */
-    fun configSnapshot(version: Long) = CONFIG_SNAPSHOT + "%012d/".format(version)
-
-    /** Prefix of the values that hold the teams of a large change. */
-    fun configPart(stage: String) = "config/part/$stage/"
-
-    fun job(jobId: String) = JOB + jobId
-
-    fun final(jobId: String) = FINAL + jobId
-
-    fun archive(host: String) = ARCHIVE + host
-
-    fun jobPart(
-        jobId: String,
-        index: Int,
-    ) = "$JOB_PART$jobId/$index"
-
-    fun cancelledTasksPart(
-        jobId: String,
-        index: Int,
-    ) = "$CANCELLED_TASKS$jobId/$index"
-
-    fun shard(name: String) = SHARD + name
-
-    fun live(host: String) = LIVE + host
-
-    fun cancelledTasks(jobId: String) = CANCELLED_TASKS + jobId
-
-    fun team(name: String) = TEAM + name
-
-    fun version(host: String) = VERSION + host
-}
-
-class ShardLeader(
-    val host: String,
-    val process: String,
-    val fencingToken: Long,
-    val modRevision: Long,
-)
-
-/** This node's copy of the shared keys, always as of one revision. */
+/** This controller's copy of the keys under one prefix of the state store, always as of one revision. */
 class SharedKeyCache {
     private val items = HashMap<String, KeyValue>()
+
+    /** The state store's revision that the copy shows; negative before the first listing. */
     var revision = -1L
         private set
 
-    val fencingToken get() = items[Keys.FENCING_TOKEN]?.value?.longOrNull("n") ?: 0L
+    /** The newest fencing token in this copy; 0 before the first one. */
+    val fencingToken: Long get() = value(Keys.FENCING_TOKEN)?.let { FencingToken.decode(it) } ?: 0L
 
-    fun modRevision(key: String) = items[key]?.modRevision ?: 0L
+    /** The revision at which [key] was last written; 0 if it does not exist, as the conditions of a transaction want it. */
+    fun modRevision(key: String): Long = items[key]?.modRevision ?: 0L
 
+    /** The value of [key], or null if it does not exist. */
     fun value(key: String): JsonObject? = items[key]?.value
 
+    /** All keys that begin with [prefix], in no particular order. */
     fun under(prefix: String): List<KeyValue> = items.values.filter { it.key.startsWith(prefix) }
 
-    fun has(key: String) = items.containsKey(key)
+    /** Whether [key] exists. */
+    fun has(key: String): Boolean = items.containsKey(key)
 
+    /** The leader of [shard], or null if the shard has never been acquired. */
     fun leader(shard: String): ShardLeader? {
-        val i = items[Keys.shard(shard)] ?: return null
-        return ShardLeader(
-            i.value.textOrNull("host") ?: "",
-            i.value.textOrNull("process") ?: "",
-            i.value.longOrNull("epoch") ?: 0,
-            i.modRevision,
-        )
+        val item = items[Keys.shard(shard)] ?: return null
+        return ShardLeader.decode(item.value, item.modRevision)
     }
 
+    /** The names of all shards. */
     fun shards(): List<String> = under(Keys.SHARD).map { it.key.removePrefix(Keys.SHARD) }
 
-    fun isLive(host: String) = has(Keys.live(host))
+    /** Whether a process of [host] has a lease. */
+    fun isLive(host: String): Boolean = has(Keys.live(host))
 
-    /** Takes a full listing; returns the keys that differ. */
+    /** The process of [host] that has a lease, or null if there is none. */
+    fun liveProcess(host: String): String? = value(Keys.live(host))?.let { LiveController.processOf(it) }
+
+    /** Replaces the copy by [listing] unless that is older; returns the keys that differ. */
     fun load(listing: Listing): Set<String> {
         if (listing.revision < revision) return emptySet()
-        val fresh = listing.items.associateBy { it.key }
+        val listed = listing.items.associateBy { it.key }
         val changed = HashSet<String>()
-        for (k in items.keys) if (k !in fresh) changed.add(k)
-        for ((k, i) in fresh) if (items[k]?.modRevision != i.modRevision) changed.add(k)
+        for (key in items.keys) {
+            if (key !in listed) changed.add(key)
+        }
+        for ((key, item) in listed) {
+            if (items[key]?.modRevision != item.modRevision) changed.add(key)
+        }
         items.clear()
-        items.putAll(fresh)
+        items.putAll(listed)
         revision = listing.revision
         return changed
     }
 
+    /** Takes in the events of a watch, except for those that the copy already contains; returns the keys that changed. */
     fun apply(news: WatchEvents): Set<String> {
         val changed = HashSet<String>()
-        for (e in news.events) {
-            if (e.modRevision <= revision && (items[e.key]?.modRevision ?: 0) >= e.modRevision) continue
-            val value = e.value
-            if (value == null) items.remove(e.key) else items[e.key] = KeyValue(e.key, value, e.modRevision)
-            changed.add(e.key)
+        for (event in news.events) {
+            val isKnown = event.modRevision <= revision && modRevision(event.key) >= event.modRevision
+            if (isKnown) continue
+            val value = event.value
+            if (value == null) {
+                items.remove(event.key)
+            } else {
+                items[event.key] = KeyValue(event.key, value, event.modRevision)
+            }
+            changed.add(event.key)
         }
         if (news.revision > revision) revision = news.revision
         return changed
