--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -174,6 +174,7 @@
         )
     private val workers =
         WorkerApi(settings, membership, machines, peers, jobManager.cancellations.cancelledTasks, nowMs)
+    private val sharedKeyEvents = SharedKeyEvents(membership.sharedKeys, machines, jobManager, quota)
     private val userWorkerRouter = UserWorkerRouter(users, workers, cpuUsage)
     private val peerRouter = PeerRouter(peers, users, configuration, cpuUsage)
 
@@ -226,7 +227,7 @@
         fleetManager.onMachineTypes = { scheduler.requestCycle() }
         peers.onRetire = { fleetManager.retire(it) }
         peers.onNews = { scheduler.requestCycle() }
-        membership.onChange = { keys -> cpuUsage.of(CpuUsage.Kind.SHARED) { sharedChanged(keys) } }
+        membership.onChange = { keys -> cpuUsage.of(CpuUsage.Kind.SHARED) { sharedKeysChanged(keys) } }
         membership.onSummaries =
             { keys ->
                 cpuUsage.of(CpuUsage.Kind.SHARED) { peers.summariesChanged(keys) }
@@ -255,24 +256,11 @@
         scheduler.requestCycle()
     }
 
-    private fun sharedChanged(keys: Set<String>) {
+    private fun sharedKeysChanged(keys: Set<String>) {
         upgrade.sharedChanged()
         configuration.sharedChanged()
         jobManager.checkShards()
-        for (k in keys) {
-            if (k.startsWith(Keys.DELETED_MACHINE)) {
-                val name = k.removePrefix(Keys.DELETED_MACHINE)
-                if (membership.sharedKeys.has(k)) {
-                    machines.deletedNames.add(name)
-                    machines.of(name)?.let { jobManager.deleted(it) }
-                }
-            }
-            if (k.startsWith(Keys.CANCELLED_TASKS)) jobManager.cancellations.published(k)
-            if (k.startsWith(Keys.TEAM)) quota.teamChanged(k.removePrefix(Keys.TEAM))
-            if (k.startsWith(Keys.DRAIN)) {
-                machines.of(k.removePrefix(Keys.DRAIN))?.draining = membership.sharedKeys.has(k)
-            }
-        }
+        sharedKeyEvents.handleChanges(keys)
         peers.sharedChanged()
         scheduler.requestCycle()
     }
