--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -18,12 +18,10 @@
 import micatally.http.HttpCaller
 import micatally.http.HttpRequest
 import micatally.http.HttpResponse
-import micatally.job.AttemptState
 import micatally.job.JobManager
 import micatally.job.JobStore
 import micatally.job.RecordForms
 import micatally.job.ShardState
-import micatally.job.StopReason
 import micatally.membership.Keys
 import micatally.membership.Membership
 import micatally.membership.SharedKeyCache
@@ -40,7 +38,6 @@
 import micatally.upgrade.FormatVersion
 import micatally.upgrade.Upgrade
 import micatally.worker.CommandDispatcher
-import micatally.worker.Machine
 import micatally.worker.MachineRegistry
 import micatally.worker.WorkerReach
 import kotlin.random.Random
@@ -175,6 +172,8 @@
     private val workers =
         WorkerApi(settings, membership, machines, peers, jobManager.cancellations.cancelledTasks, nowMs)
     private val sharedKeyEvents = SharedKeyEvents(membership.sharedKeys, machines, jobManager, quota)
+    private val spotEvacuation = SpotEvacuation(machines, jobManager, dispatcher, settings.heartbeatIntervalMs)
+    private val unreachableMachineSearch = UnreachableMachineSearch(machines, fleetManager, peers, settings)
     private val userWorkerRouter = UserWorkerRouter(users, workers, cpuUsage)
     private val peerRouter = PeerRouter(peers, users, configuration, cpuUsage)
 
@@ -265,12 +264,6 @@
         scheduler.requestCycle()
     }
 
-    private fun isReachable(
-        m: Machine,
-        now: Long,
-    ) = !m.deleted && m.failuresInRow == 0 && now >= m.unreachableUntil &&
-        now - m.heardAt < settings.heartbeatIntervalMs * 2
-
     private suspend fun housekeeping() {
         var round = 0
         var bumpedAt = nowMs()
@@ -288,22 +281,7 @@
                 scheduler.migrateReplicas(now)
                 for (m in machines.byName.values) m.releaseOld(now)
             }
-            for (m in machines.byName.values) {
-                if (m.hasSpotNotice && !m.deleted) {
-                    var touched = false
-                    for (a in m.attempts.toList()) {
-                        if (a.stop != null || a.state < AttemptState.DISPATCHED) continue
-                        if (a.job.gang !=
-                            null
-                        ) {
-                            jobManager.gangs.stopOrderly(a.job, "${m.name} is taken back") { isReachable(it, now) }
-                        } else if (a.stop(StopReason.DRAIN, now)) {
-                            touched = true
-                        }
-                    }
-                    if (touched) dispatcher.requestSync(m)
-                }
-            }
+            spotEvacuation.run(now)
             if (dispatcher.needsHigherFencingToken && now - bumpedAt > settings.leaseMs / 2) {
                 dispatcher.needsHigherFencingToken = false
                 bumpedAt = now
@@ -323,7 +301,7 @@
                         "allotmentOveruse=${quota.audit.overuseCount} writes=${writeBudget.tell()} requests=${requestBudget.tell()}",
                 )
             }
-            if (round % 8 == 0) askForEnds(now)
+            if (round % 8 == 0) unreachableMachineSearch.run(now)
             if (round % 100 ==
                 0
             ) {
@@ -335,19 +313,6 @@
         }
     }
 
-    /** Machines that hold attempts of this node but that nobody hears: their end must be proven before the tasks move. */
-    private fun askForEnds(now: Long) {
-        for (m in machines.byName.values) {
-            if (m.deleted || m.attempts.isEmpty()) continue
-            if (now - m.heardAt > settings.leaseMs * 2 && m.heardAt == 0L ||
-                now - m.heardAt > settings.leaseMs + settings.leadershipMs + settings.leaseMs
-            ) {
-                fleetManager.retire(listOf(m.name))
-                peers.retire(m.name)
-            }
-        }
-    }
-
     /** Handles a request on the address for users and workers. */
     suspend fun handle(request: HttpRequest): HttpResponse = userWorkerRouter.route(request)
 
