--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -1,7 +1,6 @@
 package micatally.controller
 
 import kotlinx.coroutines.CoroutineScope
-import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import micatally.api.RecordReads
 import micatally.api.UserApi
@@ -172,8 +171,6 @@
     private val workers =
         WorkerApi(settings, membership, machines, peers, jobManager.cancellations.cancelledTasks, nowMs)
     private val sharedKeyEvents = SharedKeyEvents(membership.sharedKeys, machines, jobManager, quota)
-    private val spotEvacuation = SpotEvacuation(machines, jobManager, dispatcher, settings.heartbeatIntervalMs)
-    private val unreachableMachineSearch = UnreachableMachineSearch(machines, fleetManager, peers, settings)
     private val userWorkerRouter = UserWorkerRouter(users, workers, cpuUsage)
     private val peerRouter = PeerRouter(peers, users, configuration, cpuUsage)
 
@@ -236,7 +233,7 @@
         fleetManager.start()
         peers.start()
         archive.start()
-        scope.launch { housekeeping() }
+        scope.launch { periodicTasks().runForever() }
     }
 
     /** The form of the records changes, and with it how many attempts they have room for. */
@@ -264,52 +261,38 @@
         scheduler.requestCycle()
     }
 
-    private suspend fun housekeeping() {
-        var round = 0
-        var bumpedAt = nowMs()
-        var effortAt = bumpedAt
-        while (true) {
-            delay(settings.heartbeatIntervalMs / 4)
-            val now = nowMs()
-            cpuUsage.of(CpuUsage.Kind.HOUSE) {
-                membership.checkLeadership()
-                reach.review()
-                jobManager.sweep()
-                for (job in jobManager.openJobs()) if (job.gang != null) jobManager.gangs.review(job, now)
-                jobManager.faults.review(jobManager.openJobs(), now)
-                scheduler.requestCycle()
-                scheduler.migrateReplicas(now)
-                for (m in machines.byName.values) m.releaseOld(now)
-            }
-            spotEvacuation.run(now)
-            if (dispatcher.needsHigherFencingToken && now - bumpedAt > settings.leaseMs / 2) {
-                dispatcher.needsHigherFencingToken = false
-                bumpedAt = now
-                membership.raiseFencingToken("a run without an answer must not come late")
-            }
-            if (++round % 20 == 0) {
-                quota.handBack()
-                scope.launch { fleetManager.prune() }
-            }
-            if (round % 4 == 0) jobManager.cancellations.follow(now)
-            if (now - effortAt >
-                settings.leaseMs
-            ) {
-                effortAt = now
-                cpuUsage.tell(
-                    " machines=${machines.byName.size} waiting=${scheduler.unplaced.size} ${cpuUsage.news()} " +
-                        "allotmentOveruse=${quota.audit.overuseCount} writes=${writeBudget.tell()} requests=${requestBudget.tell()}",
-                )
-            }
-            if (round % 8 == 0) unreachableMachineSearch.run(now)
-            if (round % 100 ==
-                0
-            ) {
-                machines.byName.values.removeIf {
-                    it.deleted && it.attempts.isEmpty() &&
-                        now - it.heardAt > settings.leaseMs * 6
-                }
-            }
+    private fun periodicTasks(): PeriodicTasks {
+        val startedAtMs = nowMs()
+        val review = StateReview(membership, reach, jobManager, scheduler, machines)
+        val spotEvacuation = SpotEvacuation(machines, jobManager, dispatcher, settings.heartbeatIntervalMs)
+        val fencingTokenRaise = FencingTokenRaise(membership, dispatcher, settings.leaseMs / 2, startedAtMs)
+        val usageReport = CpuUsageReport(cpuUsage, settings.leaseMs, startedAtMs) { usageDetails() }
+        val unreachableMachineSearch = UnreachableMachineSearch(machines, fleetManager, peers, settings)
+        return PeriodicTasks(
+            tickMs = settings.heartbeatIntervalMs / TICKS_PER_HEARTBEAT,
+            nowMs,
+            listOf(
+                PeriodicTask("state review", 1) { now -> cpuUsage.of(CpuUsage.Kind.HOUSE) { review.run(now) } },
+                PeriodicTask("spot evacuation", 1) { now -> spotEvacuation.run(now) },
+                PeriodicTask("fencing token raise", 1) { now -> fencingTokenRaise.run(now) },
+                PeriodicTask("allotment release", 20) { quota.handBack() },
+                PeriodicTask("deletion record removal", 20) { scope.launch { fleetManager.prune() } },
+                PeriodicTask("cancellation confirmation", 4) { now -> jobManager.cancellations.follow(now) },
+                PeriodicTask("CPU usage report", 1) { now -> usageReport.run(now) },
+                PeriodicTask("unreachable machine search", 8) { now -> unreachableMachineSearch.run(now) },
+                PeriodicTask("deleted machine removal", 100) { now -> removeDeletedMachines(now) },
+            ),
+        )
+    }
+
+    private fun usageDetails() =
+        " machines=${machines.byName.size} waiting=${scheduler.unplaced.size} ${cpuUsage.news()} " +
+            "allotmentOveruse=${quota.audit.overuseCount} writes=${writeBudget.tell()} requests=${requestBudget.tell()}"
+
+    private fun removeDeletedMachines(nowMs: Long) {
+        machines.byName.values.removeIf { machine ->
+            val isSilent = nowMs - machine.heardAt > settings.leaseMs * DELETED_MACHINE_LEASES
+            machine.deleted && machine.attempts.isEmpty() && isSilent
         }
     }
 
@@ -320,6 +303,12 @@
     suspend fun handlePeer(request: HttpRequest): HttpResponse = peerRouter.route(request)
 
     private companion object {
+        /** Periodic tasks run in ticks; so many of them fit in the interval of workers' heartbeats. */
+        const val TICKS_PER_HEARTBEAT = 4
+
+        /** A deleted machine is forgotten so many leases after its last heartbeat. */
+        const val DELETED_MACHINE_LEASES = 6
+
         /** The share of this node's requests to the state service that users' questions may take. */
         const val QUESTION_SHARE = 0.5
     }
--- /dev/null
+++ b/src/main/kotlin/micatally/controller/PeriodicTask.kt
@@ -0,0 +1,47 @@
+package micatally.controller
+
+import kotlinx.coroutines.delay
+import org.slf4j.LoggerFactory
+
+/**
+ * Work that repeats for as long as a controller runs.
+ *
+ * @property name what the task is called in the log
+ * @property intervalTicks the task runs at each tick whose number is a multiple of this
+ * @property run does the work once; gets the time of the tick, in milliseconds on the controller's clock
+ */
+class PeriodicTask(
+    val name: String,
+    val intervalTicks: Int,
+    val run: suspend (nowMs: Long) -> Unit,
+)
+
+/**
+ * Runs tasks one after another in a single coroutine. The tasks of a tick run in the order of the list and all get the
+ * same time; the next tick begins [tickMs] milliseconds after the last of them has returned.
+ */
+class PeriodicTasks(
+    private val tickMs: Long,
+    private val nowMs: () -> Long,
+    private val tasks: List<PeriodicTask>,
+) {
+    private val log = LoggerFactory.getLogger("micatally.controller")
+
+    /** Runs the tasks until the coroutine is cancelled or a task fails. The first tick is after one interval. */
+    suspend fun runForever() {
+        log.debug("every {} ms one tick of {}", tickMs, tasks.joinToString { "${it.name} (${it.intervalTicks})" })
+        var tick = 0
+        while (true) {
+            delay(tickMs)
+            tick++
+            runTick(tick)
+        }
+    }
+
+    private suspend fun runTick(tick: Int) {
+        val now = nowMs()
+        for (task in tasks) {
+            if (tick % task.intervalTicks == 0) task.run(now)
+        }
+    }
+}
