--- /dev/null
+++ b/src/test/kotlin/micatally/sim/DelayedWriteTest.kt
@@ -0,0 +1,136 @@
+package micatally.sim
+
+import kotlinx.coroutines.launch
+import micatally.http.HttpRequest
+import micatally.membership.Keys
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+
+/**
+ * Writes that the state store carries out late or whose answer is lost: each transaction is conditional on what it changes,
+ * so none takes effect once its decision is out of date.
+ */
+class DelayedWriteTest {
+    /** Guard: each transaction is conditional on what it changes, the live key included ([micatally.membership.Membership]). */
+    @Test
+    fun `transactions without an answer are carried out late, after newer ones of the same controller`() =
+        each(big) {
+            val jobIds = (0..2).flatMap { listOf(submit(it, "daemon", 1), longArray(it, 2)) }
+            allRun(jobIds)
+            f.lateWrites = 0.4
+            val more = ArrayList<String>()
+            repeat(10) { i ->
+                val s =
+                    spec("sweep", 2).also {
+                        f.runs[it.jobId] = 5000
+                        more.add(it.jobId)
+                    }
+                f.user(
+                    s,
+                    if (i % 3 ==
+                        0
+                    ) {
+                        4000L
+                    } else {
+                        null
+                    },
+                    nosy = true,
+                )
+                f.runFor(1500)
+            }
+            for (n in 0..2) {
+                f.crash(n)
+                f.runFor(400)
+                f.startNode(n)
+                f.runFor(f.lease / 2)
+            }
+            cancel(jobIds[1], listOf(0, 1, 2))
+            f.runFor(f.lease)
+            f.lateWrites = 0.0
+            assertTrue(f.writesWithoutAnswer > 10)
+            f.runFor(15_000)
+            afterwards(jobIds)
+            for (r in more) assertTrue(f.rules.isFinal(r), "$r has ended")
+        }
+
+    /** The live key was written without a condition: carried out late it was tied to a lease that nobody renewed any more. The
+     * key went, peers took the shard, and its host went on answering from memory. */
+    @Test
+    fun `a live key that is written late does not end the life of its host`() =
+        scenario(1, big) {
+            f.crash(0)
+            f.runFor(300)
+            var held = 0
+            f.holdWriteOf = { n, body -> if (n == 0 && "\"put\":\"c/live/" in body && held++ == 0) 8000 else null }
+            f.startNode(0)
+            runUntil(f.lease, "it is live and has its ledger") { holdsOf(0, 0) }
+            assertTrue(held > 0)
+            val until = f.now + f.lease * 3
+            while (f.now < until) {
+                f.step(100)
+                assertEquals(0, leader(0), "at ${f.now}")
+            }
+        }
+
+    /** A takeover was conditional on the shard alone: carried out late it took the shard of a host that had come back. */
+    @Test
+    fun `a takeover that is carried out late does not take the ledger of a host that is live again`() =
+        scenario(2, big) {
+            var held = 0
+            f.holdWriteOf =
+                { n, body ->
+                    if (n != 0 && "\"put\":\"c/ledger/pitbox-0\"" in body) {
+                        held++
+                        7000L
+                    } else {
+                        null
+                    }
+                }
+            f.stateRefuses.add("n0")
+            runUntil(f.lease * 2, "a takeover is under way") { held > 0 }
+            f.stateRefuses.clear()
+            runUntil(5000, "its host is live again") { f.live[0]!!.membership.leaseHolds() }
+            f.runFor(12_000)
+            assertEquals(0, leader(0))
+        }
+
+    /** The answer that gave a node the fleet's key was lost: the key stayed its own, and nobody rented or returned machines. */
+    @Test
+    fun `whoever has the fleet's key without having heard of it keeps the fleet`() =
+        scenario(4) {
+            for (i in 0..2) f.crash(i)
+            f.runFor(f.lease)
+            var lost = 0
+            f.loseAnswerOf = { _, body -> "\"put\":\"c/fleet\"" in body && lost++ < 2 }
+            for (i in 0..2) f.startNode(i)
+            f.runFor(f.lease)
+            val jobId = submit(1, "daemon", 1)
+            runUntil(f.lease * 4, "a machine is rented for it") { tasks(jobId).isNotEmpty() }
+            assertTrue(lost > 0)
+        }
+
+    /** A drain that was written late, after it had been called off, kept a machine without work for good. */
+    @Test
+    fun `a drain that nobody decided is taken off`() =
+        scenario(7) {
+            val jobId = submit(0, "daemon", 2)
+            allRun(listOf(jobId))
+            val key = Keys.DRAIN + tasks(jobId).first().machine
+            f.scope.launch {
+                f.state.handle(
+                    HttpRequest(
+                        "POST",
+                        "/txn",
+                        "{\"when\":[],\"then\":[{\"put\":\"$key\",\"value\":{\"by\":\"pitbox-0\"}}]}".toByteArray(),
+                    ),
+                )
+            }
+            f.runFor(500)
+            assertTrue(f.state.keysUnder(Keys.DRAIN).contains(key))
+            f.runFor(f.lease)
+            assertFalse(f.state.keysUnder(Keys.DRAIN).contains(key))
+            assertEquals(2, tasks(jobId).size)
+        }
+}
