--- /dev/null
+++ b/src/main/kotlin/micatally/peer/DeltaReceiver.kt
@@ -0,0 +1,66 @@
+@file:OptIn(kotlinx.serialization.ExperimentalSerializationApi::class)
+
+package micatally.peer
+
+import kotlinx.serialization.decodeFromByteArray
+import kotlinx.serialization.encodeToByteArray
+import kotlinx.serialization.protobuf.ProtoBuf
+import micatally.job.JobManager
+import micatally.membership.Membership
+import micatally.wire.PeerDelta
+import micatally.wire.PeerDeltaResponse
+import micatally.worker.MachineRegistry
+
+/** Takes in the deltas of peers and answers them. */
+internal class DeltaReceiver(
+    private val connections: List<PeerConnection>,
+    private val membership: Membership,
+    private val machines: MachineRegistry,
+    private val jobManager: JobManager,
+    private val peerSummaries: PeerCapacitySummaries,
+    private val listener: PeerListener,
+    private val nowMs: () -> Long,
+) {
+    /**
+     * Handles an encoded [PeerDelta] and returns the encoded [PeerDeltaResponse]. Does not suspend.
+     *
+     * @throws kotlinx.serialization.SerializationException if [body] is malformed
+     */
+    fun receiveDelta(body: ByteArray): ByteArray {
+        val delta = ProtoBuf.decodeFromByteArray<PeerDelta>(body)
+        connections.find { it.peer.host == delta.host }?.received(nowMs(), delta.hasStateStoreContact)
+        val hasNewStatus = applyStatuses(delta)
+        val isSummaryComplete = delta.summary?.let { peerSummaries.apply(it) } ?: true
+        if (delta.deletionRequests.isNotEmpty()) listener.deletionRequested(delta.deletionRequests)
+        if (delta.summary != null || hasNewStatus) listener.clusterStateChanged()
+        return ProtoBuf.encodeToByteArray(response(isSummaryComplete))
+    }
+
+    /** Returns whether any status was newer than what is known here. */
+    private fun applyStatuses(delta: PeerDelta): Boolean {
+        var hasNewStatus = false
+        for (status in delta.machineStatuses) if (machines.apply(status)) hasNewStatus = true
+        for (status in delta.heartbeatAcknowledgements) {
+            machines.heard(status)
+            machines.of(status.machine)?.heardBy(delta.host, nowMs() - status.ageMs)
+        }
+        return hasNewStatus
+    }
+
+    /** The fencing token is named only if the list of cancelled tasks is complete: the peer takes it as confirmation. */
+    private fun response(isSummaryComplete: Boolean): PeerDeltaResponse {
+        val cancelledTasks = jobManager.cancellations.unfinishedTasks()
+        val maxTasks = maxOf(MIN_CANCELLED_TASKS, machines.byName.size)
+        val isListComplete = jobManager.settled && cancelledTasks.size <= maxTasks
+        return PeerDeltaResponse(
+            needsFullSummary = !isSummaryComplete,
+            fencingToken = if (isListComplete) membership.sharedKeys.fencingToken else 0,
+            cancelledTasks = cancelledTasks.take(maxTasks),
+        )
+    }
+
+    private companion object {
+        /** A response lists at least so many cancelled tasks; in a large fleet one for each machine. */
+        const val MIN_CANCELLED_TASKS = 500
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/micatally/peer/DeltaSender.kt
@@ -0,0 +1,108 @@
+@file:OptIn(kotlinx.serialization.ExperimentalSerializationApi::class)
+
+package micatally.peer
+
+import kotlinx.serialization.decodeFromByteArray
+import kotlinx.serialization.encodeToByteArray
+import kotlinx.serialization.protobuf.ProtoBuf
+import micatally.http.HttpCaller
+import micatally.http.Outcome
+import micatally.job.JobManager
+import micatally.membership.Membership
+import micatally.settings.Settings
+import micatally.wire.MachineStatus
+import micatally.wire.PeerDelta
+import micatally.wire.PeerDeltaResponse
+import micatally.worker.MachineRegistry
+
+/** Builds the deltas for peers, sends them and takes in the responses. */
+internal class DeltaSender(
+    private val http: HttpCaller,
+    private val settings: Settings,
+    private val membership: Membership,
+    private val machines: MachineRegistry,
+    private val jobManager: JobManager,
+    private val localSummary: LocalCapacitySummary,
+    private val nowMs: () -> Long,
+) {
+    private val timings = PeerTimings(settings)
+    private val localHeartbeats = LocalHeartbeats(machines, timings, nowMs)
+    private val pendingDeletions = LinkedHashSet<String>()
+
+    /** Each machine may have a new status in each heartbeat interval, and all of them have to get through in that time. */
+    private val maxStatuses
+        get() = maxOf(MIN_STATUSES_PER_DELTA, machines.byName.size / PeerTimings.EXCHANGES_PER_HEARTBEAT)
+
+    /** Asks the peers to have the machine deleted, with the next delta. */
+    fun requestDeletion(machine: String) {
+        pendingDeletions.add(machine)
+    }
+
+    /** Whether a delta has to be sent to the peer now. */
+    fun isDeltaDue(connection: PeerConnection): Boolean =
+        !connection.isExchanging && nowMs() >= connection.retryAt && hasChangesFor(connection)
+
+    private fun hasChangesFor(connection: PeerConnection): Boolean =
+        connection.hasUnsentMachines ||
+            connection.acknowledgedSummaryVersion != localSummary.version ||
+            areAcknowledgementsDue(connection) ||
+            pendingDeletions.isNotEmpty()
+
+    private fun areAcknowledgementsDue(connection: PeerConnection) =
+        nowMs() - connection.acknowledgementsSentAt > timings.acknowledgementIntervalMs
+
+    /** Sends one delta and waits for the response. What a failed delta carried is due again. */
+    suspend fun sendDelta(connection: PeerConnection) {
+        // Taken out before the message leaves: what changes while it is in flight has to be sent again.
+        val changedMachines = connection.takeUnsentMachines(maxStatuses)
+        val acknowledgements = if (areAcknowledgementsDue(connection)) localHeartbeats.recent() else emptyList()
+        val deletions = pendingDeletions.toList()
+        val summaryVersion = localSummary.version
+        val delta = buildDelta(connection, changedMachines, acknowledgements, deletions)
+        val sentAt = nowMs()
+        val outcome =
+            http.call(
+                connection.peer.addr,
+                "POST",
+                PeerPaths.DELTA,
+                ProtoBuf.encodeToByteArray(delta),
+                timings.deltaTimeoutMs,
+            )
+        val isAccepted = outcome is Outcome.Answer && outcome.status == HTTP_OK
+        if (!isAccepted) {
+            connection.exchangeFailed(changedMachines, nowMs(), timings::retryDelayMs)
+            return
+        }
+        connection.resetFailures()
+        val response = ProtoBuf.decodeFromByteArray<PeerDeltaResponse>(outcome.body)
+        connection.acknowledgedSummaryVersion = if (response.needsFullSummary) 0 else summaryVersion
+        jobManager.cancellations.cancelledTasks.take(response.cancelledTasks)
+        connection.exchangeSucceeded(sentAt, response.fencingToken)
+        if (acknowledgements.isNotEmpty()) connection.acknowledgementsSentAt = sentAt
+        pendingDeletions.removeAll(deletions.toSet())
+    }
+
+    private fun buildDelta(
+        connection: PeerConnection,
+        changedMachines: List<String>,
+        acknowledgements: List<MachineStatus>,
+        deletions: List<String>,
+    ): PeerDelta {
+        val baseVersion = connection.acknowledgedSummaryVersion
+        return PeerDelta(
+            machineStatuses = changedMachines.mapNotNull { machines.of(it) }.map { machines.note(it, true) },
+            summary = if (baseVersion != localSummary.version) localSummary.changesSince(baseVersion) else null,
+            deletionRequests = deletions,
+            heartbeatAcknowledgements = acknowledgements,
+            hasStateStoreContact = membership.viewAgeMs < timings.stateStoreContactMs,
+            host = settings.host,
+        )
+    }
+
+    private companion object {
+        const val HTTP_OK = 200
+
+        /** A delta carries at least so many machines; more in a large fleet, see [maxStatuses]. */
+        const val MIN_STATUSES_PER_DELTA = 100
+    }
+}
--- a/src/main/kotlin/micatally/peer/LocalCapacitySummary.kt
+++ b/src/main/kotlin/micatally/peer/LocalCapacitySummary.kt
@@ -21,26 +21,26 @@
     private val jobManager: JobManager,
     private val scheduler: Scheduler,
 ) {
-    /** This node's room on a machine, and the number of the summary in which it changed last. */
+    /** This node's room on a machine, and the version of the summary in which it changed last. */
     private class Mine(
         val room: HeldCapacity,
-        val number: Long,
+        val version: Long,
     )
 
     private val mine = HashMap<String, Mine>()
     private var demand: List<ResourceRequest> = emptyList()
 
     /** Services that came to this node lately. */
-    var recent: List<ResourceRequest> = emptyList()
+    var recentServices: List<ResourceRequest> = emptyList()
         private set
 
     /** Of this node's summary; 0 until it first knows what it holds. */
-    var number = 0L
+    var version = 0L
         private set
 
     /** Finds what has changed since the last look. */
     fun refresh() {
-        val next = number + 1
+        val next = version + 1
         var changed = false
         for (m in machines.byName.values) {
             val old = mine[m.name]?.room
@@ -72,26 +72,26 @@
             changed = true
         }
         val recentNow = jobManager.recentServices()
-        if (recentNow != recent) {
-            recent = recentNow
+        if (recentNow != recentServices) {
+            recentServices = recentNow
             changed = true
         }
-        if (changed || number == 0L) number = next
+        if (changed || version == 0L) version = next
     }
 
-    /** What has changed since the summary with the number [base]; all of it for 0. */
-    fun since(base: Long) =
+    /** What has changed since the summary with the version [base]; all of it for 0. */
+    fun changesSince(base: Long) =
         CapacitySummary(
             settings.host,
             membership.process,
-            number,
+            version,
             mine.values
                 .filter {
-                    it.number > base && (base > 0 || it.room.isHeld)
+                    it.version > base && (base > 0 || it.room.isHeld)
                 }.map { it.room },
             demand,
             base,
-            recentServices = recent,
+            recentServices = recentServices,
         )
 
     /** Machines on which this node holds anything. */
@@ -104,14 +104,14 @@
     ): Any = roomsOn(names) to (if (piece == 0) demand else null)
 
     /** The first piece brings the demand as well. */
-    fun piece(
+    fun partition(
         names: List<String>,
         piece: Int,
         pieces: Int,
     ) = CapacitySummary(
         settings.host,
         membership.process,
-        number,
+        version,
         roomsOn(names),
         if (piece == 0) demandsInPiece() else emptyList(),
         0,
--- a/src/main/kotlin/micatally/peer/PeerCapacitySummaries.kt
+++ b/src/main/kotlin/micatally/peer/PeerCapacitySummaries.kt
@@ -40,12 +40,12 @@
     val demand: List<ResourceRequest> get() = theirs.filterKeys { it !in orphanedAt }.values.flatMap { it.demand }
 
     /** A machine has become known: what peers hold on it counts. */
-    fun machineFound(machine: Machine) {
+    fun machineAdded(machine: Machine) {
         for ((host, t) in theirs) t.rooms[machine.name]?.let { hold(host, machine, it) }
     }
 
     /** Takes a peer's summary; false if its changes don't join on to what is here. */
-    fun take(s: CapacitySummary): Boolean {
+    fun apply(s: CapacitySummary): Boolean {
         if (s.host == settings.host) return true
         val old = theirs[s.host]?.takeIf { it.process == s.process }
         if (old != null && old.number >= s.version) return true
@@ -64,7 +64,7 @@
 
     /** A piece that came through the state service: it counts where nothing newer came directly. What it lacks of its
      * own bucket is given up; of other buckets it says nothing. */
-    fun takePiece(s: CapacitySummary) {
+    fun applyPartition(s: CapacitySummary) {
         if (s.host == settings.host) return
         // A former process of that host may have left pieces behind.
         val current =
@@ -136,7 +136,7 @@
 
     /** The shared keys have changed: summaries that have no one behind them any more go, a while later. Who took their
      * shards over has to load them before it can say what it holds. */
-    fun sharedChanged() {
+    fun sharedKeysChanged() {
         if (theirs.isEmpty()) return
         val holders = membership.sharedKeys.shards().mapNotNullTo(HashSet()) { membership.sharedKeys.leader(it)?.host }
         for (host in theirs.keys) {
@@ -151,7 +151,7 @@
     private val orphanedAt = HashMap<String, Long>()
 
     /** Forgets summaries that nobody stands behind any more, once whoever took their shards over has told. */
-    fun forgetOrphans() {
+    fun removeOrphans() {
         if (orphanedAt.isEmpty()) return
         for ((host, at) in orphanedAt.entries.map { it.key to it.value }) {
             if (nowMs() - at <= settings.handOverMs) continue
--- /dev/null
+++ b/src/main/kotlin/micatally/peer/StoredSummaryReader.kt
@@ -0,0 +1,44 @@
+@file:OptIn(kotlinx.serialization.ExperimentalSerializationApi::class)
+
+package micatally.peer
+
+import kotlinx.serialization.decodeFromByteArray
+import kotlinx.serialization.protobuf.ProtoBuf
+import micatally.membership.Keys
+import micatally.membership.Membership
+import micatally.settings.Settings
+import micatally.wire.CapacitySummary
+import micatally.wire.HeartbeatAcknowledgements
+import micatally.worker.MachineRegistry
+
+/** Takes in what peers publish in the state store for controllers that they can't reach directly. */
+internal class StoredSummaryReader(
+    private val membership: Membership,
+    private val machines: MachineRegistry,
+    private val peerSummaries: PeerCapacitySummaries,
+    settings: Settings,
+) {
+    private val localCapacityPrefix = Keys.CAPACITY + settings.host + "/"
+    private val localHeartbeatsPrefix = Keys.HEARTBEATS + settings.host + "/"
+
+    /** The values of [keys] have changed in the state store. Keys of this controller and of other kinds are skipped. */
+    fun storedSummariesChanged(keys: Set<String>) {
+        for (key in keys) {
+            if (isCapacityOfPeer(key)) {
+                bytesOf(key)?.let { peerSummaries.applyPartition(ProtoBuf.decodeFromByteArray<CapacitySummary>(it)) }
+            } else if (isHeartbeatsOfPeer(key)) {
+                bytesOf(key)?.let { applyHeartbeats(ProtoBuf.decodeFromByteArray<HeartbeatAcknowledgements>(it)) }
+            }
+        }
+    }
+
+    private fun isCapacityOfPeer(key: String) = key.startsWith(Keys.CAPACITY) && !key.startsWith(localCapacityPrefix)
+
+    private fun isHeartbeatsOfPeer(key: String) = key.startsWith(Keys.HEARTBEATS) && !key.startsWith(localHeartbeatsPrefix)
+
+    private fun bytesOf(key: String): ByteArray? = membership.summaries.value(key)?.let { SummaryPartitions.unpack(it) }
+
+    private fun applyHeartbeats(acknowledgements: HeartbeatAcknowledgements) {
+        for (status in acknowledgements.machineStatuses) machines.heard(status)
+    }
+}
--- a/src/main/kotlin/micatally/peer/SummaryPartitions.kt
+++ b/src/main/kotlin/micatally/peer/SummaryPartitions.kt
@@ -8,6 +8,7 @@
 import micatally.state.Transaction
 import micatally.state.TransactionResult
 import micatally.state.Urgency
+import micatally.wire.textOrNull
 import java.util.Base64
 
 /** The piece of a list that a machine belongs to, of [partitionCount]. */
@@ -84,7 +85,10 @@
             put("b", Base64.getEncoder().encodeToString(bytes))
         }
 
-    private companion object {
-        const val ENVELOPE_BYTES = 64
+    companion object {
+        private const val ENVELOPE_BYTES = 64
+
+        /** The bytes of a stored partition; null if the value has none. */
+        fun unpack(value: JsonObject): ByteArray? = value.textOrNull("b")?.let { Base64.getDecoder().decode(it) }
     }
 }
