--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -30,7 +30,6 @@
 import micatally.scheduling.Scheduler
 import micatally.settings.Operator
 import micatally.settings.Settings
-import micatally.state.RateBudget
 import micatally.state.ReadResult
 import micatally.state.StateStoreClient
 import micatally.state.Urgency
@@ -57,29 +56,22 @@
     },
 ) {
     private val cpuUsage = CpuUsage(nowNs)
-    private val share = 0.95 / settings.controllers
-    private val requestBudget = RateBudget(scope, settings.stateLimits.rps * share, nowMs)
-    private val writeBudget =
-        RateBudget(
-            scope,
-            settings.stateWriteRps * share,
-            nowMs,
-            settings.stateWriteRps * (0.95 - share),
-        )
+    private val budgets = RequestBudgets(scope, settings, nowMs)
+    private val stateTimeoutMs = settings.leaseMs / STATE_TIMEOUTS_PER_LEASE
     private val state =
         StateStoreClient(
             http,
             settings.stateAddr,
-            requestBudget,
-            writeBudget,
-            settings.leaseMs / 8,
+            budgets.stateRequests,
+            budgets.stateWrites,
+            stateTimeoutMs,
         )
     private val cloud =
         CloudClient(
             http,
             settings.cloudAddr,
-            RateBudget(scope, settings.cloudRps * 0.9, nowMs),
-            settings.leaseMs / 2,
+            budgets.cloudRequests,
+            settings.leaseMs / CLOUD_TIMEOUTS_PER_LEASE,
         )
     val membership =
         Membership(scope, settings, state, SharedKeyCache(), random, nowMs, operator.archiveMode == ArchiveMode.ON)
@@ -98,8 +90,8 @@
             scope,
             state,
             forms,
-            settings.heartbeatIntervalMs / 4,
-            settings.leaseMs / 10,
+            settings.heartbeatIntervalMs / WRITE_RETRIES_PER_HEARTBEAT,
+            settings.leaseMs / COUNT_WRITES_PER_LEASE,
             { archive.mayBeUsed },
             nowMs,
         )
@@ -143,14 +135,7 @@
     private val reach = WorkerReach(scope, http, settings, machines, nowMs)
     private val fleetManager =
         FleetManager(scope, http, settings, state, cloud, membership, machines, fleetDemand(), operator, nowMs)
-    private val questionRps = settings.stateLimits.rps * share * QUESTION_SHARE
-    private val reads =
-        RecordReads(
-            lookup,
-            RateBudget(scope, questionRps, nowMs),
-            maxOf(1, questionRps.toInt()),
-            settings.leaseMs / 8,
-        )
+    private val reads = RecordReads(lookup, budgets.userReads, budgets.maxWaitingUserReads, stateTimeoutMs)
     private val users =
         UserApi(
             settings,
@@ -287,7 +272,8 @@
 
     private fun usageDetails() =
         " machines=${machines.byName.size} waiting=${scheduler.unplaced.size} ${cpuUsage.news()} " +
-            "allotmentOveruse=${quota.audit.overuseCount} writes=${writeBudget.tell()} requests=${requestBudget.tell()}"
+            "allotmentOveruse=${quota.audit.overuseCount} " +
+            "writes=${budgets.stateWrites.tell()} requests=${budgets.stateRequests.tell()}"
 
     private fun removeDeletedMachines(nowMs: Long) {
         machines.byName.values.removeIf { machine ->
@@ -309,7 +295,16 @@
         /** A deleted machine is forgotten so many leases after its last heartbeat. */
         const val DELETED_MACHINE_LEASES = 6
 
-        /** The share of this node's requests to the state service that users' questions may take. */
-        const val QUESTION_SHARE = 0.5
+        /** A request to the state store is given up after this part of a lease. */
+        const val STATE_TIMEOUTS_PER_LEASE = 8
+
+        /** A request to the cloud is given up after this part of a lease. */
+        const val CLOUD_TIMEOUTS_PER_LEASE = 2
+
+        /** A write of a job record that failed is repeated after this part of a heartbeat interval. */
+        const val WRITE_RETRIES_PER_HEARTBEAT = 4
+
+        /** Counts of finished tasks are written once in this part of a lease. */
+        const val COUNT_WRITES_PER_LEASE = 10
     }
 }
