--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -40,8 +40,15 @@
 import micatally.worker.WorkerReach
 import kotlin.random.Random
 
-/** One controller: all parts, put together. Requests leave through [http], time and randomness come from outside, so
- * several controllers can run in one simulation. */
+/**
+ * One controller: creates all parts and connects them. Requests leave through the [HttpCaller], and time and randomness come
+ * from outside, so that several controllers can run in one simulation. All calls have to come from the coroutine scope's one
+ * thread.
+ *
+ * @param nowMs the controller's monotonic clock in milliseconds
+ * @param wallMs the time of day, in milliseconds since 1970
+ * @param nowNs a monotonic clock in nanoseconds, only for the measurement of CPU usage
+ */
 class Controller(
     private val scope: CoroutineScope,
     private val settings: Settings,
@@ -50,10 +57,7 @@
     private val nowMs: () -> Long,
     wallMs: () -> Long,
     operator: Operator = Operator.DEFAULT,
-    nowNs: () -> Long = {
-        nowMs() *
-            1_000_000
-    },
+    nowNs: () -> Long = { nowMs() * NANOS_PER_MILLI },
 ) {
     private val cpuUsage = CpuUsage(nowNs)
     private val budgets = RequestBudgets(scope, settings, nowMs)
@@ -73,12 +77,18 @@
             budgets.cloudRequests,
             settings.leaseMs / CLOUD_TIMEOUTS_PER_LEASE,
         )
+
+    /** Leases, the fencing token and this controller's copy of the shared keys. */
     val membership =
         Membership(scope, settings, state, SharedKeyCache(), random, nowMs, operator.archiveMode == ArchiveMode.ON)
+
+    /** All machines that this controller knows of. */
     val machines = MachineRegistry(nowMs)
     private val wantedFormat =
         if (operator.storesTeams) FormatVersion.STORED_TEAMS else FormatVersion.PACKED_RECORDS
-    private val upgrade = Upgrade(scope, settings, state, membership.sharedKeys, wantedFormat) { uniform() }
+    private val upgrade = Upgrade(scope, settings, state, membership.sharedKeys, wantedFormat) { recordFormatRaised() }
+
+    /** The teams and their limits, as they are in force. */
     val configuration =
         ConfigurationService(scope, settings, state, membership, upgrade, http, nowMs, wallMs)
     private val forms = RecordForms(settings.stateLimits) { upgrade.isUniform }
@@ -95,6 +105,8 @@
             { archive.mayBeUsed },
             nowMs,
         )
+
+    /** The jobs of the shards that this controller leads. */
     val jobManager = JobManager(scope, settings, state, membership, machines, store, nowMs, wallMs)
     private val dispatcher =
         CommandDispatcher(
@@ -108,9 +120,16 @@
             nowMs,
         )
     private val quota =
-        Quota(scope, state, membership.sharedKeys, configuration.teams, {
-            jobManager.shards.values.filter { it.mine }
-        }, settings.controllers) { scheduler.requestCycle() }
+        Quota(
+            scope,
+            state,
+            membership.sharedKeys,
+            configuration.teams,
+            { jobManager.shards.values.filter { it.mine } },
+            settings.controllers,
+        ) { scheduler.requestCycle() }
+
+    /** Decides where the tasks of [jobManager]'s jobs run. */
     val scheduler: Scheduler =
         Scheduler(
             scope,
@@ -120,21 +139,14 @@
             store,
             quota,
             dispatcher,
-            PriorityQueues(
-                operator.queueBounds.map {
-                    it *
-                        settings.leaseMs /
-                        1000.0
-                },
-                operator.promotionRatio,
-            ),
+            priorityQueues(operator),
             cpuUsage,
             nowMs,
         )
     private val peers = Peers(scope, http, settings, state, membership, machines, jobManager, scheduler, nowMs)
     private val reach = WorkerReach(scope, http, settings, machines, nowMs)
     private val fleetManager =
-        FleetManager(scope, http, settings, state, cloud, membership, machines, fleetDemand(), operator, nowMs)
+        FleetManager(scope, http, settings, state, cloud, membership, machines, pendingWorkload(), operator, nowMs)
     private val reads = RecordReads(lookup, budgets.userReads, budgets.maxWaitingUserReads, stateTimeoutMs)
     private val users =
         UserApi(
@@ -159,12 +171,18 @@
     private val userWorkerRouter = UserWorkerRouter(users, workers, cpuUsage)
     private val peerRouter = PeerRouter(peers, users, configuration, cpuUsage)
 
+    /** The operators' bounds are in leases, the queues' in seconds. */
+    private fun priorityQueues(operator: Operator): PriorityQueues {
+        val boundsSeconds = operator.queueBounds.map { it * settings.leaseMs / MILLIS_PER_SECOND }
+        return PriorityQueues(boundsSeconds, operator.promotionRatio)
+    }
+
     private fun loadedShards() =
         object : LoadedShards {
             override fun loaded(name: String) = jobManager.shards[name]?.takeIf { it.state == ShardState.ACTIVE }
         }
 
-    private fun fleetDemand() =
+    private fun pendingWorkload() =
         object : PendingWorkload {
             override fun unplaced() = scheduler.unplaced.values.toList() + peers.demandOfPeers()
 
@@ -173,9 +191,10 @@
             override fun silentZones() = peers.silentZones()
         }
 
-    /** Whether this node rents and returns machines for all. */
+    /** Whether this controller scales the fleet out and in for all. */
     val isFleetManager get() = fleetManager.isLeader
 
+    /** Connects the parts and starts their coroutines. To be called once, before the first request is handled. */
     fun start() {
         jobManager.dispatcher = dispatcher
         configuration.start { former, next -> configurationApplied(former, next) }
@@ -221,13 +240,13 @@
         scope.launch { periodicTasks().runForever() }
     }
 
-    /** The form of the records changes, and with it how many attempts they have room for. */
-    private fun uniform() {
+    /** All controllers read the new record format now: a record that was full may have room for more attempts in it. */
+    private fun recordFormatRaised() {
         for (job in jobManager.openJobs()) job.attemptLimit = Int.MAX_VALUE
         scheduler.requestCycle()
     }
 
-    /** What is decided and not sent is given up where a limit is exceeded now, before the version counts as applied. */
+    /** Attempts that were decided but not sent end where a limit is exceeded now, before the version counts as applied. */
     private fun configurationApplied(
         former: Configuration,
         next: Configuration,
@@ -237,6 +256,7 @@
         scheduler.requestCycle()
     }
 
+    /** Parts that rest on others come after them: the format, the configuration, then the shards, then single keys. */
     private fun sharedKeysChanged(keys: Set<String>) {
         upgrade.sharedChanged()
         configuration.sharedChanged()
@@ -289,6 +309,9 @@
     suspend fun handlePeer(request: HttpRequest): HttpResponse = peerRouter.route(request)
 
     private companion object {
+        const val NANOS_PER_MILLI = 1_000_000L
+        const val MILLIS_PER_SECOND = 1000.0
+
         /** Periodic tasks run in ticks; so many of them fit in the interval of workers' heartbeats. */
         const val TICKS_PER_HEARTBEAT = 4
 
