--- a/src/main/kotlin/micatally/gang/GangPlacement.kt
+++ b/src/main/kotlin/micatally/gang/GangPlacement.kt
@@ -4,14 +4,14 @@
  * A machine that could take tasks of a gang.
  *
  * @property capacity how many of its tasks fit
- * @property fetchS how long the image takes there
+ * @property imagePullS how long the image takes there
  * @property cost what the machine costs the gang, in seconds; the image's time is part of it
  */
 class GangCandidate<M>(
     val machine: M,
     val zone: String,
     val capacity: Int,
-    val fetchS: Double,
+    val imagePullS: Double,
     val cost: Double,
 )
 
@@ -21,7 +21,7 @@
 ) {
     /** The gang starts when the last machine has the image; every further machine is one more that may be late. */
     val cost = machines.maxOf { it.cost } + machines.distinct().size * MACHINE_COST
-    val fetchS = machines.maxOf { it.fetchS }
+    val imagePullS = machines.maxOf { it.imagePullS }
 
     private companion object {
         const val MACHINE_COST = 0.1
--- a/src/main/kotlin/micatally/scheduling/AllOrNothingPlacement.kt
+++ b/src/main/kotlin/micatally/scheduling/AllOrNothingPlacement.kt
@@ -21,30 +21,30 @@
     private val jobManager: JobManager,
     private val store: JobStore,
     private val quota: Quota,
-    private val onNoRoom: (Job, ResourceRequest) -> Unit,
+    private val onNoCapacity: (Job, ResourceRequest) -> Unit,
 ) {
     /** A whole run of a gang, or tasks that a run which waits has lost. */
     fun placeGang(
         job: Job,
         spec: JobSpec,
         gang: Gang,
-        room: Int,
+        maxAttempts: Int,
         now: Long,
     ): Boolean {
         val missing = job.pending(spec.taskCount)
         val isReplacing = gang.phase == GangPhase.WAITING
         val mayPlace = if (isReplacing) jobManager.gangs.mayReplace(job, gang, now) else gang.phase == GangPhase.PLACING
-        if (missing.isEmpty() || !mayPlace || missing.size > room) return true
+        if (missing.isEmpty() || !mayPlace || missing.size > maxAttempts) return true
         if (!isReplacing) {
             return placeWhole(job, spec, missing, now) { job.nextAttempt++.also { gang.beginRun(it) } } !=
                 null
         }
         val placed = placeWhole(job, spec, missing, now) { gang.number } ?: return false
         val waitedMs = gang.waitingSinceMs?.let { now - it } ?: 0L
-        if (waitedMs + placed.fetchS * 1000 * FETCH_MARGIN >
+        if (waitedMs + placed.imagePullS * 1000 * PULL_TIME_MARGIN >
             settings.gangWaitMs
         ) {
-            jobManager.gangs.giveUp(job, "a replacement needs ${placed.fetchS} s")
+            jobManager.gangs.giveUp(job, "a replacement needs ${placed.imagePullS} s")
         }
         return true
     }
@@ -55,57 +55,57 @@
         spec: JobSpec,
         tasks: List<Int>,
         now: Long,
-        number: () -> Long,
+        attemptNumber: () -> Long,
     ): GangAssignment<Machine>? {
         if (!quota.allows(job, tasks.size)) return null
-        val rule = Placement.zones(job, spec)
+        val zoneRule = Placement.zoneRule(job, spec)
         val gang = job.gang
         val candidates =
             MachineSelector(view, job, spec, now)
-                .forGang()
-                .filter { c ->
+                .gangCandidates()
+                .filter { candidate ->
                     gang == null || gang.phase != GangPhase.WAITING ||
-                        tasks.none { gang.wasTried(it, c.machine.name) }
+                        tasks.none { gang.wasTried(it, candidate.machine.name) }
                 }
         val zoneRoom = { zone: String ->
-            if (spec.scatter) Placement.zoneCap(spec) - (rule.used[zone] ?: 0) else spec.taskCount
+            if (spec.scatter) Placement.zoneCap(spec) - (zoneRule.attemptsByZone[zone] ?: 0) else spec.taskCount
         }
         val assignment = GangPlacement.choose(candidates, tasks.size, spec.together, zoneRoom)
         if (assignment == null) {
-            onNoRoom(job, demand(spec, rule, tasks.size, candidates, now))
+            onNoCapacity(job, requestFor(spec, zoneRule, tasks.size, candidates, now))
             return null
         }
-        val attempt = number()
-        for ((index, task) in tasks.withIndex()) {
-            jobManager.place(job, task, assignment.machines[index].machine, attempt)
+        val attempt = attemptNumber()
+        for ((index, taskIndex) in tasks.withIndex()) {
+            jobManager.place(job, taskIndex, assignment.machines[index].machine, attempt)
         }
         store.touch(job, true)
         return assignment
     }
 
     /** What is to be rented for tasks of one zone: there where most of them fit already, or in turn where none do. */
-    private fun demand(
+    private fun requestFor(
         spec: JobSpec,
-        rule: Placement.ZoneRule,
+        zoneRule: Placement.ZoneRule,
         count: Int,
         candidates: List<GangCandidate<Machine>>,
         now: Long,
     ): ResourceRequest {
-        val demand = Placement.demand(spec, rule, settings.zones, count)
-        if (!spec.together || demand.zones.isEmpty()) return demand
+        val request = Placement.resourceRequest(spec, zoneRule, settings.zones, count)
+        if (!spec.together || request.zones.isEmpty()) return request
         val fitting = candidates.groupBy { it.zone }.mapValues { (_, list) -> list.sumOf { minOf(it.capacity, count) } }
-        val turn = (now / (view.machines.bootMs(null) * BOOTS_A_ZONE) % demand.zones.size).toInt()
-        val fullest = demand.zones.maxBy { fitting[it] ?: 0 }
-        val zone = if ((fitting[fullest] ?: 0) > 0) fullest else demand.zones[turn]
+        val turn = (now / (view.machines.bootMs(null) * BOOTS_PER_ZONE) % request.zones.size).toInt()
+        val fullest = request.zones.maxBy { fitting[it] ?: 0 }
+        val zone = if ((fitting[fullest] ?: 0) > 0) fullest else request.zones[turn]
         val missing = maxOf(1, count - (fitting[zone] ?: 0))
-        return demand.copy(zones = listOf(zone), count = missing, zoneRoom = emptyList())
+        return request.copy(zones = listOf(zone), count = missing, zoneRoom = emptyList())
     }
 
     private companion object {
         /** Rates differ by a third, and images fetched at the same time share them. */
-        const val FETCH_MARGIN = 2
+        const val PULL_TIME_MARGIN = 2
 
         /** So many boots long machines for a gang that must be in one zone are looked for in the same one. */
-        const val BOOTS_A_ZONE = 4
+        const val BOOTS_PER_ZONE = 4
     }
 }
--- a/src/main/kotlin/micatally/scheduling/Placement.kt
+++ b/src/main/kotlin/micatally/scheduling/Placement.kt
@@ -10,16 +10,16 @@
 
 /** Where a task may go, and where it goes best. Decisions only; no I/O and no clock of its own. */
 object Placement {
-    fun typeAllowed(
+    fun mayUseType(
         spec: JobSpec,
-        f: MachineType,
-    ) = (spec.types == null || f.label in spec.types) && spec.resources.fitsIn(f.resources)
+        machineType: MachineType,
+    ) = (spec.types == null || machineType.label in spec.types) && spec.resources.fitsIn(machineType.resources)
 
     /** Whether any machine type could ever take one task of the job. */
     fun possible(
         spec: JobSpec,
         machineTypes: Collection<MachineType>,
-    ) = machineTypes.any { typeAllowed(spec, it) && (spec.zone == null || spec.zone in it.zones) }
+    ) = machineTypes.any { mayUseType(spec, it) && (spec.zone == null || spec.zone in it.zones) }
 
     /** At most half of the tasks, rounded up, in one zone. */
     fun zoneCap(spec: JobSpec) = if (spec.scatter) (spec.taskCount + 1) / 2 else spec.taskCount
@@ -34,36 +34,51 @@
     }
 
     /** The zones in which a further task of the job may start, given its live attempts; null: any. */
-    fun zones(
+    fun zoneRule(
         job: Job,
         spec: JobSpec,
         without: Attempt? = null,
     ): ZoneRule {
-        val used = HashMap<String, Int>()
-        for (a in job.attempts.values) if (a !== without) used.merge(a.machine.zone, 1, Int::plus)
-        return ZoneRule(spec, used)
+        val attemptsByZone = HashMap<String, Int>()
+        for (attempt in job.attempts.values) {
+            if (attempt !==
+                without
+            ) {
+                attemptsByZone.merge(attempt.machine.zone, 1, Int::plus)
+            }
+        }
+        return ZoneRule(spec, attemptsByZone)
     }
 
     class ZoneRule(
         private val spec: JobSpec,
-        val used: Map<String, Int>,
+        val attemptsByZone: Map<String, Int>,
     ) {
         fun allows(zone: String): Boolean {
             if (spec.zone != null && spec.zone != zone) return false
-            if (spec.together && used.isNotEmpty() && zone !in used) return false
-            return !spec.scatter || (used[zone] ?: 0) < zoneCap(spec)
+            if (spec.together && attemptsByZone.isNotEmpty() && zone !in attemptsByZone) return false
+            return !spec.scatter || (attemptsByZone[zone] ?: 0) < zoneCap(spec)
         }
     }
 
     /** What so many tasks of the job ask of the fleet. */
-    fun demand(
+    fun resourceRequest(
         spec: JobSpec,
-        rule: ZoneRule,
+        zoneRule: ZoneRule,
         allZones: List<String>,
         count: Int,
     ): ResourceRequest {
-        val zones = allZones.filter { rule.allows(it) }
-        val zoneRoom = if (spec.scatter) zones.map { zoneCap(spec) - (rule.used[it] ?: 0) } else emptyList()
+        val zones = allZones.filter { zoneRule.allows(it) }
+        val zoneRoom =
+            if (spec.scatter) {
+                zones.map {
+                    zoneCap(
+                        spec,
+                    ) - (zoneRule.attemptsByZone[it] ?: 0)
+                }
+            } else {
+                emptyList()
+            }
         return ResourceRequest(
             spec.resources.cores,
             spec.resources.gpus,
@@ -81,64 +96,71 @@
         )
     }
 
-    fun kindAllowed(
+    fun mayUse(
         spec: JobSpec,
-        m: Machine,
-    ) = (!m.spot || spec.spot) && (spec.types == null || m.type in spec.types)
+        machine: Machine,
+    ) = (!machine.spot || spec.spot) && (spec.types == null || machine.type in spec.types)
 
     /** How long the image will take, by the type's nominal rate; nothing if the machine has it, and part of it if a
      * task of this node waits for it there already. */
-    fun fetchS(
+    fun imagePullS(
         spec: JobSpec,
-        m: Machine,
-        f: MachineType,
+        machine: Machine,
+        machineType: MachineType,
     ): Double {
-        if (spec.image in m.images) return 0.0
-        val whole = spec.imageGb / f.pullGbPerS
-        return if (m.attempts.any { it.job.spec?.image == spec.image }) whole * COMING else whole
+        if (spec.image in machine.images) return 0.0
+        val fullPullS = spec.imageGb / machineType.pullGbPerS
+        return if (machine.attempts.any {
+                it.job.spec?.image == spec.image
+            }
+        ) {
+            fullPullS * PULL_UNDER_WAY_SHARE
+        } else {
+            fullPullS
+        }
     }
 
-    private const val COMING = 0.5
+    private const val PULL_UNDER_WAY_SHARE = 0.5
 
     /** Lower is better. The image counts most, then the tightest fit, so that whole machines stay free for large
      * tasks or can be returned. A task without cards avoids eating the cores that a machine's cards will need. */
     fun score(
         spec: JobSpec,
-        m: Machine,
-        f: MachineType,
+        machine: Machine,
+        machineType: MachineType,
         free: Resources,
     ): Double {
-        var s = fetchS(spec, m, f)
+        var score = imagePullS(spec, machine, machineType)
         val left = free - spec.resources
-        val share =
+        val unusedShare =
             maxOf(
-                left.gpus / maxOf(f.resources.gpus, 1.0),
-                if (f.resources.gpus > 0 &&
+                left.gpus / maxOf(machineType.resources.gpus, 1.0),
+                if (machineType.resources.gpus > 0 &&
                     spec.resources.gpus > 0
                 ) {
                     0.0
                 } else {
-                    left.cores / f.resources.cores
+                    left.cores / machineType.resources.cores
                 },
             )
-        s += share * FIT_WEIGHT
-        if (spec.resources.gpus == 0.0 && f.resources.gpus > 0) {
-            val perCard = f.resources.cores / f.resources.gpus * CORES_KEPT
-            if (left.cores < left.gpus * perCard) s += STARVES_CARDS
+        score += unusedShare * FIT_WEIGHT
+        if (spec.resources.gpus == 0.0 && machineType.resources.gpus > 0) {
+            val coresPerGpu = machineType.resources.cores / machineType.resources.gpus * CORES_KEPT_PER_GPU
+            if (left.cores < left.gpus * coresPerGpu) score += STRANDED_GPUS_PENALTY
         }
-        if (m.spot && spec.spot) s -= SPOT_BONUS
-        return s
+        if (machine.spot && spec.spot) score -= SPOT_BONUS
+        return score
     }
 
     /** What a zone adds to the score of its machines, given how many tasks of the job are in it. */
     fun zoneScore(
         spec: JobSpec,
-        zoneUse: Int,
-    ) = if (spec.scatter) zoneUse * SCATTER_WEIGHT else 0.0
+        attemptsInZone: Int,
+    ) = if (spec.scatter) attemptsInZone * SCATTER_WEIGHT else 0.0
 
     private const val FIT_WEIGHT = 8.0
-    private const val STARVES_CARDS = 60.0
-    private const val CORES_KEPT = 0.7
+    private const val STRANDED_GPUS_PENALTY = 60.0
+    private const val CORES_KEPT_PER_GPU = 0.7
     private const val SPOT_BONUS = 4.0
     private const val SCATTER_WEIGHT = 0.5
 }
--- a/src/main/kotlin/micatally/scheduling/Preemption.kt
+++ b/src/main/kotlin/micatally/scheduling/Preemption.kt
@@ -23,15 +23,18 @@
     companion object {
         fun of(
             spec: JobSpec,
-            rule: Placement.ZoneRule,
+            zoneRule: Placement.ZoneRule,
             queue: Int,
         ) = PlacementRequest(
             spec.resources,
             spec.priority.ordinal,
             queue,
             spec.jobId,
-            { m -> Placement.kindAllowed(spec, m) && rule.allows(m.zone) },
-            { m, f, free -> Placement.score(spec, m, f, free) + Placement.zoneScore(spec, rule.used[m.zone] ?: 0) },
+            { machine -> Placement.mayUse(spec, machine) && zoneRule.allows(machine.zone) },
+            { machine, machineType, free ->
+                Placement.score(spec, machine, machineType, free) +
+                    Placement.zoneScore(spec, zoneRule.attemptsByZone[machine.zone] ?: 0)
+            },
         )
     }
 }
@@ -46,111 +49,132 @@
     private val log = LoggerFactory.getLogger("micatally.scheduling")
 
     /** Room that stops under way will leave, as far as it is meant for a waiter already; worked out anew each round. */
-    private val promised = HashMap<String, Resources>()
-    private val stoppedForPeersAt = HashMap<String, Long>()
+    private val reservedByMachine = HashMap<String, Resources>()
+    private val preemptedForPeersAt = HashMap<String, Long>()
 
-    fun beginCycle() = promised.clear()
+    fun beginCycle() = reservedByMachine.clear()
 
     /** The design's stop: an array task past its queue's bound may be stopped once for a waiter two queues higher that
      * fits nowhere. Of the machines where that helps, the one is taken that the waiter would like best. True if there
      * is room under way now. */
-    fun makeRoom(
-        need: PlacementRequest,
+    fun freeCapacityFor(
+        request: PlacementRequest,
         now: Long,
     ): Boolean {
         var best: List<Attempt> = emptyList()
         var bestScore = Double.MAX_VALUE
-        for (m in view.machines.byName.values) {
-            if (!view.isUsable(m, now) || !need.fits(m)) continue
-            val f = view.machines.machineTypes[m.type] ?: continue
-            var free = f.resources - m.used - (promised[m.name] ?: Resources.NONE)
+        for (machine in view.machines.byName.values) {
+            if (!view.isUsable(machine, now) || !request.fits(machine)) continue
+            val machineType = view.machines.machineTypes[machine.type] ?: continue
+            var free = machineType.resources - machine.used - (reservedByMachine[machine.name] ?: Resources.NONE)
             // Room that is on its way already.
-            for (a in m.attempts) if (a.stop != null) free = free + (a.job.spec?.resources ?: Resources.NONE)
-            if (need.resources.fitsIn(free)) {
-                promised.merge(m.name, need.resources, Resources::plus)
+            for (attempt in machine.attempts) {
+                if (attempt.stop !=
+                    null
+                ) {
+                    free = free + (attempt.job.spec?.resources ?: Resources.NONE)
+                }
+            }
+            if (request.resources.fitsIn(free)) {
+                reservedByMachine.merge(machine.name, request.resources, Resources::plus)
                 return true
             }
             val victims = ArrayList<Attempt>()
-            for (a in m.attempts.filter { mayStop(it, need, f, now) }.sortedByDescending { it.runningSince ?: 0L }) {
-                victims.add(a)
-                free = free + a.job.spec!!.resources
-                if (need.resources.fitsIn(free)) break
+            for (attempt in machine.attempts.filter { mayPreempt(it, request, machineType, now) }.sortedByDescending {
+                it.runningSince
+                    ?: 0L
+            }) {
+                victims.add(attempt)
+                free = free + attempt.job.spec!!.resources
+                if (request.resources.fitsIn(free)) break
             }
-            if (!need.resources.fitsIn(free) || victims.isEmpty()) continue
-            val score = need.score(m, f, free) + victims.size
+            if (!request.resources.fitsIn(free) || victims.isEmpty()) continue
+            val score = request.score(machine, machineType, free) + victims.size
             if (score < bestScore) {
                 best = victims
                 bestScore = score
             }
         }
-        val m = best.firstOrNull()?.machine ?: return false
-        stop(best, need, now)
-        promised.merge(m.name, need.resources, Resources::plus)
-        dispatcher.requestSync(m)
+        val machine = best.firstOrNull()?.machine ?: return false
+        preempt(best, request, now)
+        reservedByMachine.merge(machine.name, request.resources, Resources::plus)
+        dispatcher.requestSync(machine)
         return true
     }
 
-    private fun mayStop(
-        a: Attempt,
-        need: PlacementRequest,
-        flavor: MachineType,
+    private fun mayPreempt(
+        attempt: Attempt,
+        request: PlacementRequest,
+        machineType: MachineType,
         now: Long,
     ): Boolean {
-        val spec = a.job.spec ?: return false
+        val spec = attempt.job.spec ?: return false
         val isArray = !spec.isService && !spec.isGang
-        if (!isArray || a.stop != null || a.state != AttemptState.RUNNING) return false
-        if (a.taskIndex in a.job.stoppedOnce || spec.priority.ordinal <= need.priority) return false
-        val ranS = (now - (a.runningSince ?: now)) / 1000.0
-        if (!queues.pastBound(a.inherited, ranS) || queues.of(a.inherited + ranS) < need.queue + 2) return false
+        if (!isArray || attempt.stop != null || attempt.state != AttemptState.RUNNING) return false
+        if (attempt.taskIndex in attempt.job.stoppedOnce || spec.priority.ordinal <= request.priority) return false
+        val runS = (now - (attempt.runningSince ?: now)) / 1000.0
+        if (!queues.hasPassedBound(attempt.inherited, runS) ||
+            queues.queueOf(attempt.inherited + runS) < request.queue + 2
+        ) {
+            return false
+        }
         // A task that never saves loses all it did: beyond what a new machine takes to boot that is not worth it.
-        return spec.checkpointS > 0 || ranS <= flavor.readyS
+        return spec.checkpointS > 0 || runS <= machineType.readyS
     }
 
-    private fun stop(
+    private fun preempt(
         victims: List<Attempt>,
-        need: PlacementRequest,
+        request: PlacementRequest,
         now: Long,
     ) {
-        for (a in victims) {
-            a.job.stoppedOnce.add(a.taskIndex)
-            a.stop(StopReason.PREEMPTED, now)
-            log.info("task {} stopped for {}", a, need.name)
+        for (attempt in victims) {
+            attempt.job.stoppedOnce.add(attempt.taskIndex)
+            attempt.stop(StopReason.PREEMPTED, now)
+            log.info("task {} preempted for {}", attempt, request.name)
         }
     }
 
     /** Another owner's service still waits though that owner has stopped what it could: now it is this one's turn. The
      * turns go round, so that not all make room for the same waiter. */
-    fun makeRoomForPeers(now: Long) {
+    fun freeCapacityForPeers(now: Long) {
         val turnMs = settings.heartbeatIntervalMs * 2
         if (!view.isOwnTurn(now, turnMs)) return
-        for (d in view.peerServices) {
-            val key = "${d.image}/${d.gpus}/${d.cores}"
-            if (now - (stoppedForPeersAt[key] ?: Long.MIN_VALUE / 2) < turnMs * view.controllers) continue
-            stoppedForPeersAt[key] = now
-            val resources = Resources(d.cores, d.gpus, d.memoryGb)
-            val need =
-                PlacementRequest(resources, d.priority, 0, "a peer's ${d.image}", { m ->
+        for (peerRequest in view.peerServiceRequests) {
+            val key = "${peerRequest.image}/${peerRequest.gpus}/${peerRequest.cores}"
+            if (now - (preemptedForPeersAt[key] ?: Long.MIN_VALUE / 2) < turnMs * view.controllerCount) continue
+            preemptedForPeersAt[key] = now
+            val resources = Resources(peerRequest.cores, peerRequest.gpus, peerRequest.memoryGb)
+            val request =
+                PlacementRequest(resources, peerRequest.priority, 0, "a peer's ${peerRequest.image}", { machine ->
                     view.mayUse(
-                        d,
-                        m,
+                        peerRequest,
+                        machine,
                     )
-                }, { m, f, free ->
+                }, { machine, machineType, free ->
                     (
-                        if (d.image in
-                            m.images
+                        if (peerRequest.image in
+                            machine.images
                         ) {
                             0.0
                         } else {
                             30.0
                         }
                     ) +
-                        (free - resources).gpus / maxOf(1.0, f.resources.gpus)
+                        (free - resources).gpus / maxOf(1.0, machineType.resources.gpus)
                 })
-            for (i in 0 until minOf(d.count, STOPS_A_ROUND)) if (!makeRoom(need, now)) break
+            for (
+            index in 0 until
+                minOf(
+                    peerRequest.count,
+                    MAX_PREEMPTIONS_PER_CYCLE,
+                )
+            ) {
+                if (!freeCapacityFor(request, now)) break
+            }
         }
     }
 
     companion object {
-        const val STOPS_A_ROUND = 8
+        const val MAX_PREEMPTIONS_PER_CYCLE = 8
     }
 }
--- a/src/main/kotlin/micatally/scheduling/ReplicaMigration.kt
+++ b/src/main/kotlin/micatally/scheduling/ReplicaMigration.kt
@@ -30,24 +30,25 @@
     private val log = LoggerFactory.getLogger("micatally.scheduling")
 
     /** Replicas that were stopped to move go where room was kept for them. */
-    fun place(
+    fun placeMigrated(
         job: Job,
         spec: JobSpec,
         now: Long,
     ) {
-        if (moved.isEmpty()) return
-        val each = moved.entries.iterator()
-        while (each.hasNext()) {
-            val (task, to) = each.next()
+        if (awaitingPlacement.isEmpty()) return
+        val entries = awaitingPlacement.entries.iterator()
+        while (entries.hasNext()) {
+            val (task, target) = entries.next()
             if (task.first != job.jobId || task.second in job.attempts) continue
-            each.remove()
-            if (!to.release(task.first, task.second) || job.done[task.second] || !quota.allows(job)) continue
-            if (!view.isUsable(to, now) || !spec.resources.fitsIn((view.machines.total(to) ?: continue) - to.used) ||
-                !Placement.zones(job, spec).allows(to.zone)
+            entries.remove()
+            if (!target.release(task.first, task.second) || job.done[task.second] || !quota.allows(job)) continue
+            if (!view.isUsable(target, now) ||
+                !spec.resources.fitsIn((view.machines.total(target) ?: continue) - target.used) ||
+                !Placement.zoneRule(job, spec).allows(target.zone)
             ) {
                 continue
             }
-            jobManager.place(job, task.second, to)
+            jobManager.place(job, task.second, target)
             store.touch(job, true)
         }
     }
@@ -55,56 +56,62 @@
     /** Machines that are being emptied: replicas move to rooms that have their image, a few at a time, so that each is
      * away for a blink only. Whatever ends by itself is left to do so. */
     fun migrateReplicas(now: Long) {
-        moved.entries.removeIf { (task, to) -> !to.promised(task.first, task.second) }
+        awaitingPlacement.entries.removeIf { (task, target) -> !target.promised(task.first, task.second) }
         val draining =
             view.machines.byName.values.filter {
                 it.draining && !it.deleted && !it.hasSpotNotice &&
                     it.attempts.isNotEmpty()
             }
-        if (draining.isEmpty() || checking) return
-        val most = maxOf(1, draining.size / MACHINES_A_MOVE)
-        moving.removeIf { !it.a.live || it.a.stop != null || !it.to.promised(it.a.job.jobId, it.a.taskIndex) }
+        if (draining.isEmpty() || isCheckingStateStore) return
+        val maxInProgress = maxOf(1, draining.size / MACHINES_PER_MIGRATION)
+        planned.removeIf {
+            !it.attempt.live || it.attempt.stop != null ||
+                !it.target.promised(it.attempt.job.jobId, it.attempt.taskIndex)
+        }
         // The peers have heard of a promise after a while; whoever was faster has the room.
-        val due = moving.filter { now - it.at >= settings.heartbeatIntervalMs / 2 }
+        val due = planned.filter { now - it.plannedAt >= settings.heartbeatIntervalMs / 2 }
         if (due.isNotEmpty()) {
-            moving.removeAll(due.toSet())
-            checking = true
+            planned.removeAll(due.toSet())
+            isCheckingStateStore = true
             scope.launch {
-                val ok =
+                val isStateStoreResponsive =
                     try {
                         withTimeoutOrNull(settings.heartbeatIntervalMs / 4) { stateAnswers() } ?: false
                     } finally {
-                        checking =
+                        isCheckingStateStore =
                             false
                     }
-                for (move in due) carryOut(move, ok)
+                for (migration in due) carryOut(migration, isStateStoreResponsive)
             }
         }
-        var under =
-            moving.size + due.size +
+        var inProgress =
+            planned.size + due.size +
                 view.machines.byName.values
-                    .sumOf { m -> m.attempts.count { it.stop == StopReason.DRAIN } }
-        for (m in draining) {
-            for (a in m.attempts) {
-                if (under >= most) return
-                val spec = a.job.spec ?: continue
-                if (!spec.isService || spec.isPlacedWhole || a.stop != null || a.state != AttemptState.RUNNING ||
-                    a.job.pendingCount > 0
+                    .sumOf { machine -> machine.attempts.count { it.stop == StopReason.DRAIN } }
+        for (machine in draining) {
+            for (attempt in machine.attempts) {
+                if (inProgress >= maxInProgress) return
+                val spec = attempt.job.spec ?: continue
+                if (!spec.isService || spec.isPlacedWhole || attempt.stop != null ||
+                    attempt.state != AttemptState.RUNNING ||
+                    attempt.job.pendingCount > 0
                 ) {
                     continue
                 }
                 // One replica of a job at a time: its zones are counted with the others where they are.
-                if (moving.any { it.a.job === a.job } || due.any { it.a.job === a.job } ||
-                    a.job.attempts.values
+                if (planned.any { it.attempt.job === attempt.job } || due.any { it.attempt.job === attempt.job } ||
+                    attempt.job.attempts.values
                         .any { it.stop != null }
                 ) {
                     continue
                 }
                 // It is gone before it starts elsewhere, so its own place does not count against its zone.
-                val to = MachineSelector(view, a.job, spec, now, withImage = true, moving = a).next() ?: continue
-                to.promise(a.job.jobId, a.taskIndex, spec.resources, now + settings.leaseMs)
-                moving.add(Move(a, to, now))
-                under++
+                val target =
+                    MachineSelector(view, attempt.job, spec, now, needsImage = true, migrating = attempt).next()
+                        ?: continue
+                target.promise(attempt.job.jobId, attempt.taskIndex, spec.resources, now + settings.leaseMs)
+                planned.add(Migration(attempt, target, now))
+                inProgress++
             }
         }
     }
@@ -112,42 +119,42 @@
     /** A stopped replica starts again only when its intent is written, so the state service has to have answered just now:
      * one that was stopped as an outage began was away for all of it. */
     private fun carryOut(
-        move: Move,
-        stateAnswered: Boolean,
+        migration: Migration,
+        isStateStoreResponsive: Boolean,
     ) {
         val now = nowMs()
-        val jobId = move.a.job.jobId
-        val total = view.machines.total(move.to)
-        val ready =
-            move.a.live && move.a.stop == null && move.a.job.pendingCount == 0 &&
-                move.to.promised(jobId, move.a.taskIndex)
-        if (!stateAnswered || !ready || total == null || !view.isUsable(move.to, now) ||
-            !move.to.used.fitsIn(total)
+        val jobId = migration.attempt.job.jobId
+        val total = view.machines.total(migration.target)
+        val isStillPlanned =
+            migration.attempt.live && migration.attempt.stop == null && migration.attempt.job.pendingCount == 0 &&
+                migration.target.promised(jobId, migration.attempt.taskIndex)
+        if (!isStateStoreResponsive || !isStillPlanned || total == null || !view.isUsable(migration.target, now) ||
+            !migration.target.used.fitsIn(total)
         ) {
-            move.to.release(jobId, move.a.taskIndex)
+            migration.target.release(jobId, migration.attempt.taskIndex)
             return
         }
-        move.a.stop(StopReason.DRAIN, now)
-        moved[jobId to move.a.taskIndex] = move.to
-        log.info("task {} moves to {}", move.a, move.to.name)
-        dispatcher.requestSync(move.a.machine)
+        migration.attempt.stop(StopReason.DRAIN, now)
+        awaitingPlacement[jobId to migration.attempt.taskIndex] = migration.target
+        log.info("task {} moves to {}", migration.attempt, migration.target.name)
+        dispatcher.requestSync(migration.attempt.machine)
     }
 
     /** Whether the state service answers now, and no write of this node waits. */
     var stateAnswers: suspend () -> Boolean = { true }
-    private var checking = false
+    private var isCheckingStateStore = false
 
-    private class Move(
-        val a: Attempt,
-        val to: Machine,
-        val at: Long,
+    private class Migration(
+        val attempt: Attempt,
+        val target: Machine,
+        val plannedAt: Long,
     )
 
-    private val moving = ArrayList<Move>()
-    private val moved = HashMap<Pair<String, Int>, Machine>()
+    private val planned = ArrayList<Migration>()
+    private val awaitingPlacement = HashMap<Pair<String, Int>, Machine>()
 
     private companion object {
         /** For so many machines that are being emptied one replica may be on its way. */
-        const val MACHINES_A_MOVE = 2
+        const val MACHINES_PER_MIGRATION = 2
     }
 }
--- a/src/main/kotlin/micatally/scheduling/Scheduler.kt
+++ b/src/main/kotlin/micatally/scheduling/Scheduler.kt
@@ -32,43 +32,43 @@
     private val nowMs: () -> Long,
 ) {
     private val log = LoggerFactory.getLogger("micatally.scheduling")
-    private val gapMs = maxOf(5L, settings.heartbeatIntervalMs / 40)
-    private val budgetMs = maxOf(5L, settings.heartbeatIntervalMs / 40)
-    private var asked = false
-    private var lastAt = 0L
-    private var nextAt = 0L
+    private val minGapMs = maxOf(5L, settings.heartbeatIntervalMs / 40)
+    private val cycleBudgetMs = maxOf(5L, settings.heartbeatIntervalMs / 40)
+    private var isCycleRequested = false
+    private var lastCycleAt = 0L
+    private var nextCycleAt = 0L
     private var resumeAfter: String? = null
 
     /** What other owners could not place. An owner can stop only its own tasks, and does so for them too. */
     var peerRequests: () -> List<ResourceRequest> = { emptyList() }
     private val view = ClusterView(settings, machines)
     private val preemption = Preemption(settings, view, queues, dispatcher)
-    private val moves = ReplicaMigration(scope, settings, view, jobManager, store, quota, dispatcher, nowMs)
-    private val whole =
-        AllOrNothingPlacement(settings, view, jobManager, store, quota) { job, demand ->
-            finding[job.jobId] = demand
-            if (demand.isGang) view.gangWaits(demand)
+    private val migration = ReplicaMigration(scope, settings, view, jobManager, store, quota, dispatcher, nowMs)
+    private val allOrNothing =
+        AllOrNothingPlacement(settings, view, jobManager, store, quota) { job, request ->
+            pendingInCycle[job.jobId] = request
+            if (request.isGang) view.addOwnGangRequest(request)
         }
 
     /** Whether the state service answers now, and no write of this node waits. */
     var stateAnswers: suspend () -> Boolean
-        get() = moves.stateAnswers
+        get() = migration.stateAnswers
         set(value) {
-            moves.stateAnswers = value
+            migration.stateAnswers = value
         }
 
     fun migrateReplicas(now: Long) {
-        if (unplaced.isEmpty()) moves.migrateReplicas(now)
+        if (unplaced.isEmpty()) migration.migrateReplicas(now)
     }
 
     /** What found no room in the last full round, by job. A round that has not come to its end yet does not show. */
     var unplaced: Map<String, ResourceRequest> = emptyMap()
         private set
-    private var finding = LinkedHashMap<String, ResourceRequest>()
+    private var pendingInCycle = LinkedHashMap<String, ResourceRequest>()
 
     /** What a waiting task looks like to the machines. Within one round room only shrinks, so what found none is not
      * looked for again: with hundreds of machines and waiters the search would take the whole of the processor. */
-    private data class Shape(
+    private data class TaskShape(
         val resources: Resources,
         val types: Set<String>?,
         val zones: List<String>,
@@ -77,17 +77,17 @@
         val priority: Int,
     )
 
-    private val noRoom = HashSet<Shape>()
-    private val noStop = HashSet<Pair<Shape, Int>>()
+    private val shapesWithoutCapacity = HashSet<TaskShape>()
+    private val shapesWithoutVictims = HashSet<Pair<TaskShape, Int>>()
 
-    private fun shape(
+    private fun shapeOf(
         spec: JobSpec,
-        rule: Placement.ZoneRule,
-    ) = Shape(
+        zoneRule: Placement.ZoneRule,
+    ) = TaskShape(
         spec.resources,
         spec.types,
         settings.zones.filter {
-            rule.allows(it)
+            zoneRule.allows(it)
         },
         spec.spot,
         spec.isService,
@@ -95,117 +95,139 @@
     )
 
     fun requestCycle() {
-        if (asked) return
-        asked = true
+        if (isCycleRequested) return
+        isCycleRequested = true
         scope.launch {
-            val wait = nextAt - nowMs()
+            val wait = nextCycleAt - nowMs()
             if (wait > 0) delay(wait)
-            asked = false
+            isCycleRequested = false
             cpuUsage.of(CpuUsage.Kind.ROUND) { runCycle() }
         }
     }
 
-    private fun ordered(): List<Job> =
+    private fun jobsInOrder(): List<Job> =
         jobManager
             .openJobs()
             .filter { it.pendingCount > 0 }
             .sortedWith(
-                compareBy<Job>({ queues.current(it) }, { it.spec?.priority?.ordinal ?: 9 }, { rank(it) }, { it.jobId }),
+                compareBy<Job>(
+                    { queues.queueOf(it) },
+                    { it.spec?.priority?.ordinal ?: 9 },
+                    { effectiveArrivalMs(it) },
+                    { it.jobId },
+                ),
             )
 
     /** Within a queue the earlier job comes first, and of jobs that came together the one with fewer tasks left: it is over
      * sooner, and the other one hardly later. */
-    private fun rank(job: Job): Long =
+    private fun effectiveArrivalMs(job: Job): Long =
         job.submittedAt +
             if (job.spec?.isService !=
                 false
             ) {
                 0L
             } else {
-                (job.taskCount - job.doneCount).toLong() * settings.leaseMs / TASKS_A_LEASE
+                (job.taskCount - job.doneCount).toLong() * settings.leaseMs / REMAINING_TASKS_PER_LEASE
             }
 
     private fun runCycle() {
         val now = nowMs()
-        tickWaits(now)
-        lastAt = now
-        noRoom.clear()
-        noStop.clear()
-        val jobs = ordered()
-        var from = resumeAfter?.let { r -> jobs.indexOfFirst { it.jobId == r } + 1 } ?: 0
-        if (from >= jobs.size) from = 0
-        if (from == 0) {
-            finding.clear()
-            view.forgetOwnGangs()
+        addWaitingTime(now)
+        lastCycleAt = now
+        shapesWithoutCapacity.clear()
+        shapesWithoutVictims.clear()
+        val jobs = jobsInOrder()
+        var first = resumeAfter?.let { jobId -> jobs.indexOfFirst { it.jobId == jobId } + 1 } ?: 0
+        if (first >= jobs.size) first = 0
+        if (first == 0) {
+            pendingInCycle.clear()
+            view.clearOwnGangRequests()
             preemption.beginCycle()
         }
         view.beginCycle(peerRequests(), now)
         resumeAfter = null
-        for (i in from until jobs.size) {
-            if (i == from || !alike(jobs[i - 1], jobs[i])) placeWhereImagesAre(jobs, i, now)
-            placeJob(jobs[i], now)
-            if (nowMs() - now > budgetMs && i + 1 < jobs.size) {
-                resumeAfter = jobs[i].jobId
+        for (index in first until jobs.size) {
+            if (index == first ||
+                !haveSamePriority(jobs[index - 1], jobs[index])
+            ) {
+                placeOnMachinesWithImage(jobs, index, now)
+            }
+            placeJob(jobs[index], now)
+            if (nowMs() - now > cycleBudgetMs && index + 1 < jobs.size) {
+                resumeAfter = jobs[index].jobId
                 break
             }
         }
         view.endCycle()
         if (resumeAfter == null) {
-            unplaced = finding
-            finding = LinkedHashMap()
+            unplaced = pendingInCycle
+            pendingInCycle = LinkedHashMap()
         }
-        preemption.makeRoomForPeers(now)
+        preemption.freeCapacityForPeers(now)
         // Rounds keep to a share of the time, however long they take.
         val end = nowMs()
-        nextAt = maxOf(now + gapMs, end + (end - now) * REST)
+        nextCycleAt = maxOf(now + minGapMs, end + (end - now) * PAUSE_PER_CYCLE_TIME)
         if (resumeAfter != null) requestCycle()
     }
 
-    private fun alike(
-        a: Job,
-        b: Job,
-    ) = queues.current(a) == queues.current(b) && a.spec?.priority == b.spec?.priority
+    private fun haveSamePriority(
+        left: Job,
+        right: Job,
+    ) = queues.queueOf(left) == queues.queueOf(right) && left.spec?.priority == right.spec?.priority
 
     /** Among arrays of one queue and priority a room goes first to those whose image is there: a fetch takes about as long
      * as a third of a task, during which the room does nothing. */
-    private fun placeWhereImagesAre(
+    private fun placeOnMachinesWithImage(
         jobs: List<Job>,
-        from: Int,
+        first: Int,
         now: Long,
     ) {
-        var to = from + 1
-        while (to < jobs.size && alike(jobs[from], jobs[to])) to++
-        if (to - from < 2) return
-        for (i in from until to) {
-            val spec = jobs[i].spec ?: continue
-            if (spec.isService || spec.isPlacedWhole || shape(spec, Placement.zones(jobs[i], spec)) in noRoom) continue
-            placeJob(jobs[i], now, true)
-            if (nowMs() - now > budgetMs) return
+        var end = first + 1
+        while (end < jobs.size && haveSamePriority(jobs[first], jobs[end])) end++
+        if (end - first < 2) return
+        for (index in first until end) {
+            val spec = jobs[index].spec ?: continue
+            if (spec.isService || spec.isPlacedWhole ||
+                shapeOf(spec, Placement.zoneRule(jobs[index], spec)) in shapesWithoutCapacity
+            ) {
+                continue
+            }
+            placeJob(jobs[index], now, true)
+            if (nowMs() - now > cycleBudgetMs) return
         }
     }
 
-    private fun tickWaits(now: Long) {
-        val step = now - lastAt
-        if (lastAt == 0L || step <= 0) return
-        for (j in jobManager.openJobs()) {
-            if (j.pendingCount > 0 &&
-                j.attempts.values.none { it.state >= AttemptState.RUNNING }
+    private fun addWaitingTime(now: Long) {
+        val step = now - lastCycleAt
+        if (lastCycleAt == 0L || step <= 0) return
+        for (job in jobManager.openJobs()) {
+            if (job.pendingCount > 0 &&
+                job.attempts.values.none { it.state >= AttemptState.RUNNING }
             ) {
-                j.waitedMs += step
+                job.waitedMs += step
             }
         }
     }
 
     /** How many more tasks of the job may be placed. One that fails everywhere is tried with a single task at a time. */
-    private fun attemptRoom(job: Job): Int {
-        if (job.health.isSuspect && job.spec?.isPlacedWhole == false) return TASKS_OF_SUSPECT - job.attempts.size
-        val most = minOf(settings.stateLimits.attemptsOfOneJob(machines.byName.size), job.attemptLimit)
-        val room = most - job.attempts.size
-        if (room <= 0 && job.pendingCount > 0 && !job.isBoundLogged) {
+    private fun remainingAttempts(job: Job): Int {
+        if (job.health.isSuspect &&
+            job.spec?.isPlacedWhole == false
+        ) {
+            return MAX_ATTEMPTS_OF_SUSPECT_JOB - job.attempts.size
+        }
+        val maxAttempts = minOf(settings.stateLimits.attemptsOfOneJob(machines.byName.size), job.attemptLimit)
+        val remaining = maxAttempts - job.attempts.size
+        if (remaining <= 0 && job.pendingCount > 0 && !job.isBoundLogged) {
             job.isBoundLogged = true
-            log.warn("job {}: {} of {} tasks at once, as many as its record holds", job.jobId, most, job.taskCount)
+            log.warn(
+                "job {}: {} of {} tasks at once, as many as its record holds",
+                job.jobId,
+                maxAttempts,
+                job.taskCount,
+            )
         }
-        return room
+        return remaining
     }
 
     /** Places what can be placed of one job. Returns whether all of it found room. */
@@ -216,55 +238,58 @@
     ): Boolean {
         val spec = job.spec ?: return true
         if (!job.wantsTasks || now < job.retryAt) return true
-        val room = attemptRoom(job)
-        if (room <= 0) return true
-        job.gang?.let { return whole.placeGang(job, spec, it, room, now) }
-        if (spec.isService) moves.place(job, spec, now)
-        if (!spec.isPlacedWhole && shape(spec, Placement.zones(job, spec)) in noRoom &&
+        val remaining = remainingAttempts(job)
+        if (remaining <= 0) return true
+        job.gang?.let { return allOrNothing.placeGang(job, spec, it, remaining, now) }
+        if (spec.isService) migration.placeMigrated(job, spec, now)
+        if (!spec.isPlacedWhole && shapeOf(spec, Placement.zoneRule(job, spec)) in shapesWithoutCapacity &&
             quota.allows(job)
         ) {
-            unplaceable(job, spec, 1, now)
+            recordUnplaced(job, spec, 1, now)
             return false
         }
-        val pending = job.pending(if (spec.isService) spec.taskCount.coerceAtMost(room) else minOf(room, ROUND_TASKS))
+        val pending =
+            job.pending(
+                if (spec.isService) spec.taskCount.coerceAtMost(remaining) else minOf(remaining, MAX_TASKS_PER_CYCLE),
+            )
         if (pending.isEmpty()) return true
-        if (spec.isPlacedWhole) return whole.placeWhole(job, spec, pending, now) { job.nextAttempt++ } != null
+        if (spec.isPlacedWhole) return allOrNothing.placeWhole(job, spec, pending, now) { job.nextAttempt++ } != null
         var placed = 0
-        var blocked = false
-        val choice = MachineSelector(view, job, spec, now, withImage)
+        var isBlocked = false
+        val selector = MachineSelector(view, job, spec, now, withImage)
         for (taskIndex in pending) {
             if (!quota.allows(job)) {
-                blocked = true
+                isBlocked = true
                 break
             }
-            val m = choice.next()
-            if (m == null) {
-                if (choice.deferred ||
+            val machine = selector.next()
+            if (machine == null) {
+                if (selector.isDeferred ||
                     withImage
                 ) {
-                    blocked = true
+                    isBlocked = true
                 } else if (job.health.machines.isEmpty()) {
-                    noRoom.add(shape(spec, choice.rule))
+                    shapesWithoutCapacity.add(shapeOf(spec, selector.zoneRule))
                 }
                 break
             }
-            jobManager.place(job, taskIndex, m)
+            jobManager.place(job, taskIndex, machine)
             placed++
         }
-        val q = queues.current(job)
+        val queue = queues.queueOf(job)
         if (placed > 0) {
-            job.queue = q
+            job.queue = queue
             store.touch(job, true)
         }
-        if (placed < pending.size && !blocked) {
-            unplaceable(job, spec, pending.size - placed, now)
+        if (placed < pending.size && !isBlocked) {
+            recordUnplaced(job, spec, pending.size - placed, now)
             return false
         }
         if (placed == pending.size && job.pendingCount > 0) requestCycle()
-        return !blocked
+        return !isBlocked
     }
 
-    private fun unplaceable(
+    private fun recordUnplaced(
         job: Job,
         spec: JobSpec,
         count: Int,
@@ -272,39 +297,40 @@
     ) {
         // Nothing is stopped for a job that fails everywhere, and nothing rented while machines of its kind are there.
         if (job.health.isSuspect) {
-            val hasMachines = machines.byName.values.any { view.isUsable(it, now) && Placement.kindAllowed(spec, it) }
-            if (!hasMachines) note(job, spec, TASKS_OF_SUSPECT)
+            val hasMachines = machines.byName.values.any { view.isUsable(it, now) && Placement.mayUse(spec, it) }
+            if (!hasMachines) recordPending(job, spec, MAX_ATTEMPTS_OF_SUSPECT_JOB)
             return
         }
-        note(job, spec, job.pendingCount)
-        val rule = Placement.zones(job, spec)
-        val q = queues.current(job)
-        val key = shape(spec, rule) to q
-        if (key in noStop) return
-        for (i in 0 until minOf(count, Preemption.STOPS_A_ROUND)) {
-            if (!preemption.makeRoom(PlacementRequest.of(spec, rule, q), now)) {
-                noStop.add(key)
+        recordPending(job, spec, job.pendingCount)
+        val zoneRule = Placement.zoneRule(job, spec)
+        val queue = queues.queueOf(job)
+        val key = shapeOf(spec, zoneRule) to queue
+        if (key in shapesWithoutVictims) return
+        for (index in 0 until minOf(count, Preemption.MAX_PREEMPTIONS_PER_CYCLE)) {
+            if (!preemption.freeCapacityFor(PlacementRequest.of(spec, zoneRule, queue), now)) {
+                shapesWithoutVictims.add(key)
                 break
             }
         }
     }
 
-    private fun note(
+    private fun recordPending(
         job: Job,
         spec: JobSpec,
         count: Int,
     ) {
-        finding[job.jobId] = Placement.demand(spec, Placement.zones(job, spec), settings.zones, count)
+        pendingInCycle[job.jobId] =
+            Placement.resourceRequest(spec, Placement.zoneRule(job, spec), settings.zones, count)
     }
 
     private companion object {
-        const val ROUND_TASKS = 100
-        const val TASKS_OF_SUSPECT = 1
+        const val MAX_TASKS_PER_CYCLE = 100
+        const val MAX_ATTEMPTS_OF_SUSPECT_JOB = 1
 
         /** How much longer the pause after a round is than the round. */
-        const val REST = 3
+        const val PAUSE_PER_CYCLE_TIME = 3
 
         /** So many tasks left put a job behind one that came a lease later. */
-        const val TASKS_A_LEASE = 8
+        const val REMAINING_TASKS_PER_LEASE = 8
     }
 }
--- a/src/test/kotlin/micatally/sim/GangTest.kt
+++ b/src/test/kotlin/micatally/sim/GangTest.kt
@@ -326,7 +326,7 @@
             assertEquals(0, f.gangs.endedAlone)
         }
 
-    /** Guard: [micatally.scheduling.ClusterView.waitersBefore]; without it single tasks fill each room again. */
+    /** Guard: [micatally.scheduling.ClusterView.requestsBefore]; without it single tasks fill each room again. */
     @Test
     fun `room that a gang waits for is not filled again by an array`() =
         meeting(14) {
