--- a/src/main/kotlin/micatally/scheduling/AllOrNothingPlacement.kt
+++ b/src/main/kotlin/micatally/scheduling/AllOrNothingPlacement.kt
@@ -6,9 +6,6 @@
 import micatally.gang.GangPhase
 import micatally.gang.GangPlacement
 import micatally.job.Job
-import micatally.job.JobManager
-import micatally.job.JobStore
-import micatally.quota.Quota
 import micatally.settings.Settings
 import micatally.wire.JobSpec
 import micatally.wire.ResourceRequest
@@ -18,9 +15,7 @@
 class AllOrNothingPlacement(
     private val settings: Settings,
     private val view: ClusterView,
-    private val jobManager: JobManager,
-    private val store: JobStore,
-    private val quota: Quota,
+    private val actions: PlacementActions,
     private val onNoCapacity: (Job, ResourceRequest) -> Unit,
 ) {
     /** A whole run of a gang, or tasks that a run which waits has lost. */
@@ -33,7 +28,7 @@
     ): Boolean {
         val missing = job.pending(spec.taskCount)
         val isReplacing = gang.phase == GangPhase.WAITING
-        val mayPlace = if (isReplacing) jobManager.gangs.mayReplace(job, gang, now) else gang.phase == GangPhase.PLACING
+        val mayPlace = if (isReplacing) actions.gangs.mayReplace(job, gang, now) else gang.phase == GangPhase.PLACING
         if (missing.isEmpty() || !mayPlace || missing.size > maxAttempts) return true
         if (!isReplacing) {
             return placeWhole(job, spec, missing, now) { job.nextAttempt++.also { gang.beginRun(it) } } !=
@@ -44,7 +39,7 @@
         if (waitedMs + placed.imagePullS * 1000 * PULL_TIME_MARGIN >
             settings.gangWaitMs
         ) {
-            jobManager.gangs.giveUp(job, "a replacement needs ${placed.imagePullS} s")
+            actions.gangs.giveUp(job, "a replacement needs ${placed.imagePullS} s")
         }
         return true
     }
@@ -57,7 +52,7 @@
         now: Long,
         attemptNumber: () -> Long,
     ): GangAssignment<Machine>? {
-        if (!quota.allows(job, tasks.size)) return null
+        if (!actions.isWithinQuota(job, tasks.size)) return null
         val zoneRule = Placement.zoneRule(job, spec)
         val gang = job.gang
         val candidates =
@@ -77,9 +72,9 @@
         }
         val attempt = attemptNumber()
         for ((index, taskIndex) in tasks.withIndex()) {
-            jobManager.place(job, taskIndex, assignment.machines[index].machine, attempt)
+            actions.createAttempt(job, taskIndex, assignment.machines[index].machine, attempt)
         }
-        store.touch(job, true)
+        actions.requestWrite(job)
         return assignment
     }
 
--- /dev/null
+++ b/src/main/kotlin/micatally/scheduling/JobPlacement.kt
@@ -0,0 +1,126 @@
+package micatally.scheduling
+
+import micatally.job.Job
+import micatally.settings.Settings
+import micatally.wire.JobSpec
+import org.slf4j.LoggerFactory
+
+/** Places the pending tasks of one job on machines, as far as free capacity, quota and the job's limits allow. */
+class JobPlacement(
+    private val settings: Settings,
+    private val view: ClusterView,
+    private val actions: PlacementActions,
+    private val queues: PriorityQueues,
+    private val migration: ReplicaMigration,
+    private val allOrNothing: AllOrNothingPlacement,
+    private val misses: CapacityMisses,
+    private val unplacedTasks: UnplacedTasks,
+) {
+    private val log = LoggerFactory.getLogger("micatally.scheduling")
+
+    /**
+     * Places what can be placed of the job now.
+     *
+     * @param withImage uses only machines that have the job's image
+     * @return whether everything tried found a machine and more tasks are pending, so that another cycle is worth it
+     */
+    fun place(
+        job: Job,
+        now: Long,
+        withImage: Boolean = false,
+    ): Boolean {
+        val spec = job.spec ?: return false
+        if (!job.wantsTasks || now < job.retryAt) return false
+        val maxAttempts = remainingAttempts(job)
+        if (maxAttempts <= 0) return false
+        job.gang?.let {
+            allOrNothing.placeGang(job, spec, it, maxAttempts, now)
+            return false
+        }
+        if (spec.isService) migration.placeMigrated(job, spec, now)
+        if (isKnownMiss(job, spec)) {
+            unplacedTasks.handle(job, spec, 1, now)
+            return false
+        }
+        val pending = job.pending(batchSize(spec, maxAttempts))
+        if (pending.isEmpty()) return false
+        if (spec.isPlacedWhole) {
+            allOrNothing.placeWhole(job, spec, pending, now) { job.nextAttempt++ }
+            return false
+        }
+        return placeEach(job, spec, pending, now, withImage)
+    }
+
+    /** The quota is asked last, and only for a shape that is known to find no machine: asking may request more of it. */
+    private fun isKnownMiss(
+        job: Job,
+        spec: JobSpec,
+    ): Boolean {
+        if (spec.isPlacedWhole) return false
+        return misses.isWithoutCapacity(spec, Placement.zoneRule(job, spec)) && actions.isWithinQuota(job)
+    }
+
+    private fun batchSize(
+        spec: JobSpec,
+        maxAttempts: Int,
+    ): Int = if (spec.isService) minOf(spec.taskCount, maxAttempts) else minOf(maxAttempts, MAX_TASKS_PER_CYCLE)
+
+    private fun placeEach(
+        job: Job,
+        spec: JobSpec,
+        pending: List<Int>,
+        now: Long,
+        withImage: Boolean,
+    ): Boolean {
+        val selector = MachineSelector(view, job, spec, now, withImage)
+        var placed = 0
+        var isBlocked = false
+        for (taskIndex in pending) {
+            if (!actions.isWithinQuota(job)) {
+                isBlocked = true
+                break
+            }
+            val machine = selector.next()
+            if (machine == null) {
+                isBlocked = selector.isDeferred || withImage
+                if (!isBlocked && job.health.machines.isEmpty()) misses.addWithoutCapacity(spec, selector.zoneRule)
+                break
+            }
+            actions.createAttempt(job, taskIndex, machine)
+            placed++
+        }
+        if (placed > 0) {
+            job.queue = queues.queueOf(job)
+            actions.requestWrite(job)
+        }
+        if (placed < pending.size && !isBlocked) unplacedTasks.handle(job, spec, pending.size - placed, now)
+        return placed == pending.size && job.pendingCount > 0
+    }
+
+    /** How many more attempts the job may have. One that fails everywhere is tried with a single task at a time. */
+    private fun remainingAttempts(job: Job): Int {
+        val isTriedSingly = job.health.isSuspect && job.spec?.isPlacedWhole == false
+        if (isTriedSingly) return MAX_ATTEMPTS_OF_SUSPECT_JOB - job.attempts.size
+        val maxAttempts = minOf(settings.stateLimits.attemptsOfOneJob(view.machines.byName.size), job.attemptLimit)
+        val remaining = maxAttempts - job.attempts.size
+        if (remaining <= 0 && job.pendingCount > 0) logAttemptLimit(job, maxAttempts)
+        return remaining
+    }
+
+    private fun logAttemptLimit(
+        job: Job,
+        maxAttempts: Int,
+    ) {
+        if (job.isBoundLogged) return
+        job.isBoundLogged = true
+        log.warn("job {}: {} of {} tasks at once, as many as its record holds", job.jobId, maxAttempts, job.taskCount)
+    }
+
+    companion object {
+        /** How many tasks of a job are placed by one call; the rest follows after the other jobs. */
+        private const val MAX_TASKS_PER_CYCLE = 100
+
+        /** How many attempts a job may have at a time that fails on every machine. */
+        const val MAX_ATTEMPTS_OF_SUSPECT_JOB = 1
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/micatally/scheduling/PendingRequests.kt
@@ -0,0 +1,32 @@
+package micatally.scheduling
+
+import micatally.job.Job
+import micatally.wire.ResourceRequest
+
+/**
+ * The resource requests of jobs whose tasks found no machine. A pass over all jobs may take several cycles; until it is
+ * complete its requests are collected aside and [latest] keeps those of the previous pass.
+ */
+class PendingRequests {
+    private var collected = LinkedHashMap<String, ResourceRequest>()
+
+    /** The requests of the last complete pass, by job id. */
+    var latest: Map<String, ResourceRequest> = emptyMap()
+        private set
+
+    /** Discards what has been collected since the last complete pass. */
+    fun beginPass() = collected.clear()
+
+    /** Publishes what has been collected as [latest]. */
+    fun endPass() {
+        latest = collected
+        collected = LinkedHashMap()
+    }
+
+    fun add(
+        job: Job,
+        request: ResourceRequest,
+    ) {
+        collected[job.jobId] = request
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/micatally/scheduling/PlacementActions.kt
@@ -0,0 +1,53 @@
+package micatally.scheduling
+
+import micatally.gang.GangSupervisor
+import micatally.job.Job
+import micatally.job.JobManager
+import micatally.job.JobStore
+import micatally.quota.Quota
+import micatally.worker.CommandDispatcher
+import micatally.worker.Machine
+
+/** What the scheduler may do to the jobs of this controller and their tasks. */
+class PlacementActions(
+    private val jobManager: JobManager,
+    private val store: JobStore,
+    private val quota: Quota,
+    private val dispatcher: CommandDispatcher,
+) {
+    val gangs: GangSupervisor get() = jobManager.gangs
+
+    /** The jobs of this controller's shards that are neither complete nor cancelled. */
+    fun openJobs(): List<Job> = jobManager.openJobs()
+
+    /** Whether the quota admits this many more tasks of the job now. If it does not, a larger allotment is requested. */
+    fun isWithinQuota(
+        job: Job,
+        tasks: Int = 1,
+    ): Boolean = quota.allows(job, tasks)
+
+    /** Creates an attempt on the machine under the job's next number. Nothing is sent before the intent is durable. */
+    fun createAttempt(
+        job: Job,
+        taskIndex: Int,
+        machine: Machine,
+    ) {
+        jobManager.place(job, taskIndex, machine)
+    }
+
+    /** As above, under a given number: the tasks of a gang's run share one. */
+    fun createAttempt(
+        job: Job,
+        taskIndex: Int,
+        machine: Machine,
+        number: Long,
+    ) {
+        jobManager.place(job, taskIndex, machine, number)
+    }
+
+    /** Requests an urgent write of the job's record, which makes its new attempts durable. */
+    fun requestWrite(job: Job) = store.touch(job, true)
+
+    /** Requests that pending commands, such as stops, are sent to the machine. */
+    fun requestSync(machine: Machine) = dispatcher.requestSync(machine)
+}
--- a/src/main/kotlin/micatally/scheduling/ReplicaMigration.kt
+++ b/src/main/kotlin/micatally/scheduling/ReplicaMigration.kt
@@ -6,13 +6,9 @@
 import micatally.job.Attempt
 import micatally.job.AttemptState
 import micatally.job.Job
-import micatally.job.JobManager
-import micatally.job.JobStore
 import micatally.job.StopReason
-import micatally.quota.Quota
 import micatally.settings.Settings
 import micatally.wire.JobSpec
-import micatally.worker.CommandDispatcher
 import micatally.worker.Machine
 import org.slf4j.LoggerFactory
 
@@ -21,10 +17,7 @@
     private val scope: CoroutineScope,
     private val settings: Settings,
     private val view: ClusterView,
-    private val jobManager: JobManager,
-    private val store: JobStore,
-    private val quota: Quota,
-    private val dispatcher: CommandDispatcher,
+    private val actions: PlacementActions,
     private val nowMs: () -> Long,
 ) {
     private val log = LoggerFactory.getLogger("micatally.scheduling")
@@ -41,15 +34,19 @@
             val (task, target) = entries.next()
             if (task.first != job.jobId || task.second in job.attempts) continue
             entries.remove()
-            if (!target.release(task.first, task.second) || job.done[task.second] || !quota.allows(job)) continue
+            if (!target.release(task.first, task.second) || job.done[task.second] ||
+                !actions.isWithinQuota(job)
+            ) {
+                continue
+            }
             if (!view.isUsable(target, now) ||
                 !spec.resources.fitsIn((view.machines.total(target) ?: continue) - target.used) ||
                 !Placement.zoneRule(job, spec).allows(target.zone)
             ) {
                 continue
             }
-            jobManager.place(job, task.second, target)
-            store.touch(job, true)
+            actions.createAttempt(job, task.second, target)
+            actions.requestWrite(job)
         }
     }
 
@@ -137,7 +134,7 @@
         migration.attempt.stop(StopReason.DRAIN, now)
         awaitingPlacement[jobId to migration.attempt.taskIndex] = migration.target
         log.info("task {} moves to {}", migration.attempt, migration.target.name)
-        dispatcher.requestSync(migration.attempt.machine)
+        actions.requestSync(migration.attempt.machine)
     }
 
     /** Whether the state service answers now, and no write of this node waits. */
