--- a/src/main/kotlin/micatally/api/UserApi.kt
+++ b/src/main/kotlin/micatally/api/UserApi.kt
@@ -164,7 +164,7 @@
     /** 422 exactly where the protocol says so. */
     private fun impossible(spec: JobSpec): String? {
         val team = teams.team(spec.team) ?: return "unknown team ${spec.team}"
-        if (!Placement.possible(spec, machines.machineTypes.values)) return "a task fits no allowed machine type"
+        if (!Placement.isPossible(spec, machines.machineTypes.values)) return "a task fits no allowed machine type"
         val n = if (spec.format == Format.ARRAY) 1 else spec.taskCount
         if (team.coresMax > 0 && spec.resources.cores * n > team.coresMax + 1e-6 ||
             team.gpusMax > 0 && spec.resources.gpus * n > team.gpusMax + 1e-6
--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -189,7 +189,7 @@
 
     private fun fleetDemand() =
         object : PendingWorkload {
-            override fun unplaced() = scheduler.unplaced.values.toList() + peers.demandOfPeers()
+            override fun unplaced() = scheduler.pendingRequests.values.toList() + peers.demandOfPeers()
 
             override fun recentServices() = peers.recentServices()
 
@@ -336,7 +336,7 @@
             ) {
                 effortAt = now
                 cpuUsage.tell(
-                    " machines=${machines.byName.size} waiting=${scheduler.unplaced.size} ${cpuUsage.news()} " +
+                    " machines=${machines.byName.size} waiting=${scheduler.pendingRequests.size} ${cpuUsage.news()} " +
                         "allotmentOveruse=${quota.audit.overuseCount} writes=${writeBudget.tell()} requests=${requestBudget.tell()}",
                 )
             }
--- a/src/main/kotlin/micatally/peer/OwnSummary.kt
+++ b/src/main/kotlin/micatally/peer/OwnSummary.kt
@@ -66,7 +66,7 @@
                 )
             changed = true
         }
-        val demandNow = scheduler.unplaced.values.toList()
+        val demandNow = scheduler.pendingRequests.values.toList()
         if (demandNow != demand) {
             demand = demandNow
             changed = true
--- a/src/main/kotlin/micatally/scheduling/Placement.kt
+++ b/src/main/kotlin/micatally/scheduling/Placement.kt
@@ -16,7 +16,7 @@
     ) = (spec.types == null || machineType.label in spec.types) && spec.resources.fitsIn(machineType.resources)
 
     /** Whether any machine type could ever take one task of the job. */
-    fun possible(
+    fun isPossible(
         spec: JobSpec,
         machineTypes: Collection<MachineType>,
     ) = machineTypes.any { mayUseType(spec, it) && (spec.zone == null || spec.zone in it.zones) }
--- a/src/main/kotlin/micatally/scheduling/Scheduler.kt
+++ b/src/main/kotlin/micatally/scheduling/Scheduler.kt
@@ -66,11 +66,11 @@
         }
 
     /** The resource requests of jobs that found no free capacity in the last complete pass, by job id. */
-    val unplaced: Map<String, ResourceRequest> get() = requests.latest
+    val pendingRequests: Map<String, ResourceRequest> get() = requests.latest
 
     /** Moves replicas off draining machines, unless the free capacity is needed for pending tasks. */
     fun migrateReplicas(now: Long) {
-        if (unplaced.isEmpty()) migration.migrateReplicas(now)
+        if (pendingRequests.isEmpty()) migration.migrateReplicas(now)
     }
 
     /** Starts a cycle soon. Requests that come before it has started are served by the same cycle. */
