--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -184,7 +184,7 @@
 
     private fun pendingWorkload() =
         object : PendingWorkload {
-            override fun unplaced() = scheduler.unplaced.values.toList() + peers.demandOfPeers()
+            override fun unplaced() = scheduler.pendingRequests.values.toList() + peers.demandOfPeers()
 
             override fun recentServices() = peers.recentServices()
 
@@ -291,7 +291,7 @@
     }
 
     private fun usageDetails() =
-        " machines=${machines.byName.size} waiting=${scheduler.unplaced.size} ${cpuUsage.news()} " +
+        " machines=${machines.byName.size} waiting=${scheduler.pendingRequests.size} ${cpuUsage.news()} " +
             "allotmentOveruse=${quota.audit.overuseCount} " +
             "writes=${budgets.stateWrites.tell()} requests=${budgets.stateRequests.tell()}"
 
