--- a/src/main/kotlin/micatally/fleet/BootTimes.kt
+++ b/src/main/kotlin/micatally/fleet/BootTimes.kt
@@ -11,83 +11,83 @@
 class BootTimes(
     private val nominalMs: (String) -> Long,
 ) {
-    private data class Place(
+    private data class TypeInZone(
         val type: String,
         val zone: String,
     )
 
     private class Boot(
-        val tookMs: Long,
+        val bootMs: Long,
         val atMs: Long,
     )
 
-    private val seen = HashMap<Place, ArrayDeque<Boot>>()
-    private var ages: Map<Place, List<Long>> = emptyMap()
+    private val recentBoots = HashMap<TypeInZone, ArrayDeque<Boot>>()
+    private var pendingAges: Map<TypeInZone, List<Long>> = emptyMap()
 
     /** A machine came up. */
-    fun cameUp(
+    fun recordBoot(
         offer: Offer,
-        tookMs: Long,
+        bootMs: Long,
         nowMs: Long,
     ) {
-        val recent = seen.getOrPut(place(offer)) { ArrayDeque() }
-        recent.addLast(Boot(tookMs, nowMs))
-        if (recent.size > REMEMBERED) recent.removeFirst()
+        val recent = recentBoots.getOrPut(typeInZone(offer)) { ArrayDeque() }
+        recent.addLast(Boot(bootMs, nowMs))
+        if (recent.size > BOOTS_KEPT) recent.removeFirst()
     }
 
     /** Takes note of the machines that are still out, by offer and age, and forgets what is long past. */
-    fun observe(
-        waitingFor: List<Pair<Offer, Long>>,
+    fun updatePending(
+        pending: List<Pair<Offer, Long>>,
         nowMs: Long,
     ) {
-        ages = waitingFor.groupBy({ place(it.first) }, { it.second })
-        for ((place, boots) in seen) boots.removeIf { nowMs - it.atMs > nominalMs(place.type) * REMEMBERED_NOMINAL }
+        pendingAges = pending.groupBy({ typeInZone(it.first) }, { it.second })
+        for ((typeInZone, boots) in recentBoots) boots.removeIf { nowMs - it.atMs > nominalMs(typeInZone.type) * RETENTION_NOMINALS }
     }
 
     /** Up to which age a machine that is not up counts as coming. */
-    fun plausibleMs(offer: Offer): Long {
+    fun expectedWithinMs(offer: Offer): Long {
         val nominal = nominalMs(offer.type)
-        val most = maxOf(nominal * MOST_NOMINAL, longestSeenMs(offer) * SPREAD_LONGEST)
-        return (typicalMs(offer) * SPREAD).toLong().coerceIn(nominal * LEAST_NOMINAL, most)
+        val longestWaitMs = maxOf(nominal * TIMEOUT_NOMINALS, longestBootMs(offer) * LONGEST_MARGIN)
+        return (typicalBootMs(offer) * TYPICAL_MARGIN).toLong().coerceIn(nominal * USUAL_NOMINALS, longestWaitMs)
     }
 
     /** At which age a machine is given up and deleted. While most are late, all may yet come. */
-    fun hopelessMs(offer: Offer): Long {
+    fun bootTimeoutMs(offer: Offer): Long {
         val nominal = nominalMs(offer.type)
-        val patience = if (slowness(offer) > 1.0) SLOW_GIVE_UP_NOMINAL else MOST_NOMINAL
-        return maxOf(nominal * patience, longestSeenMs(offer) * SPREAD_LONGEST)
+        val timeoutNominals = if (slowness(offer) > 1.0) SLOW_TIMEOUT_NOMINALS else TIMEOUT_NOMINALS
+        return maxOf(nominal * timeoutNominals, longestBootMs(offer) * LONGEST_MARGIN)
     }
 
     /** How many times slower than nominal the offer's machines come now; 1 within what is usual. */
     fun slowness(offer: Offer): Double {
-        val ratio = typicalMs(offer).toDouble() / nominalMs(offer.type)
-        return if (ratio > LEAST_NOMINAL) ratio else 1.0
+        val ratio = typicalBootMs(offer).toDouble() / nominalMs(offer.type)
+        return if (ratio > USUAL_NOMINALS) ratio else 1.0
     }
 
     /** The median of the boots seen lately and of the ages of those that take longer than usual by now. */
-    private fun typicalMs(offer: Offer): Long {
+    private fun typicalBootMs(offer: Offer): Long {
         val nominal = nominalMs(offer.type)
-        val late = ages[place(offer)]?.filter { it > nominal * LEAST_NOMINAL } ?: emptyList()
-        val all = (seen[place(offer)]?.map { it.tookMs } ?: emptyList()) + late
-        return if (all.isEmpty()) nominal else all.sorted()[all.size / 2]
+        val late = pendingAges[typeInZone(offer)]?.filter { it > nominal * USUAL_NOMINALS } ?: emptyList()
+        val bootTimes = (recentBoots[typeInZone(offer)]?.map { it.bootMs } ?: emptyList()) + late
+        return if (bootTimes.isEmpty()) nominal else bootTimes.sorted()[bootTimes.size / 2]
     }
 
-    private fun longestSeenMs(offer: Offer) = seen[place(offer)]?.maxOfOrNull { it.tookMs } ?: 0L
+    private fun longestBootMs(offer: Offer) = recentBoots[typeInZone(offer)]?.maxOfOrNull { it.bootMs } ?: 0L
 
-    private fun place(offer: Offer) = Place(offer.type, offer.zone)
+    private fun typeInZone(offer: Offer) = TypeInZone(offer.type, offer.zone)
 
     private companion object {
         /** Boots remembered for each type and zone, and for how many nominal boots: a spell of slow ones passes. */
-        const val REMEMBERED = 8
-        const val REMEMBERED_NOMINAL = 10L
+        const val BOOTS_KEPT = 8
+        const val RETENTION_NOMINALS = 10L
 
         /** The protocol: usually up to 1.5 times the nominal time. */
-        const val LEAST_NOMINAL = 2L
+        const val USUAL_NOMINALS = 2L
 
         /** The protocol: some take several times as long. */
-        const val MOST_NOMINAL = 4L
-        const val SLOW_GIVE_UP_NOMINAL = 10L
-        const val SPREAD = 1.5
-        const val SPREAD_LONGEST = 2L
+        const val TIMEOUT_NOMINALS = 4L
+        const val SLOW_TIMEOUT_NOMINALS = 10L
+        const val TYPICAL_MARGIN = 1.5
+        const val LONGEST_MARGIN = 2L
     }
 }
--- a/src/main/kotlin/micatally/fleet/CloudClient.kt
+++ b/src/main/kotlin/micatally/fleet/CloudClient.kt
@@ -45,14 +45,14 @@
         urgency: Urgency,
     ): Outcome {
         budget.take(1, urgency)
-        val out = http.call(addr, method, target, body?.bytes(), timeoutMs)
-        if (out is Outcome.Answer && out.status == 429) budget.drained()
-        return out
+        val outcome = http.call(addr, method, target, body?.bytes(), timeoutMs)
+        if (outcome is Outcome.Answer && outcome.status == 429) budget.drained()
+        return outcome
     }
 
     suspend fun machineTypes(): JsonObject? {
-        val out = send("GET", "/flavors", null, Urgency.ACCEPTANCE)
-        return if (out is Outcome.Answer && out.status == 200) parseObject(out.body) else null
+        val outcome = send("GET", "/flavors", null, Urgency.ACCEPTANCE)
+        return if (outcome is Outcome.Answer && outcome.status == 200) parseObject(outcome.body) else null
     }
 
     suspend fun rent(
@@ -70,21 +70,21 @@
                 put("loaners", spot)
                 put("count", count)
             }
-        return when (val out = send("POST", "/machines", body, Urgency.ACCEPTANCE)) {
+        return when (val outcome = send("POST", "/machines", body, Urgency.ACCEPTANCE)) {
             is Outcome.NotSent -> ProvisioningResult.Refused
             is Outcome.Silence, is Outcome.TooLarge -> ProvisioningResult.Unknown
             is Outcome.Answer ->
                 when {
-                    out.status == 200 ->
+                    outcome.status == 200 ->
                         ProvisioningResult.Provisioned(
-                            (parseObject(out.body).listOrNull("cars") ?: emptyList()).map { it.asText() },
+                            (parseObject(outcome.body).listOrNull("cars") ?: emptyList()).map { it.asText() },
                         )
-                    out.status == 503 &&
-                        out.body.decodeToString().contains(
+                    outcome.status == 503 &&
+                        outcome.body.decodeToString().contains(
                             "no capacity",
                         )
                     -> ProvisioningResult.NoCapacity
-                    out.status == 503 || out.status == 429 || out.status == 400 -> ProvisioningResult.Refused
+                    outcome.status == 503 || outcome.status == 429 || outcome.status == 400 -> ProvisioningResult.Refused
                     else -> ProvisioningResult.Unknown
                 }
         }
@@ -92,7 +92,7 @@
 
     /** True when the machines and all on them are gone. */
     suspend fun delete(names: List<String>): Boolean {
-        val out =
+        val outcome =
             send(
                 "POST",
                 "/machines/delete",
@@ -101,21 +101,21 @@
                 },
                 Urgency.LEASE,
             )
-        return out is Outcome.Answer && out.status == 200
+        return outcome is Outcome.Answer && outcome.status == 200
     }
 
     suspend fun list(): List<ListedMachine>? {
         val all = ArrayList<ListedMachine>()
-        var since: String? = null
+        var lastName: String? = null
         while (true) {
-            val from = if (since == null) "" else "since=${queryPart(since)}&"
-            val out = send("GET", "/machines?${from}page=500", null, Urgency.INTENT)
-            if (out !is Outcome.Answer || out.status != 200) return null
-            val o = parseObject(out.body)
-            val page = (o.listOrNull("cars") ?: emptyList()).map { ListedMachine.parse(it.asObject()) }
+            val from = if (lastName == null) "" else "since=${queryPart(lastName)}&"
+            val outcome = send("GET", "/machines?${from}page=500", null, Urgency.INTENT)
+            if (outcome !is Outcome.Answer || outcome.status != 200) return null
+            val answer = parseObject(outcome.body)
+            val page = (answer.listOrNull("cars") ?: emptyList()).map { ListedMachine.parse(it.asObject()) }
             all.addAll(page)
-            if (o["more"]?.toString() != "true" || page.isEmpty()) return all
-            since = page.last().name
+            if (answer["more"]?.toString() != "true" || page.isEmpty()) return all
+            lastName = page.last().name
         }
     }
 }
--- a/src/main/kotlin/micatally/fleet/ConsolidationPlan.kt
+++ b/src/main/kotlin/micatally/fleet/ConsolidationPlan.kt
@@ -14,18 +14,18 @@
  * @param headroom share of what is used that stays free
  */
 class ConsolidationPlan(
-    private val up: List<Machine>,
-    private val leaving: List<Machine>,
+    private val inService: List<Machine>,
+    private val evicting: List<Machine>,
     private val types: Map<String, MachineType>,
-    private val recent: List<ResourceRequest>,
-    private val headroom: Double,
+    private val recentServices: List<ResourceRequest>,
+    private val headroomShare: Double,
 ) {
-    class Choice(
+    class Selection(
         val machine: Machine,
         val reason: String,
     )
 
-    private val chosen = LinkedHashSet<Machine>()
+    private val selected = LinkedHashSet<Machine>()
 
     /**
      * The machines with the least on them, dearest types first, as long as the others have room for that and some more besides:
@@ -34,33 +34,33 @@
      *
      * @param mayEmpty whether a machine may be chosen at all
      */
-    fun choose(
-        most: Int,
-        mayEmpty: (Machine) -> Boolean,
-    ): List<Choice> {
-        val choices = ArrayList<Choice>()
+    fun select(
+        limit: Int,
+        mayEvict: (Machine) -> Boolean,
+    ): List<Selection> {
+        val selections = ArrayList<Selection>()
         for (type in types.values.sortedByDescending { it.hourly }) {
             val candidates =
-                up
-                    .filter { it.type == type.label && mayEmpty(it) }
-                    .sortedWith(compareBy({ it.used.gpus }, { share(type, it.used) }, { it.name }))
+                inService
+                    .filter { it.type == type.label && mayEvict(it) }
+                    .sortedWith(compareBy({ it.used.gpus }, { utilization(type, it.used) }, { it.name }))
             for (machine in candidates) {
-                if (choices.size >= most) return choices
-                val free = freeElsewhere(type, machine) ?: break
-                val used = share(type, machine.used)
-                choices.add(
-                    Choice(
+                if (selections.size >= limit) return selections
+                val free = freeCapacityElsewhere(type, machine) ?: break
+                val used = utilization(type, machine.used)
+                selections.add(
+                    Selection(
                         machine,
                         "%.2f used, %.0f cores and %.0f cards free elsewhere".format(used, free.cores, free.gpus),
                     ),
                 )
-                chosen.add(machine)
+                selected.add(machine)
             }
         }
-        return choices
+        return selections
     }
 
-    private fun share(
+    private fun utilization(
         type: MachineType,
         used: Resources,
     ): Double {
@@ -69,42 +69,42 @@
     }
 
     /** What is free on machines that could take what is on this one; null if that is not enough, or this one is used too much. */
-    private fun freeElsewhere(
+    private fun freeCapacityElsewhere(
         type: MachineType,
         machine: Machine,
     ): Resources? {
-        val moved = machine.used
-        if (share(type, moved) > MOSTLY_USED) return null
-        val hasNoCards = moved.gpus <= 0.0 && type.resources.gpus > 0
-        val takes = { other: Machine -> if (hasNoCards) other.zone == machine.zone else other.type == machine.type }
+        val displaced = machine.used
+        if (utilization(type, displaced) > MAX_UTILIZATION) return null
+        val needsNoGpus = displaced.gpus <= 0.0 && type.resources.gpus > 0
+        val mayHost = { other: Machine -> if (needsNoGpus) other.zone == machine.zone else other.type == machine.type }
         var free = Resources.NONE
         var used = Resources.NONE
-        for (other in up) {
-            if (other === machine || other in chosen || !takes(other)) continue
+        for (other in inService) {
+            if (other === machine || other in selected || !mayHost(other)) continue
             free = free + ((types[other.type] ?: continue).resources - other.used)
             used = used + other.used
         }
-        for (other in leaving + chosen) if (takes(other)) free = free - other.used
-        val spare = if (hasNoCards) Resources(used.cores * headroom, 0.0, 0.0) else spare(type, used)
-        return free.takeIf { it.cores >= moved.cores + spare.cores && it.gpus >= moved.gpus + spare.gpus }
+        for (other in evicting + selected) if (mayHost(other)) free = free - other.used
+        val reserve = if (needsNoGpus) Resources(used.cores * headroomShare, 0.0, 0.0) else reserve(type, used)
+        return free.takeIf { it.cores >= displaced.cores + reserve.cores && it.gpus >= displaced.gpus + reserve.gpus }
     }
 
-    private fun spare(
+    private fun reserve(
         type: MachineType,
         used: Resources,
     ): Resources {
-        val next =
-            recent.filter {
+        val services =
+            recentServices.filter {
                 (it.types.isEmpty() || type.label in it.types) &&
                     (it.gpus > 0) == (type.resources.gpus > 0)
             }
-        val cores = maxOf(type.resources.cores, used.cores * headroom, next.sumOf { it.cores * it.count })
-        val gpus = maxOf(type.resources.gpus, used.gpus * headroom, next.sumOf { it.gpus * it.count })
+        val cores = maxOf(type.resources.cores, used.cores * headroomShare, services.sumOf { it.cores * it.count })
+        val gpus = maxOf(type.resources.gpus, used.gpus * headroomShare, services.sumOf { it.gpus * it.count })
         return Resources(cores, gpus, 0.0)
     }
 
     private companion object {
         /** A machine used beyond this is not worth emptying. */
-        const val MOSTLY_USED = 0.8
+        const val MAX_UTILIZATION = 0.8
     }
 }
--- a/src/main/kotlin/micatally/fleet/FleetManager.kt
+++ b/src/main/kotlin/micatally/fleet/FleetManager.kt
@@ -44,26 +44,26 @@
     private val cloud: CloudClient,
     private val membership: Membership,
     private val machines: MachineRegistry,
-    private val fleetDemand: PendingWorkload,
+    private val pendingWorkload: PendingWorkload,
     operator: Operator,
     private val nowMs: () -> Long,
 ) {
     private val log = LoggerFactory.getLogger("micatally.fleet")
     private val sharedKeys: SharedKeyCache = membership.sharedKeys
     private var term = 0L
-    private var termSince = 0L
+    private var termBeganAt = 0L
 
     /** When there was demand last. */
-    private var neededAt = Long.MIN_VALUE / 2
+    private var lastUnplacedAt = Long.MIN_VALUE / 2
     private val unknownStates = HashSet<String>()
 
     private val instances = ProvisionedInstances { machines.bootMs(it) }
     private val scaleIn =
         ScaleIn(scope, settings, state, cloud, sharedKeys, { isLeader && membership.leaseHolds() }, nowMs)
     private val scaleOut = ScaleOut(scope, settings, state, cloud, sharedKeys, machines, instances, { isLeader }, nowMs)
-    private val silence =
-        MachineFailureDetector(scope, http, settings, machines, instances, fleetDemand::silentZones, nowMs)
-    private val drains =
+    private val failureDetector =
+        MachineFailureDetector(scope, http, settings, machines, instances, pendingWorkload::silentZones, nowMs)
+    private val eviction =
         GracefulEviction(
             scope,
             settings,
@@ -72,11 +72,12 @@
             machines,
             instances,
             scaleIn,
-            fleetDemand::recentServices,
+            pendingWorkload::recentServices,
             operator,
             nowMs,
         )
-    private val types = MachineTypeCatalog(settings, state, cloud, machines, { isLeader }, { onMachineTypes() })
+    private val machineTypeCatalog =
+        MachineTypeCatalog(settings, state, cloud, machines, { isLeader }, { onMachineTypes() })
 
     /** The machine types have become known. */
     var onMachineTypes: () -> Unit = {}
@@ -84,38 +85,38 @@
     val isLeader get() = term > 0 && sharedKeys.modRevision(Keys.FLEET) == term
 
     /** Machines whose end an owner needs proven. */
-    fun retire(names: List<String>) = scaleIn.want(names)
+    fun retire(names: List<String>) = scaleIn.request(names)
 
-    suspend fun prune() = scaleIn.prune()
+    suspend fun prune() = scaleIn.pruneDeletionRecords()
 
     fun start() {
-        scope.launch { types.follow() }
+        scope.launch { machineTypeCatalog.follow() }
         scope.launch { termLoop() }
         scope.launch { listLoop() }
         scope.launch {
             while (true) {
-                delay(settings.heartbeatIntervalMs / STEPS_A_REPORT)
-                if (isLeader) step()
+                delay(settings.heartbeatIntervalMs / REVIEWS_PER_HEARTBEAT)
+                if (isLeader) review()
             }
         }
     }
 
     private suspend fun termLoop() {
         while (true) {
-            delay(settings.liveMs / TRIES_A_LIFE)
+            delay(settings.liveMs / ATTEMPTS_PER_LEASE)
             val lease = membership.lease
             if (lease == null || isLeader || sharedKeys.revision < 0) continue
             // The answer that gave it the key was lost: nobody else can take it while this node lives.
-            val isOwn = sharedKeys.value(Keys.FLEET)?.textOrNull("process") == membership.process
-            if (isOwn) {
-                begin(sharedKeys.modRevision(Keys.FLEET))
+            val isHeldByThisProcess = sharedKeys.value(Keys.FLEET)?.textOrNull("process") == membership.process
+            if (isHeldByThisProcess) {
+                beginTerm(sharedKeys.modRevision(Keys.FLEET))
             } else if (!sharedKeys.has(Keys.FLEET)) {
-                acquire(lease)
+                acquireFleetKey(lease)
             }
         }
     }
 
-    private suspend fun acquire(lease: Long) {
+    private suspend fun acquireFleetKey(lease: Long) {
         val live = Keys.live(settings.host)
         val leader =
             buildJsonObject {
@@ -128,42 +129,42 @@
                 Transaction(conditions, listOf(Put(Keys.FLEET, leader, lease)))
             }
         if (result !is TransactionResult.Applied) {
-            delay(settings.liveMs / TRIES_A_LIFE)
+            delay(settings.liveMs / ATTEMPTS_PER_LEASE)
             return
         }
         membership.refresh()
-        begin(result.revision)
+        beginTerm(result.revision)
     }
 
-    private fun begin(modRevision: Long) {
+    private fun beginTerm(modRevision: Long) {
         term = modRevision
-        termSince = nowMs()
-        neededAt = termSince
-        log.info("fleet key held, term {}", term)
+        termBeganAt = nowMs()
+        lastUnplacedAt = termBeganAt
+        log.info("fleet leadership acquired, term {}", term)
         instances.clear()
-        drains.beginTerm()
+        eviction.beginTerm()
         scaleOut.beginTerm(term)
     }
 
     private suspend fun listLoop() {
-        val pauseMs = maxOf(settings.listLagMs / 2, (LIST_PAUSE_REQUESTS * 1000 / settings.cloudRps).toLong())
+        val pauseMs = maxOf(settings.listLagMs / 2, (REQUESTS_PER_LISTING * 1000 / settings.cloudRps).toLong())
         while (true) {
             delay(pauseMs)
             if (!isLeader) continue
-            val termOfList = term
-            val list = cloud.list() ?: continue
-            if (term != termOfList) continue
-            for (line in list) take(line, nowMs())
+            val termAtRequest = term
+            val listing = cloud.list() ?: continue
+            if (term != termAtRequest) continue
+            for (line in listing) applyListed(line, nowMs())
         }
     }
 
-    private fun take(
+    private fun applyListed(
         line: ListedMachine,
         now: Long,
     ) {
         if (sharedKeys.has(Keys.DELETED_MACHINE + line.name) || line.name in machines.deletedNames) return
         when (line.status) {
-            ListedMachine.FAILED -> scaleIn.want(line.name)
+            ListedMachine.FAILED -> scaleIn.request(line.name)
             ListedMachine.STARTING -> instances.listed(line, now)
             ListedMachine.RUNNING -> {
                 instances.listed(line, now)
@@ -171,47 +172,51 @@
             }
             else ->
                 if (unknownStates.add(line.status)) {
-                    log.warn("machine {} is listed in an unknown state: {}", line.name, line.status)
+                    log.warn("machine {} has an unknown status in the cloud's list: {}", line.name, line.status)
                 }
         }
     }
 
-    private fun step() {
+    private fun review() {
         val now = nowMs()
         if (!membership.leaseHolds() || membership.viewAgeMs > settings.leaseMs / 2) return
-        followRentals(now)
-        scaleIn.want(silence.find(now, termSince))
-        val demands = fleetDemand.unplaced()
-        if (demands.isNotEmpty()) neededAt = now
-        giveUpLate(now)
-        drains.review(demands, now)
-        scaleIn.send()
-        scaleOut.dropSettledNotes()
-        if (demands.isNotEmpty()) scaleOut.scaleOutFor(demands, now)
+        updateInstances(now)
+        scaleIn.request(failureDetector.findFailed(now, termBeganAt))
+        val resourceRequests = pendingWorkload.unplaced()
+        if (resourceRequests.isNotEmpty()) lastUnplacedAt = now
+        deleteLateInstances(now)
+        eviction.review(resourceRequests, now)
+        scaleIn.submit()
+        scaleOut.deleteSettledRequests()
+        if (resourceRequests.isNotEmpty()) scaleOut.scaleOut(resourceRequests, now)
     }
 
-    private fun followRentals(now: Long) {
-        for (m in machines.byName.values) {
-            if (!m.deleted && m.incarnation != 0L) {
-                instances.reports(m.name, Offer(m.type, m.zone, m.spot), m.firstHeardAt)
+    private fun updateInstances(now: Long) {
+        for (machine in machines.byName.values) {
+            if (!machine.deleted && machine.incarnation != 0L) {
+                instances.heartbeatReceived(
+                    machine.name,
+                    Offer(machine.type, machine.zone, machine.spot),
+                    machine.firstHeardAt,
+                )
             }
         }
         instances.removeAll(machines.deletedNames)
-        instances.observe(now)
+        instances.updatePending(now)
     }
 
-    private fun giveUpLate(now: Long) {
-        for (instance in instances.givenUp(now, now - neededAt < settings.leaseMs)) {
-            log.info("machine {} has not come up in {} ms", instance.name, instance.ageMs(now))
-            scaleIn.want(instance.name)
+    private fun deleteLateInstances(now: Long) {
+        for (instance in instances.timedOut(now, now - lastUnplacedAt < settings.leaseMs)) {
+            log.info("machine {} did not boot within {} ms, deleting it", instance.name, instance.ageMs(now))
+            scaleIn.request(instance.name)
         }
     }
 
     private companion object {
-        const val STEPS_A_REPORT = 4
-        const val TRIES_A_LIFE = 16
+        const val REVIEWS_PER_HEARTBEAT = 4
+        const val ATTEMPTS_PER_LEASE = 16
 
         /** Between two lists the cloud takes at least so many other requests. */
-        const val LIST_PAUSE_REQUESTS = 3
+        const val REQUESTS_PER_LISTING = 3
     }
 }
--- a/src/main/kotlin/micatally/fleet/GracefulEviction.kt
+++ b/src/main/kotlin/micatally/fleet/GracefulEviction.kt
@@ -20,8 +20,8 @@
 import micatally.worker.MachineRegistry
 import org.slf4j.LoggerFactory
 
-/** EMPTYING: no new tasks, the owners move what they can. EMPTY: nothing on it; deleted once all know of the drain. */
-private enum class EvictionState { EMPTYING, EMPTY }
+/** EVICTING: no new tasks, the owners move what they can. EMPTY: nothing on it; deleted once all know of the eviction. */
+private enum class EvictionState { EVICTING, EMPTY }
 
 /** Takes machines out of service that stand idle, or whose tasks others have room for. */
 class GracefulEviction(
@@ -39,15 +39,15 @@
     private val log = LoggerFactory.getLogger("micatally.fleet")
 
     private class Eviction(
-        val since: Long,
+        val beganAt: Long,
         state: EvictionState,
     ) {
         var state = state
             private set
-        var stateSince = since
+        var stateSince = beganAt
             private set
 
-        /** The one place where a drain changes its state. */
+        /** The one place where an eviction changes its state. */
         fun transitionTo(
             next: EvictionState,
             now: Long,
@@ -59,159 +59,159 @@
     }
 
     private val evictions = HashMap<String, Eviction>()
-    private val keptUntil = HashMap<String, Long>()
-    private var since = 0L
-    private var lastEmptying = 0L
-    private var reconciledAt = 0L
-    private var keysOff: Set<String> = emptySet()
+    private val exemptUntil = HashMap<String, Long>()
+    private var beganAt = 0L
+    private var lastConsolidationAt = 0L
+    private var lastReconciledAt = 0L
+    private var mismatchedKeys: Set<String> = emptySet()
 
     fun beginTerm() {
-        since = nowMs()
+        beganAt = nowMs()
         evictions.clear()
         for (item in sharedKeys.under(Keys.DRAIN)) {
             evictions[item.key.removePrefix(Keys.DRAIN)] =
-                Eviction(since, EvictionState.EMPTYING)
+                Eviction(beganAt, EvictionState.EVICTING)
         }
     }
 
     /** Looks at all machines, given what finds no room at present. */
     fun review(
-        demands: List<ResourceRequest>,
+        resourceRequests: List<ResourceRequest>,
         now: Long,
     ) {
-        for (m in machines.byName.values) if (!m.deleted && m.incarnation != 0L) review(m, demands, now)
+        for (machine in machines.byName.values) if (!machine.deleted && machine.incarnation != 0L) review(machine, resourceRequests, now)
         evictions.keys.removeIf { it in machines.deletedNames }
         reconcile(now)
-        val isSettled = now - since > settings.leaseMs * 2
-        if (demands.isEmpty() && isSettled && now - lastEmptying > machines.bootMs(null) / EMPTYING_A_BOOT) {
-            lastEmptying = now
-            emptySome(now)
+        val isSettled = now - beganAt > settings.leaseMs * 2
+        if (resourceRequests.isEmpty() && isSettled && now - lastConsolidationAt > machines.bootMs(null) / CONSOLIDATIONS_PER_BOOT) {
+            lastConsolidationAt = now
+            consolidate(now)
         }
     }
 
     private fun review(
-        m: Machine,
-        demands: List<ResourceRequest>,
+        machine: Machine,
+        resourceRequests: List<ResourceRequest>,
         now: Long,
     ) {
-        val drain = evictions[m.name]
-        if (!isEmpty(m)) {
-            m.busyAt = now
-            if (drain == null || m.hasSpotNotice) return
-            drain.transitionTo(EvictionState.EMPTYING, now)
-            if (demands.any { isAllowedOn(it, m) }) {
-                keep(m, now, "there is demand for it")
-            } else if (now - drain.since > machines.bootMs(m.type) * EMPTYING_BOOTS) {
-                keep(m, now, "it does not empty")
+        val eviction = evictions[machine.name]
+        if (!isEmpty(machine)) {
+            machine.busyAt = now
+            if (eviction == null || machine.hasSpotNotice) return
+            eviction.transitionTo(EvictionState.EVICTING, now)
+            if (resourceRequests.any { isAllowedOn(it, machine) }) {
+                cancelEviction(machine, now, "unplaced tasks may run on it")
+            } else if (now - eviction.beganAt > machines.bootMs(machine.type) * EVICTION_TIMEOUT_BOOTS) {
+                cancelEviction(machine, now, "its tasks did not leave in time")
             }
             return
         }
-        if (drain != null) {
-            drain.transitionTo(EvictionState.EMPTY, now)
-            val isKnown =
-                now - drain.stateSince > settings.heartbeatIntervalMs + settings.leaseMs / 10 &&
-                    sharedKeys.has(Keys.DRAIN + m.name)
-            if (isKnown) scaleIn.want(m.name)
+        if (eviction != null) {
+            eviction.transitionTo(EvictionState.EMPTY, now)
+            val isKnownToAll =
+                now - eviction.stateSince > settings.heartbeatIntervalMs + settings.leaseMs / 10 &&
+                    sharedKeys.has(Keys.DRAIN + machine.name)
+            if (isKnownToAll) scaleIn.request(machine.name)
             return
         }
-        val idleMs = if (m.hasSpotNotice) 0L else (machines.bootMs(m.type) * operator.fleetIdleBoots).toLong()
-        if (now - maxOf(m.busyAt, since) > idleMs) drain(m, now, EvictionState.EMPTY, "idle")
+        val idleMs = if (machine.hasSpotNotice) 0L else (machines.bootMs(machine.type) * operator.fleetIdleBoots).toLong()
+        if (now - maxOf(machine.busyAt, beganAt) > idleMs) evict(machine, now, EvictionState.EMPTY, "idle")
     }
 
-    private fun isEmpty(m: Machine): Boolean {
-        val u = m.used
-        return m.tasks.all { it.ended } && m.attempts.isEmpty() && u.cores < EPSILON && u.gpus < EPSILON &&
-            u.memoryGb < EPSILON
+    private fun isEmpty(machine: Machine): Boolean {
+        val used = machine.used
+        return machine.tasks.all { it.ended } && machine.attempts.isEmpty() && used.cores < EPSILON && used.gpus < EPSILON &&
+            used.memoryGb < EPSILON
     }
 
     private fun isAllowedOn(
-        d: ResourceRequest,
-        m: Machine,
+        request: ResourceRequest,
+        machine: Machine,
     ): Boolean {
-        val isType = d.types.isEmpty() || m.type in d.types
-        val isZone = d.zones.isEmpty() || m.zone in d.zones
-        return isType && isZone && (!m.spot || d.spot)
+        val isType = request.types.isEmpty() || machine.type in request.types
+        val isZone = request.zones.isEmpty() || machine.zone in request.zones
+        return isType && isZone && (!machine.spot || request.spot)
     }
 
-    private fun emptySome(now: Long) {
-        val up =
-            machines.byName.values.filter { m ->
-                val isInService = !m.deleted && !m.hasSpotNotice && m.incarnation > 0 && m.name !in evictions
-                isInService && now - m.heardAt < settings.leaseMs / 2
+    private fun consolidate(now: Long) {
+        val inService =
+            machines.byName.values.filter { machine ->
+                val isInService = !machine.deleted && !machine.hasSpotNotice && machine.incarnation > 0 && machine.name !in evictions
+                isInService && now - machine.heardAt < settings.leaseMs / 2
             }
-        val leaving =
+        val evicting =
             evictions
                 .filterValues {
-                    it.state == EvictionState.EMPTYING
+                    it.state == EvictionState.EVICTING
                 }.keys
                 .mapNotNull { machines.of(it) }
                 .filter { !it.deleted }
-        val most = maxOf(EMPTYING_AT_ONCE, (up.size * EMPTYING_SHARE).toInt()) - leaving.size
-        if (most <= 0) return
-        val plan = ConsolidationPlan(up, leaving, machines.machineTypes, recentServices(), operator.fleetHeadroom)
-        for (choice in plan.choose(
-            most,
-        ) { mayEmpty(it, now) }) {
-            drain(choice.machine, now, EvictionState.EMPTYING, choice.reason)
+        val limit = maxOf(MIN_CONCURRENT_EVICTIONS, (inService.size * MAX_EVICTING_SHARE).toInt()) - evicting.size
+        if (limit <= 0) return
+        val plan = ConsolidationPlan(inService, evicting, machines.machineTypes, recentServices(), operator.fleetHeadroom)
+        for (selection in plan.select(
+            limit,
+        ) { mayEvict(it, now) }) {
+            evict(selection.machine, now, EvictionState.EVICTING, selection.reason)
         }
     }
 
-    private fun mayEmpty(
-        m: Machine,
+    private fun mayEvict(
+        machine: Machine,
         now: Long,
     ): Boolean {
-        val isPaidFor = now - (instances.of(m.name)?.provisionedAtMs ?: 0L) > MIN_CHARGE_MS
-        return isPaidFor && (keptUntil[m.name] ?: 0L) < now
+        val isMinimumBilled = now - (instances.of(machine.name)?.provisionedAtMs ?: 0L) > MIN_BILLED_MS
+        return isMinimumBilled && (exemptUntil[machine.name] ?: 0L) < now
     }
 
-    private fun drainOf(name: String) = Put(Keys.DRAIN + name, buildJsonObject { put("by", settings.host) })
+    private fun evictionRecord(name: String) = Put(Keys.DRAIN + name, buildJsonObject { put("by", settings.host) })
 
-    private fun drain(
-        m: Machine,
+    private fun evict(
+        machine: Machine,
         now: Long,
-        to: EvictionState,
+        state: EvictionState,
         reason: String,
     ) {
-        evictions[m.name] = Eviction(now, to)
-        log.info("machine {} is being drained: {}", m.name, reason)
-        write { Transaction(emptyList(), listOf(drainOf(m.name))) }
+        evictions[machine.name] = Eviction(now, state)
+        log.info("evicting machine {}: {}", machine.name, reason)
+        launchTransaction { Transaction(emptyList(), listOf(evictionRecord(machine.name))) }
     }
 
-    private fun keep(
-        m: Machine,
+    private fun cancelEviction(
+        machine: Machine,
         now: Long,
         reason: String,
     ) {
-        evictions.remove(m.name)
-        keptUntil[m.name] = now + machines.bootMs(m.type) * KEPT_BOOTS
-        log.info("machine {} kept: {}", m.name, reason)
-        write { Transaction(emptyList(), listOf(Delete(Keys.DRAIN + m.name))) }
+        evictions.remove(machine.name)
+        exemptUntil[machine.name] = now + machines.bootMs(machine.type) * EXEMPTION_BOOTS
+        log.info("eviction of machine {} cancelled: {}", machine.name, reason)
+        launchTransaction { Transaction(emptyList(), listOf(Delete(Keys.DRAIN + machine.name))) }
     }
 
-    private fun write(build: () -> Transaction?) {
+    private fun launchTransaction(build: () -> Transaction?) {
         scope.launch { state.transact(1, Urgency.SUMMARY, build) }
     }
 
     /**
-     * A drain or its end may have got no answer, and may be carried out late or never: what the key says is brought to what was
+     * An eviction or its end may have got no answer, and may be carried out late or never: what the key says is brought to what was
      * decided last. A machine that is drained by mistake gets no work though jobs wait for it.
      */
     private fun reconcile(now: Long) {
-        if (now - reconciledAt < settings.leaseMs / 4) return
-        reconciledAt = now
+        if (now - lastReconciledAt < settings.leaseMs / 4) return
+        lastReconciledAt = now
         val listed = sharedKeys.under(Keys.DRAIN)
         val names = listed.mapTo(HashSet()) { it.key.removePrefix(Keys.DRAIN) }
-        val surplus = listed.filter { it.key.removePrefix(Keys.DRAIN) !in evictions }
+        val unexpected = listed.filter { it.key.removePrefix(Keys.DRAIN) !in evictions }
         val missing = evictions.keys.filter { it !in names }
         // Only what was off at the last look too: the usual write is under way.
-        for (item in surplus) {
-            if (item.key in keysOff) write { conditional(item.key, item.modRevision, Delete(item.key)) }
+        for (item in unexpected) {
+            if (item.key in mismatchedKeys) launchTransaction { conditional(item.key, item.modRevision, Delete(item.key)) }
         }
         for (name in missing) {
             val key = Keys.DRAIN + name
-            if (key in keysOff) write { if (name in evictions) conditional(key, 0, drainOf(name)) else null }
+            if (key in mismatchedKeys) launchTransaction { if (name in evictions) conditional(key, 0, evictionRecord(name)) else null }
         }
-        keysOff = surplus.mapTo(HashSet()) { it.key } + missing.map { Keys.DRAIN + it }
+        mismatchedKeys = unexpected.mapTo(HashSet()) { it.key } + missing.map { Keys.DRAIN + it }
     }
 
     private fun conditional(
@@ -224,15 +224,15 @@
         const val EPSILON = 1e-6
 
         /** The protocol charges a machine for so long at least. */
-        const val MIN_CHARGE_MS = 60_000L
+        const val MIN_BILLED_MS = 60_000L
 
         /** Machines being emptied at once: at least so many, or a share of those that are up; looked for so often in a boot. */
-        const val EMPTYING_AT_ONCE = 2
-        const val EMPTYING_SHARE = 0.25
-        const val EMPTYING_A_BOOT = 6
+        const val MIN_CONCURRENT_EVICTIONS = 2
+        const val MAX_EVICTING_SHARE = 0.25
+        const val CONSOLIDATIONS_PER_BOOT = 6
 
         /** A machine that does not empty in so many boots is kept, and one that is kept is left alone for some. */
-        const val EMPTYING_BOOTS = 4
-        const val KEPT_BOOTS = 2
+        const val EVICTION_TIMEOUT_BOOTS = 4
+        const val EXEMPTION_BOOTS = 2
     }
 }
--- a/src/main/kotlin/micatally/fleet/MachineFailureDetector.kt
+++ b/src/main/kotlin/micatally/fleet/MachineFailureDetector.kt
@@ -24,63 +24,67 @@
     private val settings: Settings,
     private val machines: MachineRegistry,
     private val instances: ProvisionedInstances,
-    private val silentZones: () -> Set<String>,
+    private val unreachableZones: () -> Set<String>,
     private val nowMs: () -> Long,
 ) {
     private val log = LoggerFactory.getLogger("micatally.fleet")
     private val probing = HashSet<String>()
     private val probeAfterMs = maxOf(settings.heartbeatIntervalMs * 2, settings.leaseMs / 4)
-    private val probeMs = settings.leaseMs / 16
-    private var contactLostAt = Long.MIN_VALUE / 2
+    private val probeTimeoutMs = settings.leaseMs / 16
+    private var controllerUnreachableAt = Long.MIN_VALUE / 2
 
     /** How many machines of a zone were heard lately, how many were not, and those that were not for long. */
     private class ZoneView {
-        var heard = 0
-        var quiet = 0
-        val silent = ArrayList<Machine>()
+        var responsive = 0
+        var unresponsive = 0
+        val unreachable = ArrayList<Machine>()
     }
 
     /** Names of the machines to delete. [since] is when this node began to look after the fleet. */
-    fun find(
+    fun findFailed(
         now: Long,
-        since: Long,
+        termBeganAt: Long,
     ): List<String> {
         // While a node can't be heard, its workers may be looking for another, or it may hear them and can't say so.
-        val zonesOfSilentNodes = silentZones()
-        if (zonesOfSilentNodes.isNotEmpty()) contactLostAt = now
-        val zones = look(now, since)
-        return withoutPower(zones, now) + silentOnes(zones, zonesOfSilentNodes, now, since)
+        val zonesOfUnreachable = unreachableZones()
+        if (zonesOfUnreachable.isNotEmpty()) controllerUnreachableAt = now
+        val zones = classifyByZone(now, termBeganAt)
+        return findPoweredOff(zones, now) + findUnreachable(zones, zonesOfUnreachable, now, termBeganAt)
     }
 
-    private fun look(
+    private fun classifyByZone(
         now: Long,
-        since: Long,
+        termBeganAt: Long,
     ): Map<String, ZoneView> {
-        val silentMs =
-            if (now - contactLostAt <
+        val unreachableMs =
+            if (now - controllerUnreachableAt <
                 settings.leaseMs * 3 / 2
             ) {
                 settings.leaseMs * 5 / 2
             } else {
                 settings.leaseMs
             }
-        val hungMs = settings.leaseMs * 2
+        val hungMachineMs = settings.leaseMs * 2
         val zones = HashMap<String, ZoneView>()
-        for (m in machines.byName.values) {
-            val instance = instances.of(m.name)
-            if (m.deleted || instance != null && !instance.isUp) continue
-            val zone = zones.getOrPut(m.zone) { ZoneView() }
-            val silence = now - maxOf(m.heardAt, since, instance?.provisionedAtMs ?: 0L)
-            if (silence > probeAfterMs) {
-                probe(m, now)
-                zone.quiet++
+        for (machine in machines.byName.values) {
+            val instance = instances.of(machine.name)
+            if (machine.deleted || instance != null && !instance.isUp) continue
+            val zone = zones.getOrPut(machine.zone) { ZoneView() }
+            val silentForMs = now - maxOf(machine.heardAt, termBeganAt, instance?.provisionedAtMs ?: 0L)
+            if (silentForMs > probeAfterMs) {
+                probe(machine, now)
+                zone.unresponsive++
             } else {
-                zone.heard++
+                zone.responsive++
             }
             // A machine that takes connections and says nothing hangs and may go on soon: its tasks are lost by then, but
             // not its images, and those take longer to fetch than the wait.
-            val isHung = now - m.connectedAt < settings.leaseMs / 2
-            if (silence > if (isHung) maxOf(silentMs, hungMs) else silentMs) zone.silent.add(m)
+            val acceptsConnections = now - machine.connectedAt < settings.leaseMs / 2
+            if (silentForMs >
+                if (acceptsConnections) maxOf(unreachableMs, hungMachineMs) else unreachableMs
+            ) {
+                zone.unreachable.add(machine)
+            }
         }
         return zones
     }
@@ -90,98 +94,110 @@
      * lose each other, the other one's machines look just the same, but none of them is reached. Waiting for the lease to end
      * would only keep the replicas away for longer.
      */
-    private fun withoutPower(
+    private fun findPoweredOff(
         zones: Map<String, ZoneView>,
         now: Long,
     ): List<String> {
-        val dark = machines.byName.values.filter { it.dark > 0 && !it.deleted }
-        for (zone in dark.mapTo(HashSet()) { it.zone }) probeHealthyOne(zone, now)
-        val lost =
-            dark.filter { m ->
-                val zone = zones[m.zone]
-                val isZoneReached = now - machines.reachedAt(m.zone) < settings.heartbeatIntervalMs
-                val isZoneHeard = (zone?.quiet ?: 0) <= (zone?.heard ?: 0)
-                m.dark >= DARK && isZoneReached && isZoneHeard && now - m.heardAt > probeAfterMs
+        val poweredOff = machines.byName.values.filter { it.dark > 0 && !it.deleted }
+        for (zone in poweredOff.mapTo(HashSet()) { it.zone }) probeResponsiveMachine(zone, now)
+        val confirmed =
+            poweredOff.filter { machine ->
+                val zone = zones[machine.zone]
+                val isZoneReached = now - machines.reachedAt(machine.zone) < settings.heartbeatIntervalMs
+                val isZoneResponsive = (zone?.unresponsive ?: 0) <= (zone?.responsive ?: 0)
+                machine.dark >= MIN_HUNG_CONNECTIONS && isZoneReached && isZoneResponsive &&
+                    now - machine.heardAt > probeAfterMs
             }
-        for (m in lost) log.info("machine {} has no power", m.name)
-        return lost.map { it.name }
+        for (machine in confirmed) log.info("machine {} accepts no connections and counts as powered off", machine.name)
+        return confirmed.map { it.name }
     }
 
     /** With few workers here nothing may have come for a while: one that is heard is asked, to see whether this node reaches any. */
-    private fun probeHealthyOne(
+    private fun probeResponsiveMachine(
         zone: String,
         now: Long,
     ) {
         if (now - machines.reachedAt(zone) <= settings.heartbeatIntervalMs / 2) return
-        val healthy =
+        val responsiveMachine =
             machines.byName.values.firstOrNull {
                 it.zone == zone && !it.deleted && it.dark == 0 && now - it.heardAt < probeAfterMs
             }
-        if (healthy != null) probe(healthy, now)
+        if (responsiveMachine != null) probe(responsiveMachine, now)
     }
 
-    private fun silentOnes(
+    private fun findUnreachable(
         zones: Map<String, ZoneView>,
-        zonesOfSilentNodes: Set<String>,
+        zonesOfUnreachable: Set<String>,
         now: Long,
-        since: Long,
+        termBeganAt: Long,
     ): List<String> =
         zones.flatMap { (name, zone) ->
             // Few machines tell little, but when the zone's controller is silent with them, that is a cut too.
-            val isCut = zone.silent.size >= zone.heard && (zone.silent.size >= MANY || name in zonesOfSilentNodes)
-            val mostMs = settings.leadershipMs + settings.leaseMs * 2
-            zone.silent.filter { !isCut || now - maxOf(it.heardAt, since) > mostMs }.map { it.name }
+            val isPartitioned =
+                zone.unreachable.size >= zone.responsive &&
+                    (zone.unreachable.size >= MIN_PARTITIONED_MACHINES || name in zonesOfUnreachable)
+            val longestMs = settings.leadershipMs + settings.leaseMs * 2
+            zone.unreachable
+                .filter {
+                    !isPartitioned || now -
+                        maxOf(
+                            it.heardAt,
+                            termBeganAt,
+                        ) > longestMs
+                }.map { it.name }
         }
 
     /** Asks a silent machine itself. What it answers counts as heard. */
     private fun probe(
-        m: Machine,
+        machine: Machine,
         now: Long,
     ) {
-        val isTooSoon = m.addr.isEmpty() || probing.size >= settings.maxConcurrentProbes || now - m.probedAt < probeMs
-        if (isTooSoon || !probing.add(m.name)) return
-        m.probedAt = now
+        val isTooSoon =
+            machine.addr.isEmpty() || probing.size >= settings.maxConcurrentProbes ||
+                now - machine.probedAt < probeTimeoutMs
+        if (isTooSoon || !probing.add(machine.name)) return
+        machine.probedAt = now
         scope.launch {
             try {
-                probed(m, http.call(m.addr, "GET", "/show", null, probeMs), nowMs() - now)
+                probeAnswered(machine, http.call(machine.addr, "GET", "/show", null, probeTimeoutMs), nowMs() - now)
             } catch (e: MalformedMessage) {
-                log.info("machine {} answers what is no report: {}", m.name, e.message)
+                log.info("machine {} answered a probe with a malformed heartbeat: {}", machine.name, e.message)
             } finally {
-                probing.remove(m.name)
+                probing.remove(machine.name)
             }
         }
     }
 
-    private fun probed(
-        m: Machine,
-        out: Outcome,
+    private fun probeAnswered(
+        machine: Machine,
+        outcome: Outcome,
         tookMs: Long,
     ) {
-        when (out) {
+        when (outcome) {
             is Outcome.Answer ->
-                if (out.status == 200) {
-                    m.mute = 0
-                    m.dark = 0
-                    machines.apply(Heartbeat.parse(parseObject(out.body)), false)
+                if (outcome.status == 200) {
+                    machine.mute = 0
+                    machine.dark = 0
+                    machines.apply(Heartbeat.parse(parseObject(outcome.body)), false)
                 }
             // The first one may have gone into a connection from before; the second has made one.
             Outcome.Silence, Outcome.TooLarge -> {
-                m.dark = 0
-                if (++m.mute >= 2) m.connectedAt = nowMs()
+                machine.dark = 0
+                if (++machine.mute >= 2) machine.connectedAt = nowMs()
             }
             // A refusal comes at once; a connection that hangs takes the whole time.
             Outcome.NotSent -> {
-                m.mute = 0
-                if (tookMs >= probeMs * 9 / 10) m.dark++ else m.dark = 0
+                machine.mute = 0
+                if (tookMs >= probeTimeoutMs * 9 / 10) machine.dark++ else machine.dark = 0
             }
         }
     }
 
     private companion object {
         /** Connections in a row that have to hang. */
-        const val DARK = 3
+        const val MIN_HUNG_CONNECTIONS = 3
 
         /** So many silent machines of a zone look like a cut. */
-        const val MANY = 3
+        const val MIN_PARTITIONED_MACHINES = 3
     }
 }
--- a/src/main/kotlin/micatally/fleet/MachineTypeCatalog.kt
+++ b/src/main/kotlin/micatally/fleet/MachineTypeCatalog.kt
@@ -30,41 +30,41 @@
 
     suspend fun follow() {
         while (true) {
-            if (machines.machineTypes.isEmpty()) readStored()
-            if (machines.machineTypes.isEmpty() || isLeader()) askCloud()
+            if (machines.machineTypes.isEmpty()) loadStored()
+            if (machines.machineTypes.isEmpty() || isLeader()) refreshFromCloud()
             delay(
                 if (machines.machineTypes.isEmpty()) {
-                    settings.leaseMs / UNKNOWN_SHARE
+                    settings.leaseMs / ATTEMPTS_PER_LEASE
                 } else {
                     settings.leaseMs *
-                        KNOWN_LEASES
+                        REFRESH_LEASES
                 },
             )
         }
     }
 
-    private suspend fun readStored() {
-        val kept = state.get(Keys.MACHINE_TYPES, Urgency.ACCEPTANCE)
-        if (kept !is ReadResult.Found) return
-        stored = kept.item.value.toString()
-        take(kept.item.value)
+    private suspend fun loadStored() {
+        val read = state.get(Keys.MACHINE_TYPES, Urgency.ACCEPTANCE)
+        if (read !is ReadResult.Found) return
+        stored = read.item.value.toString()
+        applyTypes(read.item.value)
     }
 
     /** What the cloud says is stored for nodes that start while it can't be asked. */
-    private suspend fun askCloud() {
-        val fresh = cloud.machineTypes() ?: return
-        take(fresh)
-        val text = fresh.toString()
-        if (text == stored || RecordPacking.size(fresh) > settings.valueBytes) return
+    private suspend fun refreshFromCloud() {
+        val answer = cloud.machineTypes() ?: return
+        applyTypes(answer)
+        val text = answer.toString()
+        if (text == stored || RecordPacking.size(answer) > settings.valueBytes) return
         val written =
             state.transact(
                 1,
                 Urgency.SUMMARY,
-            ) { Transaction(emptyList(), listOf(Put(Keys.MACHINE_TYPES, fresh))) }
+            ) { Transaction(emptyList(), listOf(Put(Keys.MACHINE_TYPES, answer))) }
         if (written is TransactionResult.Applied) stored = text
     }
 
-    private fun take(answer: JsonObject) {
+    private fun applyTypes(answer: JsonObject) {
         val types =
             try {
                 MachineType.parseAll(answer)
@@ -79,7 +79,7 @@
 
     private companion object {
         /** How often to ask: so many times a lease while nothing is known, and once in so many leases afterwards. */
-        const val UNKNOWN_SHARE = 20
-        const val KNOWN_LEASES = 3
+        const val ATTEMPTS_PER_LEASE = 20
+        const val REFRESH_LEASES = 3
     }
 }
--- a/src/main/kotlin/micatally/fleet/ProvisionedInstances.kt
+++ b/src/main/kotlin/micatally/fleet/ProvisionedInstances.kt
@@ -12,7 +12,7 @@
         private set
 
     /** It reports, or is listed as running. */
-    fun cameUp() {
+    fun markUp() {
         isUp = true
     }
 
@@ -46,16 +46,16 @@
 
     /** A line of the cloud's list; it knows the age, also of machines that somebody else has rented. */
     fun listed(
-        line: ListedMachine,
+        listedMachine: ListedMachine,
         nowMs: Long,
     ) {
-        val provisionedAtMs = nowMs - (maxOf(0.0, line.ageS) * 1000).toLong()
+        val provisionedAtMs = nowMs - (maxOf(0.0, listedMachine.ageS) * 1000).toLong()
         val instance =
             byName.getOrPut(
-                line.name,
-            ) { ProvisionedInstance(line.name, Offer(line.type, line.zone, line.spot), provisionedAtMs) }
+                listedMachine.name,
+            ) { ProvisionedInstance(listedMachine.name, Offer(listedMachine.type, listedMachine.zone, listedMachine.spot), provisionedAtMs) }
         instance.provisionedAtMs = minOf(instance.provisionedAtMs, provisionedAtMs)
-        if (line.status == ListedMachine.RUNNING) instance.cameUp()
+        if (listedMachine.status == ListedMachine.RUNNING) instance.markUp()
     }
 
     /**
@@ -63,7 +63,7 @@
      *
      * @param firstHeardMs when its worker reported first
      */
-    fun reports(
+    fun heartbeatReceived(
         name: String,
         offer: Offer,
         firstHeardMs: Long,
@@ -72,28 +72,28 @@
         if (!instance.isUp &&
             firstHeardMs > instance.provisionedAtMs
         ) {
-            bootTimes.cameUp(offer, instance.ageMs(firstHeardMs), firstHeardMs)
+            bootTimes.recordBoot(offer, instance.ageMs(firstHeardMs), firstHeardMs)
         }
-        instance.cameUp()
+        instance.markUp()
     }
 
     /** Tells the boot times which machines are out. */
-    fun observe(nowMs: Long) {
-        bootTimes.observe(byName.values.filter { !it.isUp }.map { it.offer to it.ageMs(nowMs) }, nowMs)
+    fun updatePending(nowMs: Long) {
+        bootTimes.updatePending(byName.values.filter { !it.isUp }.map { it.offer to it.ageMs(nowMs) }, nowMs)
     }
 
     /** Machines on their way that may be counted on. */
-    fun coming(nowMs: Long): List<ProvisionedInstance> =
-        byName.values.filter { !it.isUp && it.ageMs(nowMs) <= bootTimes.plausibleMs(it.offer) }
+    fun pending(nowMs: Long): List<ProvisionedInstance> =
+        byName.values.filter { !it.isUp && it.ageMs(nowMs) <= bootTimes.expectedWithinMs(it.offer) }
 
     /** Machines that are not worth waiting for: hopeless ones, and late ones for which there is no need any more. */
-    fun givenUp(
+    fun timedOut(
         nowMs: Long,
-        isNeeded: Boolean,
+        isCapacityNeeded: Boolean,
     ): List<ProvisionedInstance> =
         byName.values.filter { instance ->
-            val age = instance.ageMs(nowMs)
-            val isLate = age > bootTimes.plausibleMs(instance.offer)
-            !instance.isUp && (age > bootTimes.hopelessMs(instance.offer) || isLate && !isNeeded)
+            val ageMs = instance.ageMs(nowMs)
+            val isLate = ageMs > bootTimes.expectedWithinMs(instance.offer)
+            !instance.isUp && (ageMs > bootTimes.bootTimeoutMs(instance.offer) || isLate && !isCapacityNeeded)
         }
 }
--- a/src/main/kotlin/micatally/fleet/ProvisioningRequest.kt
+++ b/src/main/kotlin/micatally/fleet/ProvisioningRequest.kt
@@ -23,7 +23,7 @@
     val count: Int,
     val machines: List<String> = emptyList(),
 ) {
-    fun answered(names: List<String>) = copy(machines = names)
+    fun withMachines(names: List<String>) = copy(machines = names)
 
     fun toJson(): JsonObject =
         buildJsonObject {
--- a/src/main/kotlin/micatally/fleet/ScaleIn.kt
+++ b/src/main/kotlin/micatally/fleet/ScaleIn.kt
@@ -26,29 +26,33 @@
     private val nowMs: () -> Long,
 ) {
     private val log = LoggerFactory.getLogger("micatally.fleet")
-    private val wanted = LinkedHashSet<String>()
-    private val underWay = HashSet<String>()
-    private val goneAt = HashMap<String, Long>()
+    private val requested = LinkedHashSet<String>()
+    private val inProgress = HashSet<String>()
+    private val deletedAt = HashMap<String, Long>()
 
-    fun want(names: Collection<String>) {
-        wanted.addAll(names)
+    fun request(names: Collection<String>) {
+        requested.addAll(names)
     }
 
-    fun want(name: String) {
-        wanted.add(name)
+    fun request(name: String) {
+        requested.add(name)
     }
 
     /** What is not sent now is found again in the next step, if it is still to go. */
-    fun send() {
-        val names = wanted.filter { it !in underWay && !sharedKeys.has(Keys.DELETED_MACHINE + it) }.take(MOST_AT_ONCE)
-        wanted.clear()
+    fun submit() {
+        val names =
+            requested
+                .filter {
+                    it !in inProgress && !sharedKeys.has(Keys.DELETED_MACHINE + it)
+                }.take(MAX_MACHINES_PER_REQUEST)
+        requested.clear()
         if (names.isEmpty()) return
-        underWay.addAll(names)
+        inProgress.addAll(names)
         scope.launch {
             try {
                 delete(names)
             } finally {
-                underWay.removeAll(names.toSet())
+                inProgress.removeAll(names.toSet())
             }
         }
     }
@@ -57,43 +61,47 @@
         // The process may have stood still since this was decided; another fleet manager uses the machines by then.
         if (!mayDelete() || !cloud.delete(names)) return
         log.info("machines deleted: {}", names)
-        goneAt.putAll(names.associateWith { nowMs() })
-        for (part in names.chunked(maxOf(1, settings.maxOperationsPerTransaction / 2))) {
-            while (state.transact(part.size, Urgency.INTENT) { proof(part) } !is TransactionResult.Applied) {
-                delay(settings.leaseMs / REPEAT_SHARE)
+        deletedAt.putAll(names.associateWith { nowMs() })
+        for (chunk in names.chunked(maxOf(1, settings.maxOperationsPerTransaction / 2))) {
+            while (state.transact(
+                    chunk.size,
+                    Urgency.INTENT,
+                ) { deletionRecords(chunk) } !is TransactionResult.Applied
+            ) {
+                delay(settings.leaseMs / RETRIES_PER_LEASE)
             }
         }
     }
 
-    private fun proof(names: List<String>): Transaction {
-        val drained = names.map { Keys.DRAIN + it }.filter { sharedKeys.has(it) }
+    private fun deletionRecords(names: List<String>): Transaction {
+        val evicted = names.map { Keys.DRAIN + it }.filter { sharedKeys.has(it) }
         return Transaction(
             emptyList(),
-            names.map { Put(Keys.DELETED_MACHINE + it, EMPTY_OBJECT) } + drained.map { Delete(it) },
+            names.map { Put(Keys.DELETED_MACHINE + it, EMPTY_OBJECT) } + evicted.map { Delete(it) },
         )
     }
 
     /** Old proofs are dropped; a machine whose proof is missed is simply deleted again. */
-    suspend fun prune() {
-        val oldest = nowMs() - settings.leaseMs * KEPT_LEASES
-        val old = goneAt.filterValues { it < oldest }.keys.take(settings.maxOperationsPerTransaction / 2)
-        if (old.isEmpty() || !mayDelete()) return
-        val dropped =
-            state.transact(old.size, Urgency.SUMMARY) {
+    suspend fun pruneDeletionRecords() {
+        val oldest = nowMs() - settings.leaseMs * RETENTION_LEASES
+        val expired = deletedAt.filterValues { it < oldest }.keys.take(settings.maxOperationsPerTransaction / 2)
+        if (expired.isEmpty() || !mayDelete()) return
+        val result =
+            state.transact(expired.size, Urgency.SUMMARY) {
                 Transaction(
                     emptyList(),
-                    old.map {
+                    expired.map {
                         Delete(Keys.DELETED_MACHINE + it)
                     },
                 )
             }
-        if (dropped is TransactionResult.Applied) goneAt.keys.removeAll(old.toSet())
+        if (result is TransactionResult.Applied) deletedAt.keys.removeAll(expired.toSet())
     }
 
     private companion object {
         /** Half of the protocol's limit for one request. */
-        const val MOST_AT_ONCE = 50
-        const val KEPT_LEASES = 60
-        const val REPEAT_SHARE = 20
+        const val MAX_MACHINES_PER_REQUEST = 50
+        const val RETENTION_LEASES = 60
+        const val RETRIES_PER_LEASE = 20
     }
 }
--- a/src/main/kotlin/micatally/fleet/ScaleOut.kt
+++ b/src/main/kotlin/micatally/fleet/ScaleOut.kt
@@ -34,17 +34,17 @@
     private var requestCount = 0
 
     /** Names of bookings that are being stored or asked for. */
-    private val underWay = HashSet<String>()
-    private val refusedUntil = HashMap<Offer, Long>()
-    private val refusals = HashMap<Offer, Int>()
+    private val inProgress = HashSet<String>()
+    private val backoffUntil = HashMap<Offer, Long>()
+    private val failuresInRow = HashMap<Offer, Int>()
 
     /** Bookings that the cloud has answered and whose machines are not all up yet. */
-    private val answered = HashMap<String, ProvisioningRequest>()
+    private val answeredRequests = HashMap<String, ProvisioningRequest>()
 
     fun beginTerm(newTerm: Long) {
         term = newTerm
         requestCount = 0
-        answered.clear()
+        answeredRequests.clear()
         for (item in sharedKeys.under(Keys.PROVISIONING)) {
             resume(ProvisioningRequest.parse(item.key.removePrefix(Keys.PROVISIONING), item.value))
         }
@@ -56,38 +56,66 @@
      */
     private fun resume(request: ProvisioningRequest) {
         if (request.machines.isEmpty()) {
-            carryOut(request) { provision(request) }
+            launchFor(request) { provision(request) }
             return
         }
         instances.provisioned(request.machines.filter { it !in machines.deletedNames }, request.offer, nowMs())
-        answered[request.name] = request
+        answeredRequests[request.name] = request
     }
 
-    fun scaleOutFor(
-        demands: List<ResourceRequest>,
+    fun scaleOut(
+        resourceRequests: List<ResourceRequest>,
         now: Long,
     ) {
-        if (machines.machineTypes.isEmpty() || underWay.isNotEmpty()) return
-        val owned = HashMap<String, Int>()
-        for (instance in instances.all) owned.merge("${instance.offer.type}/${instance.offer.zone}", 1, Int::plus)
-        val coming =
-            instances.coming(now).mapNotNullTo(ArrayList()) { instance ->
+        if (machines.machineTypes.isEmpty() || inProgress.isNotEmpty()) return
+        val machinesPerTypeAndZone = HashMap<String, Int>()
+        for (instance in instances.all) {
+            machinesPerTypeAndZone.merge(
+                "${instance.offer.type}/${instance.offer.zone}",
+                1,
+                Int::plus,
+            )
+        }
+        val pending =
+            instances.pending(now).mapNotNullTo(ArrayList()) { instance ->
                 machines.machineTypes[instance.offer.type]?.let { type ->
-                    ScaleOutPlan.Room(instance.offer.type, instance.offer.zone, instance.offer.spot, type.resources)
+                    ScaleOutPlan.PlannedMachine(
+                        instance.offer.type,
+                        instance.offer.zone,
+                        instance.offer.spot,
+                        type.resources,
+                    )
                 }
             }
-        val market = Market({ (refusedUntil[it] ?: 0L) > now }, { instances.bootTimes.slowness(it) })
-        val plan = ScaleOutPlan.plan(demands, coming, machines.machineTypes.values, market, owned, MOST_AT_ONCE)
+        val market = Market({ (backoffUntil[it] ?: 0L) > now }, { instances.bootTimes.slowness(it) })
+        val plan =
+            ScaleOutPlan.plan(
+                resourceRequests,
+                pending,
+                machines.machineTypes.values,
+                market,
+                machinesPerTypeAndZone,
+                MAX_MACHINES_PER_CYCLE,
+            )
         for ((offer, count) in plan) {
-            for (part in 0 until count step MOST_A_BOOKING) {
-                decide(ProvisioningRequest("b$term-${++requestCount}", offer, minOf(MOST_A_BOOKING, count - part)))
+            for (first in 0 until count step MAX_MACHINES_PER_REQUEST) {
+                submit(
+                    ProvisioningRequest(
+                        "b$term-${++requestCount}",
+                        offer,
+                        minOf(
+                            MAX_MACHINES_PER_REQUEST,
+                            count - first,
+                        ),
+                    ),
+                )
             }
         }
     }
 
     /** A booking is stored before the cloud hears of it, so that its name is used for nothing else. */
-    private fun decide(request: ProvisioningRequest) =
-        carryOut(request) {
+    private fun submit(request: ProvisioningRequest) =
+        launchFor(request) {
             val stored =
                 state.transact(1, Urgency.INTENT) {
                     Transaction(
@@ -98,16 +126,16 @@
             if (stored is TransactionResult.Applied) provision(request)
         }
 
-    private fun carryOut(
+    private fun launchFor(
         request: ProvisioningRequest,
         action: suspend () -> Unit,
     ) {
-        underWay.add(request.name)
+        inProgress.add(request.name)
         scope.launch {
             try {
                 action()
             } finally {
-                underWay.remove(request.name)
+                inProgress.remove(request.name)
             }
         }
     }
@@ -115,36 +143,36 @@
     /** Asks the cloud until it has certainly answered or refused. */
     private suspend fun provision(request: ProvisioningRequest) {
         val offer = request.offer
-        val at = nowMs()
-        var isUnclear = false
+        val requestedAt = nowMs()
+        var isOutcomeUnknown = false
         while (true) {
             when (val result = cloud.rent(request.name, offer.type, offer.zone, offer.spot, request.count)) {
                 is ProvisioningResult.Provisioned -> {
-                    provisioned(request, result.names, at)
+                    provisioned(request, result.names, requestedAt)
                     return
                 }
                 ProvisioningResult.NoCapacity -> {
-                    log.info("no capacity for {} in {} spot={}", offer.type, offer.zone, offer.spot)
-                    refuse(offer)
+                    log.info("cloud has no capacity for {} in {} spot={}", offer.type, offer.zone, offer.spot)
+                    backOff(offer)
                     break
                 }
                 ProvisioningResult.Refused ->
-                    if (!isUnclear) {
-                        refusedUntil[offer] = nowMs() + settings.leaseMs / REFUSED_SHARE
+                    if (!isOutcomeUnknown) {
+                        backoffUntil[offer] = nowMs() + settings.leaseMs / REFUSAL_BACKOFFS_PER_LEASE
                         break
                     }
-                ProvisioningResult.Unknown -> isUnclear = true
+                ProvisioningResult.Unknown -> isOutcomeUnknown = true
             }
             if (!isLeader()) return
-            delay(settings.leaseMs / REPEAT_SHARE)
+            delay(settings.leaseMs / RETRIES_PER_LEASE)
         }
-        dropNote(request.name)
+        deleteRecord(request.name)
     }
 
     private suspend fun provisioned(
         request: ProvisioningRequest,
         names: List<String>,
-        at: Long,
+        requestedAt: Long,
     ) {
         val offer = request.offer
         log.info(
@@ -156,18 +184,18 @@
             offer.spot,
             names,
         )
-        instances.provisioned(names.filter { it !in machines.deletedNames }, offer, at)
-        if (names.size < request.count) refuse(offer) else refusals.remove(offer)
-        if (names.isEmpty()) dropNote(request.name) else keepNote(request.answered(names))
+        instances.provisioned(names.filter { it !in machines.deletedNames }, offer, requestedAt)
+        if (names.size < request.count) backOff(offer) else failuresInRow.remove(offer)
+        if (names.isEmpty()) deleteRecord(request.name) else storeAnswer(request.withMachines(names))
     }
 
     /** On condition that the note is there: it may have been dropped meanwhile, by the next fleet manager. */
-    private suspend fun keepNote(request: ProvisioningRequest) {
-        answered[request.name] = request
+    private suspend fun storeAnswer(request: ProvisioningRequest) {
+        answeredRequests[request.name] = request
         val key = Keys.PROVISIONING + request.name
         state.transact(1, Urgency.SUMMARY) {
-            val isNoted = sharedKeys.has(key) && request.name in answered
-            if (isNoted) {
+            val isStillStored = sharedKeys.has(key) && request.name in answeredRequests
+            if (isStillStored) {
                 Transaction(
                     listOf(Compare(key, sharedKeys.modRevision(key))),
                     listOf(Put(key, request.toJson())),
@@ -178,7 +206,7 @@
         }
     }
 
-    private suspend fun dropNote(name: String) {
+    private suspend fun deleteRecord(name: String) {
         state.transact(1, Urgency.SUMMARY) { Transaction(emptyList(), listOf(Delete(Keys.PROVISIONING + name))) }
     }
 
@@ -186,34 +214,34 @@
      * The note of a booking may go when all its machines are up, or gone: until then another fleet manager learns from it, at once
      * and with nothing missing, what is on its way. The cloud's list comes late.
      */
-    fun dropSettledNotes() {
-        if (answered.isEmpty()) return
+    fun deleteSettledRequests() {
+        if (answeredRequests.isEmpty()) return
         val settled =
-            answered.values.filter { request ->
+            answeredRequests.values.filter { request ->
                 request.machines.all { it in machines.deletedNames || instances.of(it)?.isUp == true }
             }
         for (request in settled) {
-            answered.remove(request.name)
-            scope.launch { dropNote(request.name) }
+            answeredRequests.remove(request.name)
+            scope.launch { deleteRecord(request.name) }
         }
     }
 
-    private fun refuse(offer: Offer) {
-        val times = refusals.merge(offer, 1, Int::plus)!!
-        refusedUntil[offer] = nowMs() + minOf(times, MOST_REFUSALS) * machines.bootMs(offer.type) / MOST_REFUSALS
+    private fun backOff(offer: Offer) {
+        val failures = failuresInRow.merge(offer, 1, Int::plus)!!
+        backoffUntil[offer] = nowMs() + minOf(failures, BACKOFF_STEPS) * machines.bootMs(offer.type) / BACKOFF_STEPS
     }
 
     private companion object {
-        const val MOST_AT_ONCE = 100
+        const val MAX_MACHINES_PER_CYCLE = 100
 
         /** The protocol's limit for one request. */
-        const val MOST_A_BOOKING = 50
+        const val MAX_MACHINES_PER_REQUEST = 50
 
         /** An offer without capacity is left alone for up to a boot, longer each time. */
-        const val MOST_REFUSALS = 6
+        const val BACKOFF_STEPS = 6
 
         /** Parts of a lease until an offer is tried again after an outage, and until an unclear request is repeated. */
-        const val REFUSED_SHARE = 5
-        const val REPEAT_SHARE = 10
+        const val REFUSAL_BACKOFFS_PER_LEASE = 5
+        const val RETRIES_PER_LEASE = 10
     }
 }
--- a/src/main/kotlin/micatally/fleet/ScaleOutPlan.kt
+++ b/src/main/kotlin/micatally/fleet/ScaleOutPlan.kt
@@ -24,22 +24,22 @@
 
 /** What to rent for tasks that find no room. Decisions only. */
 object ScaleOutPlan {
-    class Room(
+    class PlannedMachine(
         val type: String,
         val zone: String,
         val spot: Boolean,
         var free: Resources,
     )
 
-    private fun allowed(
-        d: ResourceRequest,
+    private fun isAllowed(
+        request: ResourceRequest,
         type: String,
         zone: String,
         spot: Boolean,
-    ) = (d.types.isEmpty() || type in d.types) && (d.zones.isEmpty() || zone in d.zones) && (!spot || d.spot)
+    ) = (request.types.isEmpty() || type in request.types) && (request.zones.isEmpty() || zone in request.zones) && (!spot || request.spot)
 
     /** What tasks without cards may use of a room: not the cores that the cards in it will need. */
-    private fun open(
+    private fun usableBy(
         task: Resources,
         free: Resources,
         machine: Resources,
@@ -48,25 +48,25 @@
     ) {
         free
     } else {
-        Resources(free.cores - free.gpus * machine.cores / machine.gpus * CORES_KEPT, 0.0, free.memoryGb)
+        Resources(free.cores - free.gpus * machine.cores / machine.gpus * RESERVED_CORES_SHARE, 0.0, free.memoryGb)
     }
 
     /** How many such tasks an empty machine takes. */
-    private fun perMachine(
+    private fun tasksPerMachine(
         task: Resources,
         machine: Resources,
-        keepsCores: Boolean,
-    ): Int = task.countIn(if (keepsCores) open(task, machine, machine) else machine)
+        reservesCores: Boolean,
+    ): Int = task.countIn(if (reservesCores) usableBy(task, machine, machine) else machine)
 
     /** Whether cores can be kept for cards: a task that is too large for what is left then, on any type that it may use,
      * would wait for good. */
-    private fun mayKeepCores(
-        demand: ResourceRequest,
+    private fun mayReserveCores(
+        request: ResourceRequest,
         task: Resources,
         machineTypes: Collection<MachineType>,
     ): Boolean =
-        machineTypes.any { flavor ->
-            (demand.types.isEmpty() || flavor.label in demand.types) && perMachine(task, flavor.resources, true) > 0
+        machineTypes.any { type ->
+            (request.types.isEmpty() || type.label in request.types) && tasksPerMachine(task, type.resources, true) > 0
         }
 
     /** Tasks of one shape, of whichever job: together they may fill a machine that would be too large for one job's. */
@@ -76,88 +76,88 @@
         val spot: Boolean,
     )
 
-    private fun shape(d: ResourceRequest) = Shape(Resources(d.cores, d.gpus, d.memoryGb), d.types, d.spot)
+    private fun shape(request: ResourceRequest) = Shape(Resources(request.cores, request.gpus, request.memoryGb), request.types, request.spot)
 
     /** Fills the rooms that are coming first, then picks offers for the rest, by the cost of what each would carry.
-     * [coming] is changed. */
+     * [pending] is changed. */
     fun plan(
-        demands: List<ResourceRequest>,
-        coming: MutableList<Room>,
+        resourceRequests: List<ResourceRequest>,
+        pending: MutableList<PlannedMachine>,
         machineTypes: Collection<MachineType>,
         market: Market,
-        owned: Map<String, Int>,
-        most: Int,
+        existing: Map<String, Int>,
+        limit: Int,
     ): Map<Offer, Int> {
-        val out = LinkedHashMap<Offer, Int>()
-        val perZone = HashMap(owned)
-        val amounts = machineTypes.associate { it.label to it.resources }
-        val bulk = HashMap<Shape, Int>()
-        for (d in demands) bulk.merge(shape(d), d.count, Int::plus)
+        val plan = LinkedHashMap<Offer, Int>()
+        val machinesPerTypeAndZone = HashMap(existing)
+        val resourcesByType = machineTypes.associate { it.label to it.resources }
+        val pendingByShape = HashMap<Shape, Int>()
+        for (request in resourceRequests) pendingByShape.merge(shape(request), request.count, Int::plus)
         // Those with cards first: what they leave of their machines serves the others.
-        for (d in demands.sortedWith(compareBy({ it.priority }, { -it.gpus }))) {
-            val task = Resources(d.cores, d.gpus, d.memoryGb)
-            val keepsCores = mayKeepCores(d, task, machineTypes)
-            var left = d.count
-            val zoneRoom = if (d.zoneRoom.isEmpty()) null else d.zones.zip(d.zoneRoom).toMap(HashMap())
-
-            fun roomIn(zone: String) = zoneRoom == null || (zoneRoom[zone] ?: 0) > 0
-
-            fun fill(r: Room) {
-                if (!allowed(d, r.type, r.zone, r.spot)) return
-                val machine = amounts[r.type] ?: return
-                while (left > 0 && roomIn(r.zone) &&
-                    task.fitsIn(if (keepsCores) open(task, r.free, machine) else r.free)
+        for (request in resourceRequests.sortedWith(compareBy({ it.priority }, { -it.gpus }))) {
+            val task = Resources(request.cores, request.gpus, request.memoryGb)
+            val reservesCores = mayReserveCores(request, task, machineTypes)
+            var remaining = request.count
+            val remainingByZone = if (request.zoneRoom.isEmpty()) null else request.zones.zip(request.zoneRoom).toMap(HashMap())
+
+            fun hasZoneCapacity(zone: String) = remainingByZone == null || (remainingByZone[zone] ?: 0) > 0
+
+            fun fill(machine: PlannedMachine) {
+                if (!isAllowed(request, machine.type, machine.zone, machine.spot)) return
+                val total = resourcesByType[machine.type] ?: return
+                while (remaining > 0 && hasZoneCapacity(machine.zone) &&
+                    task.fitsIn(if (reservesCores) usableBy(task, machine.free, total) else machine.free)
                 ) {
-                    r.free = r.free - task
-                    left--
-                    zoneRoom?.merge(r.zone, -1, Int::plus)
+                    machine.free = machine.free - task
+                    remaining--
+                    remainingByZone?.merge(machine.zone, -1, Int::plus)
                 }
             }
-            for (r in coming) {
-                if (left == 0) break
-                fill(r)
+            for (machine in pending) {
+                if (remaining == 0) break
+                fill(machine)
             }
-            while (left > 0 && out.values.sum() < most) {
+            while (remaining > 0 && plan.values.sum() < limit) {
                 var best: Offer? = null
                 var bestCost = Double.MAX_VALUE
-                for (f in machineTypes) {
-                    val n = perMachine(task, f.resources, keepsCores)
-                    if (n == 0) continue
-                    for (z in f.zones) {
-                        for (spot in if (d.spot) listOf(true, false) else listOf(false)) {
-                            val o = Offer(f.label, z, spot)
-                            if (!allowed(d, f.label, z, spot) || market.isRefused(o) || !roomIn(z)) continue
-                            val many = maxOf(left, bulk[shape(d)] ?: 0)
+                for (type in machineTypes) {
+                    val tasksEach = tasksPerMachine(task, type.resources, reservesCores)
+                    if (tasksEach == 0) continue
+                    for (zone in type.zones) {
+                        for (spot in if (request.spot) listOf(true, false) else listOf(false)) {
+                            val offer = Offer(type.label, zone, spot)
+                            if (!isAllowed(request, type.label, zone, spot) || market.isRefused(offer) || !hasZoneCapacity(zone)) continue
+                            val taskCount = maxOf(remaining, pendingByShape[shape(request)] ?: 0)
                             val cost =
-                                f.price(spot) * Math.ceil(many.toDouble() / n) / many *
-                                    (1 + (perZone["${f.label}/$z"] ?: 0) * ZONE_BALANCE) *
-                                    (1 + (market.slowness(o) - 1) * SLOWNESS_WEIGHT)
+                                type.price(spot) * Math.ceil(taskCount.toDouble() / tasksEach) / taskCount *
+                                    (1 + (machinesPerTypeAndZone["${type.label}/$zone"] ?: 0) * ZONE_BALANCE_WEIGHT) *
+                                    (1 + (market.slowness(offer) - 1) * SLOWNESS_WEIGHT)
                             if (cost < bestCost) {
-                                best = o
+                                best = offer
                                 bestCost = cost
                             }
                         }
                     }
                 }
-                val o = best ?: break
-                val f = machineTypes.first { it.label == o.type }
-                val room = Room(o.type, o.zone, o.spot, f.resources)
-                out.merge(o, 1, Int::plus)
-                perZone.merge("${o.type}/${o.zone}", 1, Int::plus)
-                coming.add(room)
-                fill(room)
+                val offer = best ?: break
+                val type = machineTypes.first { it.label == offer.type }
+                val added = PlannedMachine(offer.type, offer.zone, offer.spot, type.resources)
+                plan.merge(offer, 1, Int::plus)
+                machinesPerTypeAndZone.merge("${offer.type}/${offer.zone}", 1, Int::plus)
+                pending.add(added)
+                fill(added)
             }
-            bulk.merge(shape(d), -d.count, Int::plus)
+            pendingByShape.merge(shape(request), -request.count, Int::plus)
         }
-        return out
+        return plan
     }
 
     /** Ties between zones go to the one with fewer machines of the type. */
-    private const val ZONE_BALANCE = 1e-3
+    private const val ZONE_BALANCE_WEIGHT = 1e-3
 
     /** An offer that comes so many times slower than nominal costs so much more, for each of them beyond the first. */
     private const val SLOWNESS_WEIGHT = 0.25
 
     /** How much of its even share of the cores each card keeps. */
-    private const val CORES_KEPT = 0.7
+    private const val RESERVED_CORES_SHARE = 0.7
 }
--- a/src/test/kotlin/micatally/fleet/BootTimesTest.kt
+++ b/src/test/kotlin/micatally/fleet/BootTimesTest.kt
@@ -10,38 +10,38 @@
     private val times = BootTimes { nominal }
 
     @Test
-    fun `a few late machines are not counted on, the others are`() {
-        repeat(8) { times.cameUp(offer, 25_000, 0) }
-        times.observe(List(2) { offer to 100_000L }, 100_000)
-        assertTrue(times.plausibleMs(offer) in nominal..nominal * 2)
+    fun `a few late machines are no longer expected, the others are`() {
+        repeat(8) { times.recordBoot(offer, 25_000, 0) }
+        times.updatePending(List(2) { offer to 100_000L }, 100_000)
+        assertTrue(times.expectedWithinMs(offer) in nominal..nominal * 2)
         assertEquals(1.0, times.slowness(offer))
-        assertTrue(times.hopelessMs(offer) <= nominal * 4)
+        assertTrue(times.bootTimeoutMs(offer) <= nominal * 4)
     }
 
     /** Guard: the ages of machines that are still out count beside the boots seen ([BootTimes]); else they would be ordered anew
      * and given up before any of them can come. */
     @Test
-    fun `when all machines of a place are late they are waited for`() {
-        repeat(2) { times.cameUp(offer, 25_000, 0) }
-        times.observe(List(5) { offer to 100_000L }, 100_000)
-        assertEquals(nominal * 4, times.plausibleMs(offer))
-        assertTrue(times.hopelessMs(offer) > nominal * 9)
+    fun `when all machines of a type and zone are late they are waited for`() {
+        repeat(2) { times.recordBoot(offer, 25_000, 0) }
+        times.updatePending(List(5) { offer to 100_000L }, 100_000)
+        assertEquals(nominal * 4, times.expectedWithinMs(offer))
+        assertTrue(times.bootTimeoutMs(offer) > nominal * 9)
         assertTrue(times.slowness(offer) > 3)
         assertEquals(1.0, times.slowness(offer.copy(zone = "b")))
     }
 
     @Test
     fun `boots that were slow before are expected to be`() {
-        repeat(4) { times.cameUp(offer, 150_000, 0) }
-        assertTrue(times.plausibleMs(offer) > 150_000)
-        assertTrue(times.hopelessMs(offer) > 250_000)
-        times.observe(emptyList(), nominal * 11)
-        assertEquals(nominal * 2, times.plausibleMs(offer), "a spell of slow boots passes")
+        repeat(4) { times.recordBoot(offer, 150_000, 0) }
+        assertTrue(times.expectedWithinMs(offer) > 150_000)
+        assertTrue(times.bootTimeoutMs(offer) > 250_000)
+        times.updatePending(emptyList(), nominal * 11)
+        assertEquals(nominal * 2, times.expectedWithinMs(offer), "a spell of slow boots passes")
     }
 
     @Test
-    fun `without any experience the stated time counts`() {
-        assertEquals(nominal * 2, times.plausibleMs(offer))
-        assertEquals(nominal * 4, times.hopelessMs(offer))
+    fun `without any boot observed the nominal time counts`() {
+        assertEquals(nominal * 2, times.expectedWithinMs(offer))
+        assertEquals(nominal * 4, times.bootTimeoutMs(offer))
     }
 }
--- a/src/test/kotlin/micatally/fleet/ScaleOutPlanTest.kt
+++ b/src/test/kotlin/micatally/fleet/ScaleOutPlanTest.kt
@@ -15,15 +15,15 @@
 
     private fun gateway(
         count: Int,
-        room: List<Int>,
-    ) = ResourceRequest(2.0, 0.0, 2.7, zones = listOf("a", "b", "c"), count = count, service = true, zoneRoom = room)
+        zoneCapacity: List<Int>,
+    ) = ResourceRequest(2.0, 0.0, 2.7, zones = listOf("a", "b", "c"), count = count, service = true, zoneRoom = zoneCapacity)
 
     private fun plan(
-        demands: List<ResourceRequest>,
-        coming: MutableList<ScaleOutPlan.Room> = ArrayList(),
+        resourceRequests: List<ResourceRequest>,
+        pending: MutableList<ScaleOutPlan.PlannedMachine> = ArrayList(),
     ) = ScaleOutPlan.plan(
-        demands,
-        coming,
+        resourceRequests,
+        pending,
         listOf(small, large, gpus),
         Market({
             false
@@ -36,25 +36,25 @@
      * out of the one zone were only seen to need another when the machines were up. */
     @Test
     fun `many small jobs share large machines and are spread from the start`() {
-        val p = plan(List(16) { gateway(4, listOf(2, 2, 2)) })
-        assertTrue(p.keys.all { it.type == "large" }, "$p")
-        assertEquals(setOf("a", "b"), p.keys.map { it.zone }.toSet())
-        assertEquals(4, p.values.sum())
+        val plan = plan(List(16) { gateway(4, listOf(2, 2, 2)) })
+        assertTrue(plan.keys.all { it.type == "large" }, "$plan")
+        assertEquals(setOf("a", "b"), plan.keys.map { it.zone }.toSet())
+        assertEquals(4, plan.values.sum())
     }
 
     /** Found in a test of stored teams: a task of 40 cores without cards, which only a card machine has, was never rented for,
      * since the cores of all its cards were kept. Its job was accepted and waited for good. */
     @Test
     fun `a task without cards that fits no other machine gets one with cards`() {
-        val p = plan(listOf(ResourceRequest(40.0, 0.0, 8.0, count = 2)))
-        assertEquals(setOf("cards"), p.keys.map { it.type }.toSet())
-        assertEquals(1, p.values.sum(), "both fit on one")
+        val plan = plan(listOf(ResourceRequest(40.0, 0.0, 8.0, count = 2)))
+        assertEquals(setOf("cards"), plan.keys.map { it.type }.toSet())
+        assertEquals(1, plan.values.sum(), "both fit on one")
     }
 
     @Test
     fun `tasks without cards leave the cores that cards need`() {
-        val room = ScaleOutPlan.Room("cards", "c", false, gpus.resources)
-        plan(listOf(gateway(60, emptyList())), arrayListOf(room))
-        assertTrue(room.free.cores >= 8 * 12 * 0.7 - 1e-6, "${room.free}")
+        val machine = ScaleOutPlan.PlannedMachine("cards", "c", false, gpus.resources)
+        plan(listOf(gateway(60, emptyList())), arrayListOf(machine))
+        assertTrue(machine.free.cores >= 8 * 12 * 0.7 - 1e-6, "${machine.free}")
     }
 }
