--- a/src/main/kotlin/micatally/fleet/CloudClient.kt
+++ b/src/main/kotlin/micatally/fleet/CloudClient.kt
@@ -1,37 +1,40 @@
 package micatally.fleet
 
-import kotlinx.serialization.json.JsonArray
 import kotlinx.serialization.json.JsonObject
-import kotlinx.serialization.json.JsonPrimitive
-import kotlinx.serialization.json.buildJsonObject
-import kotlinx.serialization.json.put
 import micatally.http.HttpCaller
 import micatally.http.Outcome
 import micatally.http.queryPart
 import micatally.state.RateBudget
 import micatally.state.Urgency
+import micatally.wire.CloudRequests
 import micatally.wire.ListedMachine
-import micatally.wire.asObject
-import micatally.wire.asText
+import micatally.wire.MachinePage
 import micatally.wire.bytes
-import micatally.wire.listOrNull
 import micatally.wire.parseObject
 
+/** What became of a request for machines. */
 sealed interface ProvisioningResult {
+    /** The cloud answered. There may be fewer machines than were asked for, or none. */
     class Provisioned(
         val names: List<String>,
     ) : ProvisioningResult
 
+    /** Not carried out: the cloud has no free machine of this kind. */
     data object NoCapacity : ProvisioningResult
 
-    /** Not carried out: an outage or a refused request. */
+    /** Not carried out: an outage, a rate limit or a request that was turned down. */
     data object Refused : ProvisioningResult
 
-    /** Perhaps carried out; the same booking must be asked for again. */
+    /** Perhaps carried out; the same request must be sent again, under the same name. */
     data object Unknown : ProvisioningResult
 }
 
-/** The cloud's protocol, within its limit of requests. */
+/**
+ * Client of the cloud's HTTP interface. Each call suspends until the rate limit allows its request; none is retried here.
+ *
+ * @param budget this process's share of the cloud's rate limit
+ * @param timeoutMs how long to wait for an answer
+ */
 class CloudClient(
     private val http: HttpCaller,
     private val addr: String,
@@ -46,15 +49,21 @@
     ): Outcome {
         budget.take(1, urgency)
         val outcome = http.call(addr, method, target, body?.bytes(), timeoutMs)
-        if (outcome is Outcome.Answer && outcome.status == 429) budget.drained()
+        if (outcome is Outcome.Answer && outcome.status == TOO_MANY_REQUESTS) budget.drained()
         return outcome
     }
 
+    /** The machine types as the cloud describes them, to be read by [micatally.wire.MachineType]; null when it can't be asked. */
     suspend fun machineTypes(): JsonObject? {
-        val outcome = send("GET", "/flavors", null, Urgency.ACCEPTANCE)
-        return if (outcome is Outcome.Answer && outcome.status == 200) parseObject(outcome.body) else null
+        val outcome = send("GET", CloudRequests.MACHINE_TYPES, null, Urgency.ACCEPTANCE)
+        return if (outcome is Outcome.Answer && outcome.status == OK) parseObject(outcome.body) else null
     }
 
+    /**
+     * Asks for machines. Repeating a request provisions nothing twice: the cloud answers as it did before.
+     *
+     * @param request its name, which must never have been used for another request
+     */
     suspend fun rent(
         request: String,
         type: String,
@@ -62,60 +71,60 @@
         spot: Boolean,
         count: Int,
     ): ProvisioningResult {
-        val body =
-            buildJsonObject {
-                put("booking", request)
-                put("rig", type)
-                put("circuit", zone)
-                put("loaners", spot)
-                put("count", count)
-            }
-        return when (val outcome = send("POST", "/machines", body, Urgency.ACCEPTANCE)) {
+        val body = CloudRequests.provision(request, type, zone, spot, count)
+        return when (val outcome = send("POST", CloudRequests.MACHINES, body, Urgency.ACCEPTANCE)) {
             is Outcome.NotSent -> ProvisioningResult.Refused
             is Outcome.Silence, is Outcome.TooLarge -> ProvisioningResult.Unknown
-            is Outcome.Answer ->
-                when {
-                    outcome.status == 200 ->
-                        ProvisioningResult.Provisioned(
-                            (parseObject(outcome.body).listOrNull("cars") ?: emptyList()).map { it.asText() },
-                        )
-                    outcome.status == 503 &&
-                        outcome.body.decodeToString().contains(
-                            "no capacity",
-                        )
-                    -> ProvisioningResult.NoCapacity
-                    outcome.status == 503 || outcome.status == 429 || outcome.status == 400 -> ProvisioningResult.Refused
-                    else -> ProvisioningResult.Unknown
-                }
+            is Outcome.Answer -> provisioningResult(outcome)
         }
     }
 
-    /** True when the machines and all on them are gone. */
+    private fun provisioningResult(answer: Outcome.Answer): ProvisioningResult =
+        when (answer.status) {
+            OK -> ProvisioningResult.Provisioned(CloudRequests.provisionedNames(answer.body))
+            UNAVAILABLE ->
+                if (CloudRequests.isNoCapacity(
+                        answer.body,
+                    )
+                ) {
+                    ProvisioningResult.NoCapacity
+                } else {
+                    ProvisioningResult.Refused
+                }
+            TOO_MANY_REQUESTS, BAD_REQUEST -> ProvisioningResult.Refused
+            else -> ProvisioningResult.Unknown
+        }
+
+    /** Deletes machines. True when they and all that ran on them are gone; false when that is not known. */
     suspend fun delete(names: List<String>): Boolean {
-        val outcome =
-            send(
-                "POST",
-                "/machines/delete",
-                buildJsonObject {
-                    put("cars", JsonArray(names.map { JsonPrimitive(it) }))
-                },
-                Urgency.LEASE,
-            )
-        return outcome is Outcome.Answer && outcome.status == 200
+        val outcome = send("POST", CloudRequests.DELETE_MACHINES, CloudRequests.delete(names), Urgency.LEASE)
+        return outcome is Outcome.Answer && outcome.status == OK
     }
 
+    /** All machines that the cloud lists, read in pages; null when a page could not be read. The list may lag behind. */
     suspend fun list(): List<ListedMachine>? {
-        val all = ArrayList<ListedMachine>()
+        val machines = ArrayList<ListedMachine>()
         var lastName: String? = null
         while (true) {
-            val from = if (lastName == null) "" else "since=${queryPart(lastName)}&"
-            val outcome = send("GET", "/machines?${from}page=500", null, Urgency.INTENT)
-            if (outcome !is Outcome.Answer || outcome.status != 200) return null
-            val answer = parseObject(outcome.body)
-            val page = (answer.listOrNull("cars") ?: emptyList()).map { ListedMachine.parse(it.asObject()) }
-            all.addAll(page)
-            if (answer["more"]?.toString() != "true" || page.isEmpty()) return all
-            lastName = page.last().name
+            val outcome = send("GET", pageTarget(lastName), null, Urgency.INTENT)
+            if (outcome !is Outcome.Answer || outcome.status != OK) return null
+            val page = MachinePage.parse(outcome.body)
+            machines.addAll(page.machines)
+            if (!page.hasMore) return machines
+            lastName = page.machines.last().name
         }
     }
+
+    private fun pageTarget(afterName: String?): String {
+        val from = if (afterName == null) "" else "since=${queryPart(afterName)}&"
+        return "${CloudRequests.MACHINES}?${from}page=$PAGE_SIZE"
+    }
+
+    private companion object {
+        const val PAGE_SIZE = 500
+        const val OK = 200
+        const val BAD_REQUEST = 400
+        const val TOO_MANY_REQUESTS = 429
+        const val UNAVAILABLE = 503
+    }
 }
