--- a/src/main/kotlin/micatally/fleet/BootTimes.kt
+++ b/src/main/kotlin/micatally/fleet/BootTimes.kt
@@ -41,7 +41,12 @@
         nowMs: Long,
     ) {
         pendingAges = pending.groupBy({ typeInZone(it.first) }, { it.second })
-        for ((typeInZone, boots) in recentBoots) boots.removeIf { nowMs - it.atMs > nominalMs(typeInZone.type) * RETENTION_NOMINALS }
+        for ((typeInZone, boots) in recentBoots) {
+            boots.removeIf {
+                nowMs - it.atMs >
+                    nominalMs(typeInZone.type) * RETENTION_NOMINALS
+            }
+        }
     }
 
     /** Up to which age a machine that is not up counts as coming. */
--- a/src/main/kotlin/micatally/fleet/GracefulEviction.kt
+++ b/src/main/kotlin/micatally/fleet/GracefulEviction.kt
@@ -79,11 +79,19 @@
         resourceRequests: List<ResourceRequest>,
         now: Long,
     ) {
-        for (machine in machines.byName.values) if (!machine.deleted && machine.incarnation != 0L) review(machine, resourceRequests, now)
+        for (machine in machines.byName.values) {
+            if (!machine.deleted &&
+                machine.incarnation != 0L
+            ) {
+                review(machine, resourceRequests, now)
+            }
+        }
         evictions.keys.removeIf { it in machines.deletedNames }
         reconcile(now)
         val isSettled = now - beganAt > settings.leaseMs * 2
-        if (resourceRequests.isEmpty() && isSettled && now - lastConsolidationAt > machines.bootMs(null) / CONSOLIDATIONS_PER_BOOT) {
+        if (resourceRequests.isEmpty() && isSettled &&
+            now - lastConsolidationAt > machines.bootMs(null) / CONSOLIDATIONS_PER_BOOT
+        ) {
             lastConsolidationAt = now
             consolidate(now)
         }
@@ -114,13 +122,23 @@
             if (isKnownToAll) scaleIn.request(machine.name)
             return
         }
-        val idleMs = if (machine.hasSpotNotice) 0L else (machines.bootMs(machine.type) * operator.fleetIdleBoots).toLong()
+        val idleMs =
+            if (machine.hasSpotNotice) {
+                0L
+            } else {
+                (
+                    machines.bootMs(
+                        machine.type,
+                    ) * operator.fleetIdleBoots
+                ).toLong()
+            }
         if (now - maxOf(machine.busyAt, beganAt) > idleMs) evict(machine, now, EvictionState.EMPTY, "idle")
     }
 
     private fun isEmpty(machine: Machine): Boolean {
         val used = machine.used
-        return machine.tasks.all { it.ended } && machine.attempts.isEmpty() && used.cores < EPSILON && used.gpus < EPSILON &&
+        return machine.tasks.all { it.ended } && machine.attempts.isEmpty() && used.cores < EPSILON &&
+            used.gpus < EPSILON &&
             used.memoryGb < EPSILON
     }
 
@@ -136,7 +154,8 @@
     private fun consolidate(now: Long) {
         val inService =
             machines.byName.values.filter { machine ->
-                val isInService = !machine.deleted && !machine.hasSpotNotice && machine.incarnation > 0 && machine.name !in evictions
+                val isInService =
+                    !machine.deleted && !machine.hasSpotNotice && machine.incarnation > 0 && machine.name !in evictions
                 isInService && now - machine.heardAt < settings.leaseMs / 2
             }
         val evicting =
@@ -148,7 +167,8 @@
                 .filter { !it.deleted }
         val limit = maxOf(MIN_CONCURRENT_EVICTIONS, (inService.size * MAX_EVICTING_SHARE).toInt()) - evicting.size
         if (limit <= 0) return
-        val plan = ConsolidationPlan(inService, evicting, machines.machineTypes, recentServices(), operator.fleetHeadroom)
+        val plan =
+            ConsolidationPlan(inService, evicting, machines.machineTypes, recentServices(), operator.fleetHeadroom)
         for (selection in plan.select(
             limit,
         ) { mayEvict(it, now) }) {
@@ -205,11 +225,27 @@
         val missing = evictions.keys.filter { it !in names }
         // Only what was off at the last look too: the usual write is under way.
         for (item in unexpected) {
-            if (item.key in mismatchedKeys) launchTransaction { conditional(item.key, item.modRevision, Delete(item.key)) }
+            if (item.key in
+                mismatchedKeys
+            ) {
+                launchTransaction { conditional(item.key, item.modRevision, Delete(item.key)) }
+            }
         }
         for (name in missing) {
             val key = Keys.DRAIN + name
-            if (key in mismatchedKeys) launchTransaction { if (name in evictions) conditional(key, 0, evictionRecord(name)) else null }
+            if (key in
+                mismatchedKeys
+            ) {
+                launchTransaction {
+                    if (name in
+                        evictions
+                    ) {
+                        conditional(key, 0, evictionRecord(name))
+                    } else {
+                        null
+                    }
+                }
+            }
         }
         mismatchedKeys = unexpected.mapTo(HashSet()) { it.key } + missing.map { Keys.DRAIN + it }
     }
--- a/src/main/kotlin/micatally/fleet/ProvisionedInstances.kt
+++ b/src/main/kotlin/micatally/fleet/ProvisionedInstances.kt
@@ -53,7 +53,13 @@
         val instance =
             byName.getOrPut(
                 listedMachine.name,
-            ) { ProvisionedInstance(listedMachine.name, Offer(listedMachine.type, listedMachine.zone, listedMachine.spot), provisionedAtMs) }
+            ) {
+                ProvisionedInstance(
+                    listedMachine.name,
+                    Offer(listedMachine.type, listedMachine.zone, listedMachine.spot),
+                    provisionedAtMs,
+                )
+            }
         instance.provisionedAtMs = minOf(instance.provisionedAtMs, provisionedAtMs)
         if (listedMachine.status == ListedMachine.RUNNING) instance.markUp()
     }
--- a/src/main/kotlin/micatally/fleet/ScaleOutPlan.kt
+++ b/src/main/kotlin/micatally/fleet/ScaleOutPlan.kt
@@ -36,7 +36,8 @@
         type: String,
         zone: String,
         spot: Boolean,
-    ) = (request.types.isEmpty() || type in request.types) && (request.zones.isEmpty() || zone in request.zones) && (!spot || request.spot)
+    ) = (request.types.isEmpty() || type in request.types) && (request.zones.isEmpty() || zone in request.zones) &&
+        (!spot || request.spot)
 
     /** What tasks without cards may use of a room: not the cores that the cards in it will need. */
     private fun usableBy(
@@ -76,7 +77,8 @@
         val spot: Boolean,
     )
 
-    private fun shape(request: ResourceRequest) = Shape(Resources(request.cores, request.gpus, request.memoryGb), request.types, request.spot)
+    private fun shape(request: ResourceRequest) =
+        Shape(Resources(request.cores, request.gpus, request.memoryGb), request.types, request.spot)
 
     /** Fills the rooms that are coming first, then picks offers for the rest, by the cost of what each would carry.
      * [pending] is changed. */
@@ -98,7 +100,15 @@
             val task = Resources(request.cores, request.gpus, request.memoryGb)
             val reservesCores = mayReserveCores(request, task, machineTypes)
             var remaining = request.count
-            val remainingByZone = if (request.zoneRoom.isEmpty()) null else request.zones.zip(request.zoneRoom).toMap(HashMap())
+            val remainingByZone =
+                if (request.zoneRoom.isEmpty()) {
+                    null
+                } else {
+                    request.zones
+                        .zip(
+                            request.zoneRoom,
+                        ).toMap(HashMap())
+                }
 
             fun hasZoneCapacity(zone: String) = remainingByZone == null || (remainingByZone[zone] ?: 0) > 0
 
@@ -126,7 +136,11 @@
                     for (zone in type.zones) {
                         for (spot in if (request.spot) listOf(true, false) else listOf(false)) {
                             val offer = Offer(type.label, zone, spot)
-                            if (!isAllowed(request, type.label, zone, spot) || market.isRefused(offer) || !hasZoneCapacity(zone)) continue
+                            if (!isAllowed(request, type.label, zone, spot) || market.isRefused(offer) ||
+                                !hasZoneCapacity(zone)
+                            ) {
+                                continue
+                            }
                             val taskCount = maxOf(remaining, pendingByShape[shape(request)] ?: 0)
                             val cost =
                                 type.price(spot) * Math.ceil(taskCount.toDouble() / tasksEach) / taskCount *
--- a/src/test/kotlin/micatally/fleet/ScaleOutPlanTest.kt
+++ b/src/test/kotlin/micatally/fleet/ScaleOutPlanTest.kt
@@ -16,7 +16,15 @@
     private fun gateway(
         count: Int,
         zoneCapacity: List<Int>,
-    ) = ResourceRequest(2.0, 0.0, 2.7, zones = listOf("a", "b", "c"), count = count, service = true, zoneRoom = zoneCapacity)
+    ) = ResourceRequest(
+        2.0,
+        0.0,
+        2.7,
+        zones = listOf("a", "b", "c"),
+        count = count,
+        service = true,
+        zoneRoom = zoneCapacity,
+    )
 
     private fun plan(
         resourceRequests: List<ResourceRequest>,
