--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -193,7 +193,7 @@
 
             override fun recentServices() = peers.recentServices()
 
-            override fun silentZones() = peers.silentZones()
+            override fun unreachableZones() = peers.silentZones()
         }
 
     /** Whether this node rents and returns machines for all. */
@@ -229,7 +229,7 @@
             scheduler.requestCycle()
         }
         fleetManager.onMachineTypes = { scheduler.requestCycle() }
-        peers.onRetire = { fleetManager.retire(it) }
+        peers.onRetire = { fleetManager.requestDeletion(it) }
         peers.onNews = { scheduler.requestCycle() }
         membership.onChange = { keys -> cpuUsage.of(CpuUsage.Kind.SHARED) { sharedChanged(keys) } }
         membership.onSummaries =
@@ -328,7 +328,7 @@
             }
             if (++round % 20 == 0) {
                 quota.handBack()
-                scope.launch { fleetManager.prune() }
+                scope.launch { fleetManager.pruneDeletionRecords() }
             }
             if (round % 4 == 0) jobManager.cancellations.follow(now)
             if (now - effortAt >
@@ -359,7 +359,7 @@
             if (now - m.heardAt > settings.leaseMs * 2 && m.heardAt == 0L ||
                 now - m.heardAt > settings.leaseMs + settings.leadershipMs + settings.leaseMs
             ) {
-                fleetManager.retire(listOf(m.name))
+                fleetManager.requestDeletion(listOf(m.name))
                 peers.retire(m.name)
             }
         }
--- a/src/main/kotlin/micatally/fleet/CloudClient.kt
+++ b/src/main/kotlin/micatally/fleet/CloudClient.kt
@@ -60,18 +60,12 @@
     }
 
     /**
-     * Asks for machines. Repeating a request provisions nothing twice: the cloud answers as it did before.
-     *
-     * @param request its name, which must never have been used for another request
+     * Asks for machines. Repeating a request provisions nothing twice: the cloud answers as it did before. Its name must never have
+     * been used for another request.
      */
-    suspend fun rent(
-        request: String,
-        type: String,
-        zone: String,
-        spot: Boolean,
-        count: Int,
-    ): ProvisioningResult {
-        val body = CloudRequests.provision(request, type, zone, spot, count)
+    suspend fun provision(request: ProvisioningRequest): ProvisioningResult {
+        val offer = request.offer
+        val body = CloudRequests.provision(request.name, offer.type, offer.zone, offer.spot, request.count)
         return when (val outcome = send("POST", CloudRequests.MACHINES, body, Urgency.ACCEPTANCE)) {
             is Outcome.NotSent -> ProvisioningResult.Refused
             is Outcome.Silence, is Outcome.TooLarge -> ProvisioningResult.Unknown
--- a/src/main/kotlin/micatally/fleet/FleetManager.kt
+++ b/src/main/kotlin/micatally/fleet/FleetManager.kt
@@ -32,7 +32,7 @@
     fun recentServices(): List<ResourceRequest>
 
     /** Zones of controllers that can't be heard. */
-    fun silentZones(): Set<String>
+    fun unreachableZones(): Set<String>
 }
 
 /** Whoever holds the fleet key rents, drains and returns machines for all owners. A term is one hold on the key. */
@@ -62,7 +62,7 @@
         ScaleIn(scope, settings, state, cloud, sharedKeys, { isLeader && membership.leaseHolds() }, nowMs)
     private val scaleOut = ScaleOut(scope, settings, state, cloud, sharedKeys, machines, instances, { isLeader }, nowMs)
     private val failureDetector =
-        MachineFailureDetector(scope, http, settings, machines, instances, pendingWorkload::silentZones, nowMs)
+        MachineFailureDetector(scope, http, settings, machines, instances, pendingWorkload::unreachableZones, nowMs)
     private val eviction =
         GracefulEviction(
             scope,
@@ -85,9 +85,9 @@
     val isLeader get() = term > 0 && sharedKeys.modRevision(Keys.FLEET) == term
 
     /** Machines whose end an owner needs proven. */
-    fun retire(names: List<String>) = scaleIn.request(names)
+    fun requestDeletion(names: List<String>) = scaleIn.request(names)
 
-    suspend fun prune() = scaleIn.pruneDeletionRecords()
+    suspend fun pruneDeletionRecords() = scaleIn.pruneDeletionRecords()
 
     fun start() {
         scope.launch { machineTypeCatalog.follow() }
--- a/src/main/kotlin/micatally/fleet/ScaleOut.kt
+++ b/src/main/kotlin/micatally/fleet/ScaleOut.kt
@@ -146,7 +146,7 @@
         val requestedAt = nowMs()
         var isOutcomeUnknown = false
         while (true) {
-            when (val result = cloud.rent(request.name, offer.type, offer.zone, offer.spot, request.count)) {
+            when (val result = cloud.provision(request)) {
                 is ProvisioningResult.Provisioned -> {
                     provisioned(request, result.names, requestedAt)
                     return
--- a/src/test/kotlin/micatally/compatibility/MessagesTest.kt
+++ b/src/test/kotlin/micatally/compatibility/MessagesTest.kt
@@ -17,6 +17,8 @@
 import micatally.config.ConfigurationClient
 import micatally.config.ConfigurationPaths
 import micatally.fleet.CloudClient
+import micatally.fleet.Offer
+import micatally.fleet.ProvisioningRequest
 import micatally.fleet.ProvisioningResult
 import micatally.http.HttpCaller
 import micatally.http.HttpRequest
@@ -479,23 +481,23 @@
             )
         }
 
-    private suspend fun TestScope.rent(outcome: Outcome): ProvisioningResult {
+    private suspend fun TestScope.provision(outcome: Outcome): ProvisioningResult {
         val recorder = Recorder(outcome)
-        val result = cloud(recorder).rent("r-17", "g8", "a", true, 12)
+        val result = cloud(recorder).provision(ProvisioningRequest("r-17", Offer("g8", "a", true), 12))
         assertEquals(listOf("POST /machines"), recorder.requests)
         assertEquals(text("cloud/rent.json"), recorder.body)
         return result
     }
 
     @Test
-    fun `machines are rented`() =
+    fun `machines are provisioned`() =
         runTest {
-            val rented = rent(answer(200, "cloud/rented.json")) as ProvisioningResult.Provisioned
-            assertEquals(listOf("m-000231", "m-000232"), rented.names)
-            assertEquals(ProvisioningResult.NoCapacity, rent(answer(503, "cloud/no-capacity.json")))
-            assertEquals(ProvisioningResult.Refused, rent(answer(503, "cloud/trouble.json")))
-            assertEquals(ProvisioningResult.Refused, rent(answer(400)))
-            assertEquals(ProvisioningResult.Refused, rent(answer(429)))
+            val provisioned = provision(answer(200, "cloud/rented.json")) as ProvisioningResult.Provisioned
+            assertEquals(listOf("m-000231", "m-000232"), provisioned.names)
+            assertEquals(ProvisioningResult.NoCapacity, provision(answer(503, "cloud/no-capacity.json")))
+            assertEquals(ProvisioningResult.Refused, provision(answer(503, "cloud/trouble.json")))
+            assertEquals(ProvisioningResult.Refused, provision(answer(400)))
+            assertEquals(ProvisioningResult.Refused, provision(answer(429)))
         }
 
     @Test
