--- a/src/main/kotlin/micatally/fleet/FleetManager.kt
+++ b/src/main/kotlin/micatally/fleet/FleetManager.kt
@@ -202,7 +202,7 @@
             }
         }
         instances.removeAll(machines.deletedNames)
-        instances.updatePending(now)
+        instances.updateBootTimes(now)
     }
 
     private fun deleteLateInstances(now: Long) {
--- a/src/main/kotlin/micatally/fleet/ProvisionedInstances.kt
+++ b/src/main/kotlin/micatally/fleet/ProvisionedInstances.kt
@@ -2,26 +2,35 @@
 
 import micatally.wire.ListedMachine
 
-/** A machine that was rented and has not ended, as far as the fleet manager knows. */
+/**
+ * A machine that was provisioned and is not deleted, as far as the fleet manager knows.
+ *
+ * @property provisionedAtMs when the cloud handed it out, on this process's clock; the earliest time known
+ */
 class ProvisionedInstance(
     val name: String,
     val offer: Offer,
     var provisionedAtMs: Long,
 ) {
+    /** Whether its worker has reported, or the cloud has listed it as running. */
     var isUp = false
         private set
 
-    /** It reports, or is listed as running. */
     fun markUp() {
         isUp = true
     }
 
+    /** Time since it was provisioned, in milliseconds; never negative. */
     fun ageMs(nowMs: Long) = maxOf(0L, nowMs - provisionedAtMs)
 }
 
-/** All machines that are paid for: which are up, which are on their way, and which are waited for in vain. */
+/**
+ * All machines that are paid for: which are up, which are booting, and which have not come up in time.
+ *
+ * @param nominalBootMs the boot time that the cloud states for a machine type, in milliseconds
+ */
 class ProvisionedInstances(
-    private val nominalBootMs: (String) -> Long,
+    nominalBootMs: (String) -> Long,
 ) {
     private val byName = HashMap<String, ProvisionedInstance>()
     val bootTimes = BootTimes(nominalBootMs)
@@ -35,7 +44,7 @@
         byName.keys.removeIf { it in names }
     }
 
-    /** Machines that the cloud has just rented, or had rented to the former fleet manager. */
+    /** Adds machines that the cloud has just provisioned, or had provisioned for the previous fleet manager. */
     fun provisioned(
         names: List<String>,
         offer: Offer,
@@ -44,30 +53,26 @@
         for (name in names) byName.getOrPut(name) { ProvisionedInstance(name, offer, atMs) }
     }
 
-    /** A line of the cloud's list; it knows the age, also of machines that somebody else has rented. */
+    /** Takes in an entry of the cloud's list, which knows the age also of machines that another controller has provisioned. */
     fun listed(
         listedMachine: ListedMachine,
         nowMs: Long,
     ) {
-        val provisionedAtMs = nowMs - (maxOf(0.0, listedMachine.ageS) * 1000).toLong()
+        val provisionedAtMs = nowMs - (maxOf(0.0, listedMachine.ageS) * MS_PER_SECOND).toLong()
         val instance =
-            byName.getOrPut(
-                listedMachine.name,
-            ) {
-                ProvisionedInstance(
-                    listedMachine.name,
-                    Offer(listedMachine.type, listedMachine.zone, listedMachine.spot),
-                    provisionedAtMs,
-                )
+            byName.getOrPut(listedMachine.name) {
+                val offer = Offer(listedMachine.type, listedMachine.zone, listedMachine.spot)
+                ProvisionedInstance(listedMachine.name, offer, provisionedAtMs)
             }
         instance.provisionedAtMs = minOf(instance.provisionedAtMs, provisionedAtMs)
         if (listedMachine.status == ListedMachine.RUNNING) instance.markUp()
     }
 
     /**
-     * A worker reports. How long its machine took is learnt from those seen coming up, not from what the list says late.
+     * Takes note of a worker that reports. Boot times are learnt here, from machines seen while they boot, and not from the cloud's
+     * list, which lags behind.
      *
-     * @param firstHeardMs when its worker reported first
+     * @param firstHeardMs when the worker reported for the first time
      */
     fun heartbeatReceived(
         name: String,
@@ -75,24 +80,22 @@
         firstHeardMs: Long,
     ) {
         val instance = byName.getOrPut(name) { ProvisionedInstance(name, offer, firstHeardMs) }
-        if (!instance.isUp &&
-            firstHeardMs > instance.provisionedAtMs
-        ) {
-            bootTimes.recordBoot(offer, instance.ageMs(firstHeardMs), firstHeardMs)
-        }
+        val wasSeenBooting = !instance.isUp && firstHeardMs > instance.provisionedAtMs
+        if (wasSeenBooting) bootTimes.recordBoot(offer, instance.ageMs(firstHeardMs), firstHeardMs)
         instance.markUp()
     }
 
-    /** Tells the boot times which machines are out. */
-    fun updatePending(nowMs: Long) {
-        bootTimes.updatePending(byName.values.filter { !it.isUp }.map { it.offer to it.ageMs(nowMs) }, nowMs)
+    /** Passes the machines that are still booting on to [bootTimes]. */
+    fun updateBootTimes(nowMs: Long) {
+        val booting = byName.values.filter { !it.isUp }.map { BootingInstance(it.offer, it.ageMs(nowMs)) }
+        bootTimes.updateBooting(booting, nowMs)
     }
 
-    /** Machines on their way that may be counted on. */
+    /** Machines that are booting and not late: they count as capacity to come. */
     fun pending(nowMs: Long): List<ProvisionedInstance> =
         byName.values.filter { !it.isUp && it.ageMs(nowMs) <= bootTimes.expectedWithinMs(it.offer) }
 
-    /** Machines that are not worth waiting for: hopeless ones, and late ones for which there is no need any more. */
+    /** Machines that are not worth waiting for: those past the boot timeout, and late ones while no capacity is needed. */
     fun timedOut(
         nowMs: Long,
         isCapacityNeeded: Boolean,
@@ -100,6 +103,11 @@
         byName.values.filter { instance ->
             val ageMs = instance.ageMs(nowMs)
             val isLate = ageMs > bootTimes.expectedWithinMs(instance.offer)
-            !instance.isUp && (ageMs > bootTimes.bootTimeoutMs(instance.offer) || isLate && !isCapacityNeeded)
+            val isPastTimeout = ageMs > bootTimes.bootTimeoutMs(instance.offer)
+            !instance.isUp && (isPastTimeout || isLate && !isCapacityNeeded)
         }
+
+    private companion object {
+        const val MS_PER_SECOND = 1000
+    }
 }
--- a/src/test/kotlin/micatally/fleet/BootTimesTest.kt
+++ b/src/test/kotlin/micatally/fleet/BootTimesTest.kt
@@ -12,18 +12,18 @@
     @Test
     fun `a few late machines are no longer expected, the others are`() {
         repeat(8) { times.recordBoot(offer, 25_000, 0) }
-        times.updatePending(List(2) { offer to 100_000L }, 100_000)
+        times.updateBooting(List(2) { BootingInstance(offer, 100_000) }, 100_000)
         assertTrue(times.expectedWithinMs(offer) in nominal..nominal * 2)
         assertEquals(1.0, times.slowness(offer))
         assertTrue(times.bootTimeoutMs(offer) <= nominal * 4)
     }
 
-    /** Guard: the ages of machines that are still out count beside the boots seen ([BootTimes]); else they would be ordered anew
-     * and given up before any of them can come. */
+    /** Guard: the ages of machines that are still booting count beside the boots observed ([BootTimes]); else they would be
+     * provisioned anew and deleted before any of them can come up. */
     @Test
     fun `when all machines of a type and zone are late they are waited for`() {
         repeat(2) { times.recordBoot(offer, 25_000, 0) }
-        times.updatePending(List(5) { offer to 100_000L }, 100_000)
+        times.updateBooting(List(5) { BootingInstance(offer, 100_000) }, 100_000)
         assertEquals(nominal * 4, times.expectedWithinMs(offer))
         assertTrue(times.bootTimeoutMs(offer) > nominal * 9)
         assertTrue(times.slowness(offer) > 3)
@@ -35,7 +35,7 @@
         repeat(4) { times.recordBoot(offer, 150_000, 0) }
         assertTrue(times.expectedWithinMs(offer) > 150_000)
         assertTrue(times.bootTimeoutMs(offer) > 250_000)
-        times.updatePending(emptyList(), nominal * 11)
+        times.updateBooting(emptyList(), nominal * 11)
         assertEquals(nominal * 2, times.expectedWithinMs(offer), "a spell of slow boots passes")
     }
 
