--- a/src/main/kotlin/micatally/fleet/FleetManager.kt
+++ b/src/main/kotlin/micatally/fleet/FleetManager.kt
@@ -60,7 +60,8 @@
     private val instances = ProvisionedInstances { machines.bootMs(it) }
     private val scaleIn =
         ScaleIn(scope, settings, state, cloud, sharedKeys, { isLeader && membership.leaseHolds() }, nowMs)
-    private val scaleOut = ScaleOut(scope, settings, state, cloud, sharedKeys, machines, instances, { isLeader }, nowMs)
+    private val requests = ProvisioningRequestStore(state, sharedKeys)
+    private val scaleOut = ScaleOut(scope, settings, cloud, requests, machines, instances, { isLeader }, nowMs)
     private val failureDetector =
         MachineFailureDetector(scope, http, settings, machines, instances, pendingWorkload::unreachableZones, nowMs)
     private val eviction =
--- a/src/main/kotlin/micatally/fleet/ScaleOut.kt
+++ b/src/main/kotlin/micatally/fleet/ScaleOut.kt
@@ -3,127 +3,92 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import micatally.membership.Keys
-import micatally.membership.SharedKeyCache
 import micatally.settings.Settings
-import micatally.state.Compare
-import micatally.state.Delete
-import micatally.state.Put
-import micatally.state.StateStoreClient
-import micatally.state.Transaction
-import micatally.state.TransactionResult
-import micatally.state.Urgency
 import micatally.wire.ResourceRequest
 import micatally.worker.MachineRegistry
 import org.slf4j.LoggerFactory
 
-/** Rents machines for demand that finds no room, under names that are stored first and never used twice. */
+/**
+ * Provisions machines for tasks that find no free capacity. Each request is stored under a name that is never used again before
+ * the cloud receives it, so that a new fleet manager can repeat it without provisioning anything twice.
+ *
+ * @param isLeader whether this process is the fleet manager
+ */
 class ScaleOut(
     private val scope: CoroutineScope,
     private val settings: Settings,
-    private val state: StateStoreClient,
     private val cloud: CloudClient,
-    private val sharedKeys: SharedKeyCache,
+    private val requests: ProvisioningRequestStore,
     private val machines: MachineRegistry,
     private val instances: ProvisionedInstances,
     private val isLeader: () -> Boolean,
     private val nowMs: () -> Long,
 ) {
     private val log = LoggerFactory.getLogger("micatally.fleet")
+    private val backoff = OfferBackoff(settings, machines, nowMs)
     private var term = 0L
     private var requestCount = 0
 
-    /** Names of bookings that are being stored or asked for. */
+    /** Names of requests that are being stored or sent to the cloud. */
     private val inProgress = HashSet<String>()
-    private val backoffUntil = HashMap<Offer, Long>()
-    private val failuresInRow = HashMap<Offer, Int>()
-
-    /** Bookings that the cloud has answered and whose machines are not all up yet. */
-    private val answeredRequests = HashMap<String, ProvisioningRequest>()
 
+    /** Starts as the fleet manager: finishes the requests that its predecessor has stored. */
     fun beginTerm(newTerm: Long) {
         term = newTerm
         requestCount = 0
-        answeredRequests.clear()
-        for (item in sharedKeys.under(Keys.PROVISIONING)) {
-            resume(ProvisioningRequest.parse(item.key.removePrefix(Keys.PROVISIONING), item.value))
-        }
+        requests.load { resume(it) }
     }
 
     /**
-     * What the former fleet manager had decided is finished under its names: repeating a booking rents nothing twice. Machines of
-     * answered ones are on their way, and would be rented again if they were not counted.
+     * Finishes a request of the previous fleet manager under its name: repeating it provisions nothing twice. Machines of answered
+     * requests are booting, and would be provisioned again if they were not counted.
      */
     private fun resume(request: ProvisioningRequest) {
         if (request.machines.isEmpty()) {
             launchFor(request) { provision(request) }
             return
         }
-        instances.provisioned(request.machines.filter { it !in machines.deletedNames }, request.offer, nowMs())
-        answeredRequests[request.name] = request
+        addInstances(request.machines, request.offer, nowMs())
+        requests.addAnswered(request)
     }
 
+    /** Provisions machines for the resource requests, unless earlier provisioning requests are still in progress. */
     fun scaleOut(
         resourceRequests: List<ResourceRequest>,
         now: Long,
     ) {
         if (machines.machineTypes.isEmpty() || inProgress.isNotEmpty()) return
-        val machinesPerTypeAndZone = HashMap<String, Int>()
-        for (instance in instances.all) {
-            machinesPerTypeAndZone.merge(
-                "${instance.offer.type}/${instance.offer.zone}",
-                1,
-                Int::plus,
-            )
+        for ((offer, count) in plan(resourceRequests, now)) {
+            for (first in 0 until count step MAX_MACHINES_PER_REQUEST) {
+                submit(nextRequest(offer, minOf(MAX_MACHINES_PER_REQUEST, count - first)))
+            }
         }
+    }
+
+    private fun plan(
+        resourceRequests: List<ResourceRequest>,
+        now: Long,
+    ): Map<Offer, Int> {
+        val existing = HashMap<TypeInZone, Int>()
+        for (instance in instances.all) existing.merge(instance.offer.typeInZone, 1, Int::plus)
         val pending =
             instances.pending(now).mapNotNullTo(ArrayList()) { instance ->
-                machines.machineTypes[instance.offer.type]?.let { type ->
-                    ScaleOutPlan.PlannedMachine(
-                        instance.offer.type,
-                        instance.offer.zone,
-                        instance.offer.spot,
-                        type.resources,
-                    )
-                }
+                machines.machineTypes[instance.offer.type]?.let { PlannedMachine(instance.offer, it.resources) }
             }
-        val market = Market({ (backoffUntil[it] ?: 0L) > now }, { instances.bootTimes.slowness(it) })
-        val plan =
-            ScaleOutPlan.plan(
-                resourceRequests,
-                pending,
-                machines.machineTypes.values,
-                market,
-                machinesPerTypeAndZone,
-                MAX_MACHINES_PER_CYCLE,
-            )
-        for ((offer, count) in plan) {
-            for (first in 0 until count step MAX_MACHINES_PER_REQUEST) {
-                submit(
-                    ProvisioningRequest(
-                        "b$term-${++requestCount}",
-                        offer,
-                        minOf(
-                            MAX_MACHINES_PER_REQUEST,
-                            count - first,
-                        ),
-                    ),
-                )
-            }
-        }
+        val market = Market({ backoff.isActive(it, now) }, { instances.bootTimes.slowness(it) })
+        return ScaleOutPlan(machines.machineTypes.values, market, pending, existing, MAX_MACHINES_PER_CYCLE)
+            .plan(resourceRequests)
     }
 
-    /** A booking is stored before the cloud hears of it, so that its name is used for nothing else. */
+    private fun nextRequest(
+        offer: Offer,
+        count: Int,
+    ) = ProvisioningRequest("b$term-${++requestCount}", offer, count)
+
+    /** The request is stored before the cloud receives it, so that its name is used for nothing else. */
     private fun submit(request: ProvisioningRequest) =
         launchFor(request) {
-            val stored =
-                state.transact(1, Urgency.INTENT) {
-                    Transaction(
-                        listOf(Compare(Keys.FLEET, term)),
-                        listOf(Put(Keys.PROVISIONING + request.name, request.toJson())),
-                    )
-                }
-            if (stored is TransactionResult.Applied) provision(request)
+            if (requests.store(request) { term }) provision(request)
         }
 
     private fun launchFor(
@@ -140,25 +105,21 @@
         }
     }
 
-    /** Asks the cloud until it has certainly answered or refused. */
+    /** Sends the request to the cloud until it has certainly been answered or refused. */
     private suspend fun provision(request: ProvisioningRequest) {
-        val offer = request.offer
         val requestedAt = nowMs()
         var isOutcomeUnknown = false
         while (true) {
             when (val result = cloud.provision(request)) {
-                is ProvisioningResult.Provisioned -> {
-                    provisioned(request, result.names, requestedAt)
-                    return
-                }
+                is ProvisioningResult.Provisioned -> return provisioned(request, result.names, requestedAt)
                 ProvisioningResult.NoCapacity -> {
-                    log.info("cloud has no capacity for {} in {} spot={}", offer.type, offer.zone, offer.spot)
-                    backOff(offer)
+                    logNoCapacity(request.offer)
+                    backoff.noCapacity(request.offer)
                     break
                 }
                 ProvisioningResult.Refused ->
                     if (!isOutcomeUnknown) {
-                        backoffUntil[offer] = nowMs() + settings.leaseMs / REFUSAL_BACKOFFS_PER_LEASE
+                        backoff.refused(request.offer)
                         break
                     }
                 ProvisioningResult.Unknown -> isOutcomeUnknown = true
@@ -166,13 +127,33 @@
             if (!isLeader()) return
             delay(settings.leaseMs / RETRIES_PER_LEASE)
         }
-        deleteRecord(request.name)
+        requests.delete(request.name)
     }
 
     private suspend fun provisioned(
         request: ProvisioningRequest,
         names: List<String>,
         requestedAt: Long,
+    ) {
+        logProvisioned(request, names)
+        addInstances(names, request.offer, requestedAt)
+        if (names.size < request.count) backoff.noCapacity(request.offer) else backoff.succeeded(request.offer)
+        if (names.isEmpty()) requests.delete(request.name) else requests.storeAnswer(request.withMachines(names))
+    }
+
+    private fun addInstances(
+        names: List<String>,
+        offer: Offer,
+        atMs: Long,
+    ) = instances.provisioned(names.filter { it !in machines.deletedNames }, offer, atMs)
+
+    private fun logNoCapacity(offer: Offer) {
+        log.info("cloud has no capacity for {} in {} spot={}", offer.type, offer.zone, offer.spot)
+    }
+
+    private fun logProvisioned(
+        request: ProvisioningRequest,
+        names: List<String>,
     ) {
         val offer = request.offer
         log.info(
@@ -184,64 +165,69 @@
             offer.spot,
             names,
         )
-        instances.provisioned(names.filter { it !in machines.deletedNames }, offer, requestedAt)
-        if (names.size < request.count) backOff(offer) else failuresInRow.remove(offer)
-        if (names.isEmpty()) deleteRecord(request.name) else storeAnswer(request.withMachines(names))
-    }
-
-    /** On condition that the note is there: it may have been dropped meanwhile, by the next fleet manager. */
-    private suspend fun storeAnswer(request: ProvisioningRequest) {
-        answeredRequests[request.name] = request
-        val key = Keys.PROVISIONING + request.name
-        state.transact(1, Urgency.SUMMARY) {
-            val isStillStored = sharedKeys.has(key) && request.name in answeredRequests
-            if (isStillStored) {
-                Transaction(
-                    listOf(Compare(key, sharedKeys.modRevision(key))),
-                    listOf(Put(key, request.toJson())),
-                )
-            } else {
-                null
-            }
-        }
-    }
-
-    private suspend fun deleteRecord(name: String) {
-        state.transact(1, Urgency.SUMMARY) { Transaction(emptyList(), listOf(Delete(Keys.PROVISIONING + name))) }
     }
 
     /**
-     * The note of a booking may go when all its machines are up, or gone: until then another fleet manager learns from it, at once
-     * and with nothing missing, what is on its way. The cloud's list comes late.
+     * Deletes stored requests whose machines are all up or deleted. Until then a new fleet manager learns from them, at once and
+     * completely, which machines are booting; the cloud's list lags behind.
      */
     fun deleteSettledRequests() {
-        if (answeredRequests.isEmpty()) return
         val settled =
-            answeredRequests.values.filter { request ->
+            requests.answered.filter { request ->
                 request.machines.all { it in machines.deletedNames || instances.of(it)?.isUp == true }
             }
         for (request in settled) {
-            answeredRequests.remove(request.name)
-            scope.launch { deleteRecord(request.name) }
+            requests.removeAnswered(request)
+            scope.launch { requests.delete(request.name) }
         }
     }
 
-    private fun backOff(offer: Offer) {
-        val failures = failuresInRow.merge(offer, 1, Int::plus)!!
-        backoffUntil[offer] = nowMs() + minOf(failures, BACKOFF_STEPS) * machines.bootMs(offer.type) / BACKOFF_STEPS
-    }
-
     private companion object {
         const val MAX_MACHINES_PER_CYCLE = 100
 
-        /** The protocol's limit for one request. */
+        /** The cloud's limit for one request. */
         const val MAX_MACHINES_PER_REQUEST = 50
 
-        /** An offer without capacity is left alone for up to a boot, longer each time. */
+        /** How often in a lease a request whose outcome is unknown is repeated. */
+        const val RETRIES_PER_LEASE = 10
+    }
+}
+
+/** Offers that the cloud turned down lately, and until when they are not asked for again. */
+private class OfferBackoff(
+    private val settings: Settings,
+    private val machines: MachineRegistry,
+    private val nowMs: () -> Long,
+) {
+    private val until = HashMap<Offer, Long>()
+    private val failuresInRow = HashMap<Offer, Int>()
+
+    fun isActive(
+        offer: Offer,
+        now: Long,
+    ) = (until[offer] ?: 0L) > now
+
+    /** Backs off for up to a boot time, longer each time in a row. */
+    fun noCapacity(offer: Offer) {
+        val failures = (failuresInRow[offer] ?: 0) + 1
+        failuresInRow[offer] = failures
+        until[offer] = nowMs() + minOf(failures, BACKOFF_STEPS) * machines.bootMs(offer.type) / BACKOFF_STEPS
+    }
+
+    /** An outage says nothing of the offer: it is tried again soon. */
+    fun refused(offer: Offer) {
+        until[offer] = nowMs() + settings.leaseMs / REFUSAL_RETRIES_PER_LEASE
+    }
+
+    fun succeeded(offer: Offer) {
+        failuresInRow.remove(offer)
+    }
+
+    private companion object {
+        /** After so many failures in a row the back-off is a whole boot time. */
         const val BACKOFF_STEPS = 6
 
-        /** Parts of a lease until an offer is tried again after an outage, and until an unclear request is repeated. */
-        const val REFUSAL_BACKOFFS_PER_LEASE = 5
-        const val RETRIES_PER_LEASE = 10
+        /** How often in a lease an offer is tried again after an outage. */
+        const val REFUSAL_RETRIES_PER_LEASE = 5
     }
 }
--- a/src/main/kotlin/micatally/fleet/ScaleOutPlan.kt
+++ b/src/main/kotlin/micatally/fleet/ScaleOutPlan.kt
@@ -4,156 +4,198 @@
 import micatally.wire.ResourceRequest
 import micatally.wire.Resources
 
-/** What to rent for tasks that find no room. Decisions only. */
-object ScaleOutPlan {
-    class PlannedMachine(
-        val type: String,
-        val zone: String,
-        val spot: Boolean,
-        var free: Resources,
-    )
-
-    private fun isAllowed(
-        request: ResourceRequest,
-        type: String,
-        zone: String,
-        spot: Boolean,
-    ) = (request.types.isEmpty() || type in request.types) && (request.zones.isEmpty() || zone in request.zones) &&
-        (!spot || request.spot)
-
-    /** What tasks without cards may use of a room: not the cores that the cards in it will need. */
-    private fun usableBy(
-        task: Resources,
-        free: Resources,
-        machine: Resources,
-    ) = if (task.gpus > 0 ||
-        machine.gpus <= 0
-    ) {
-        free
-    } else {
-        Resources(free.cores - free.gpus * machine.cores / machine.gpus * RESERVED_CORES_SHARE, 0.0, free.memoryGb)
+/**
+ * A machine that tasks may be planned on: one that is booting, or one that the plan adds.
+ *
+ * @property free what planned tasks leave of it; planning lowers it
+ */
+class PlannedMachine(
+    val offer: Offer,
+    var free: Resources,
+)
+
+/**
+ * Which machines to provision for tasks that find no free capacity. Decisions only: no I/O. Each instance plans once.
+ *
+ * Tasks are put on the machines that are booting first, then on offers picked by the cost of what each would carry.
+ *
+ * @param pending machines that are booting; planned machines are added to it
+ * @param existing how many machines there are by type and zone, booting ones included
+ * @param limit how many machines the plan may add
+ */
+class ScaleOutPlan(
+    private val machineTypes: Collection<MachineType>,
+    private val market: Market,
+    private val pending: MutableList<PlannedMachine>,
+    existing: Map<TypeInZone, Int>,
+    private val limit: Int,
+) {
+    private val planned = LinkedHashMap<Offer, Int>()
+    private val machinesByTypeInZone = HashMap(existing)
+    private val resourcesByType = machineTypes.associate { it.label to it.resources }
+
+    /** How many tasks of each shape are still to be planned, for all jobs together. */
+    private val remainingByShape = HashMap<TaskShape, Int>()
+
+    /** The number of machines to provision by offer, in the order in which they were decided. */
+    fun plan(resourceRequests: List<ResourceRequest>): Map<Offer, Int> {
+        for (request in resourceRequests) remainingByShape.merge(TaskShape(request), request.count, Int::plus)
+        // Tasks with GPUs come before others of their priority: what they leave of their machines serves those without.
+        for (request in resourceRequests.sortedWith(compareBy({ it.priority }, { -it.gpus }))) {
+            planFor(Placement(request))
+            remainingByShape.merge(TaskShape(request), -request.count, Int::plus)
+        }
+        return planned
     }
 
-    /** How many such tasks an empty machine takes. */
-    private fun tasksPerMachine(
-        task: Resources,
-        machine: Resources,
-        reservesCores: Boolean,
-    ): Int = task.countIn(if (reservesCores) usableBy(task, machine, machine) else machine)
-
-    /** Whether cores can be kept for cards: a task that is too large for what is left then, on any type that it may use,
-     * would wait for good. */
-    private fun mayReserveCores(
-        request: ResourceRequest,
-        task: Resources,
-        machineTypes: Collection<MachineType>,
-    ): Boolean =
-        machineTypes.any { type ->
-            (request.types.isEmpty() || type.label in request.types) && tasksPerMachine(task, type.resources, true) > 0
+    private fun planFor(placement: Placement) {
+        for (machine in pending) {
+            if (placement.isDone) break
+            placement.fill(machine)
+        }
+        while (!placement.isDone && planned.values.sum() < limit) {
+            val offer = cheapestOffer(placement) ?: break
+            placement.fill(add(offer))
         }
+    }
+
+    private fun add(offer: Offer): PlannedMachine {
+        val machine = PlannedMachine(offer, machineTypes.first { it.label == offer.type }.resources)
+        planned.merge(offer, 1, Int::plus)
+        machinesByTypeInZone.merge(offer.typeInZone, 1, Int::plus)
+        pending.add(machine)
+        return machine
+    }
+
+    /** Of several offers at the same cost, the first in the order of the machine types, their zones, and spot before ordinary. */
+    private fun cheapestOffer(placement: Placement): Offer? {
+        var cheapest: Offer? = null
+        var lowestCost = Double.MAX_VALUE
+        for (type in machineTypes) {
+            val tasksPerMachine = placement.tasksPerMachine(type)
+            if (tasksPerMachine == 0) continue
+            for (offer in offersOf(type, placement)) {
+                val cost = cost(offer, type, tasksPerMachine, placement)
+                if (cost < lowestCost) {
+                    cheapest = offer
+                    lowestCost = cost
+                }
+            }
+        }
+        return cheapest
+    }
+
+    private fun offersOf(
+        type: MachineType,
+        placement: Placement,
+    ): List<Offer> {
+        val spotChoices = if (placement.request.spot) listOf(true, false) else listOf(false)
+        return type.zones
+            .flatMap { zone -> spotChoices.map { isSpot -> Offer(type.label, zone, isSpot) } }
+            .filter { placement.isAllowed(it) && !market.isRefused(it) && placement.hasZoneCapacity(it.zone) }
+    }
+
+    /** Cost per task, with all tasks of the shape, of whichever job, sharing whole machines of the offer. */
+    private fun cost(
+        offer: Offer,
+        type: MachineType,
+        tasksPerMachine: Int,
+        placement: Placement,
+    ): Double {
+        val taskCount = maxOf(placement.remaining, remainingByShape[placement.shape] ?: 0)
+        return type.price(offer.spot) * Math.ceil(taskCount.toDouble() / tasksPerMachine) / taskCount *
+            (1 + (machinesByTypeInZone[offer.typeInZone] ?: 0) * ZONE_BALANCE_WEIGHT) *
+            (1 + (market.slowness(offer) - 1) * SLOWNESS_WEIGHT)
+    }
 
     /** Tasks of one shape, of whichever job: together they may fill a machine that would be too large for one job's. */
-    private data class Shape(
+    private data class TaskShape(
         val task: Resources,
         val types: List<String>,
         val spot: Boolean,
-    )
-
-    private fun shape(request: ResourceRequest) =
-        Shape(Resources(request.cores, request.gpus, request.memoryGb), request.types, request.spot)
-
-    /** Fills the rooms that are coming first, then picks offers for the rest, by the cost of what each would carry.
-     * [pending] is changed. */
-    fun plan(
-        resourceRequests: List<ResourceRequest>,
-        pending: MutableList<PlannedMachine>,
-        machineTypes: Collection<MachineType>,
-        market: Market,
-        existing: Map<String, Int>,
-        limit: Int,
-    ): Map<Offer, Int> {
-        val plan = LinkedHashMap<Offer, Int>()
-        val machinesPerTypeAndZone = HashMap(existing)
-        val resourcesByType = machineTypes.associate { it.label to it.resources }
-        val pendingByShape = HashMap<Shape, Int>()
-        for (request in resourceRequests) pendingByShape.merge(shape(request), request.count, Int::plus)
-        // Those with cards first: what they leave of their machines serves the others.
-        for (request in resourceRequests.sortedWith(compareBy({ it.priority }, { -it.gpus }))) {
-            val task = Resources(request.cores, request.gpus, request.memoryGb)
-            val reservesCores = mayReserveCores(request, task, machineTypes)
-            var remaining = request.count
-            val remainingByZone =
-                if (request.zoneRoom.isEmpty()) {
-                    null
-                } else {
-                    request.zones
-                        .zip(
-                            request.zoneRoom,
-                        ).toMap(HashMap())
-                }
+    ) {
+        constructor(request: ResourceRequest) : this(
+            Resources(request.cores, request.gpus, request.memoryGb),
+            request.types,
+            request.spot,
+        )
+    }
 
-            fun hasZoneCapacity(zone: String) = remainingByZone == null || (remainingByZone[zone] ?: 0) > 0
-
-            fun fill(machine: PlannedMachine) {
-                if (!isAllowed(request, machine.type, machine.zone, machine.spot)) return
-                val total = resourcesByType[machine.type] ?: return
-                while (remaining > 0 && hasZoneCapacity(machine.zone) &&
-                    task.fitsIn(if (reservesCores) usableBy(task, machine.free, total) else machine.free)
-                ) {
-                    machine.free = machine.free - task
-                    remaining--
-                    remainingByZone?.merge(machine.zone, -1, Int::plus)
-                }
-            }
-            for (machine in pending) {
-                if (remaining == 0) break
-                fill(machine)
+    /** The tasks of one resource request while they are planned on machines. */
+    private inner class Placement(
+        val request: ResourceRequest,
+    ) {
+        val shape = TaskShape(request)
+        private val task = shape.task
+
+        /** How many more of the tasks each zone may take; null: any number. */
+        private val remainingByZone =
+            if (request.zoneRoom.isEmpty()) null else request.zones.zip(request.zoneRoom).toMap(HashMap())
+
+        /** A task that is too large for what the GPUs' cores leave, on every type that it may use, would wait forever: it is
+         * planned as if no cores were reserved. */
+        private val reservesCores =
+            machineTypes.any { type ->
+                val isTypeAllowed = request.types.isEmpty() || type.label in request.types
+                isTypeAllowed && task.countIn(withoutReservedCores(type.resources, type.resources)) > 0
             }
-            while (remaining > 0 && plan.values.sum() < limit) {
-                var best: Offer? = null
-                var bestCost = Double.MAX_VALUE
-                for (type in machineTypes) {
-                    val tasksEach = tasksPerMachine(task, type.resources, reservesCores)
-                    if (tasksEach == 0) continue
-                    for (zone in type.zones) {
-                        for (spot in if (request.spot) listOf(true, false) else listOf(false)) {
-                            val offer = Offer(type.label, zone, spot)
-                            if (!isAllowed(request, type.label, zone, spot) || market.isRefused(offer) ||
-                                !hasZoneCapacity(zone)
-                            ) {
-                                continue
-                            }
-                            val taskCount = maxOf(remaining, pendingByShape[shape(request)] ?: 0)
-                            val cost =
-                                type.price(spot) * Math.ceil(taskCount.toDouble() / tasksEach) / taskCount *
-                                    (1 + (machinesPerTypeAndZone["${type.label}/$zone"] ?: 0) * ZONE_BALANCE_WEIGHT) *
-                                    (1 + (market.slowness(offer) - 1) * SLOWNESS_WEIGHT)
-                            if (cost < bestCost) {
-                                best = offer
-                                bestCost = cost
-                            }
-                        }
-                    }
-                }
-                val offer = best ?: break
-                val type = machineTypes.first { it.label == offer.type }
-                val added = PlannedMachine(offer.type, offer.zone, offer.spot, type.resources)
-                plan.merge(offer, 1, Int::plus)
-                machinesPerTypeAndZone.merge("${offer.type}/${offer.zone}", 1, Int::plus)
-                pending.add(added)
-                fill(added)
+
+        /** How many tasks are not on any machine yet. */
+        var remaining = request.count
+            private set
+
+        val isDone get() = remaining <= 0
+
+        fun hasZoneCapacity(zone: String) = remainingByZone == null || (remainingByZone[zone] ?: 0) > 0
+
+        fun isAllowed(offer: Offer): Boolean {
+            val isTypeAllowed = request.types.isEmpty() || offer.type in request.types
+            val isZoneAllowed = request.zones.isEmpty() || offer.zone in request.zones
+            return isTypeAllowed && isZoneAllowed && (!offer.spot || request.spot)
+        }
+
+        /** How many of the tasks an empty machine of the type takes. */
+        fun tasksPerMachine(type: MachineType): Int = task.countIn(usable(type.resources, type.resources))
+
+        /** Puts as many of the tasks on the machine as it takes. */
+        fun fill(machine: PlannedMachine) {
+            val offer = machine.offer
+            if (!isAllowed(offer)) return
+            val total = resourcesByType[offer.type] ?: return
+            while (remaining > 0 && hasZoneCapacity(offer.zone) && task.fitsIn(usable(machine.free, total))) {
+                machine.free = machine.free - task
+                remaining--
+                remainingByZone?.merge(offer.zone, -1, Int::plus)
             }
-            pendingByShape.merge(shape(request), -request.count, Int::plus)
         }
-        return plan
+
+        private fun usable(
+            free: Resources,
+            total: Resources,
+        ) = if (reservesCores) withoutReservedCores(free, total) else free
+
+        /** What the tasks may use of a machine: without GPUs of their own, not the cores that its free GPUs will need. */
+        private fun withoutReservedCores(
+            free: Resources,
+            total: Resources,
+        ): Resources {
+            if (task.gpus > 0 || total.gpus <= 0) return free
+            return Resources(
+                free.cores - free.gpus * total.cores / total.gpus * RESERVED_CORES_SHARE,
+                0.0,
+                free.memoryGb,
+            )
+        }
     }
 
-    /** Ties between zones go to the one with fewer machines of the type. */
-    private const val ZONE_BALANCE_WEIGHT = 1e-3
+    private companion object {
+        /** Ties between zones go to the one with fewer machines of the type. */
+        const val ZONE_BALANCE_WEIGHT = 1e-3
 
-    /** An offer that comes so many times slower than nominal costs so much more, for each of them beyond the first. */
-    private const val SLOWNESS_WEIGHT = 0.25
+        /** An offer whose machines boot n times slower than nominal costs (n - 1) times this share more. */
+        const val SLOWNESS_WEIGHT = 0.25
 
-    /** How much of its even share of the cores each card keeps. */
-    private const val RESERVED_CORES_SHARE = 0.7
+        /** How much of its even share of the cores is reserved for each GPU. */
+        const val RESERVED_CORES_SHARE = 0.7
+    }
 }
--- a/src/test/kotlin/micatally/fleet/ScaleOutPlanTest.kt
+++ b/src/test/kotlin/micatally/fleet/ScaleOutPlanTest.kt
@@ -28,20 +28,14 @@
 
     private fun plan(
         resourceRequests: List<ResourceRequest>,
-        pending: MutableList<ScaleOutPlan.PlannedMachine> = ArrayList(),
-    ) = ScaleOutPlan.plan(
-        resourceRequests,
-        pending,
-        listOf(small, large, gpus),
-        Market({
-            false
-        }, { 1.0 }),
-        emptyMap(),
-        100,
-    )
+        pending: MutableList<PlannedMachine> = ArrayList(),
+    ): Map<Offer, Int> {
+        val market = Market({ false }, { 1.0 })
+        return ScaleOutPlan(listOf(small, large, gpus), market, pending, emptyMap(), 100).plan(resourceRequests)
+    }
 
     /** Found at size: each job alone was too small for the larger and cheaper machine, and the tasks that its zone rule kept
-     * out of the one zone were only seen to need another when the machines were up. */
+     * out of the one zone were only found to need another when the machines were up. */
     @Test
     fun `many small jobs share large machines and are spread from the start`() {
         val plan = plan(List(16) { gateway(4, listOf(2, 2, 2)) })
@@ -50,18 +44,18 @@
         assertEquals(4, plan.values.sum())
     }
 
-    /** Found in a test of stored teams: a task of 40 cores without cards, which only a card machine has, was never rented for,
-     * since the cores of all its cards were kept. Its job was accepted and waited for good. */
+    /** Found in a test of stored teams: for a task of 40 cores without GPUs, which only a GPU machine has, nothing was ever
+     * provisioned, since the cores of all its GPUs were reserved. Its job was accepted and waited forever. */
     @Test
-    fun `a task without cards that fits no other machine gets one with cards`() {
+    fun `a task without GPUs that fits no other machine gets one with GPUs`() {
         val plan = plan(listOf(ResourceRequest(40.0, 0.0, 8.0, count = 2)))
         assertEquals(setOf("cards"), plan.keys.map { it.type }.toSet())
         assertEquals(1, plan.values.sum(), "both fit on one")
     }
 
     @Test
-    fun `tasks without cards leave the cores that cards need`() {
-        val machine = ScaleOutPlan.PlannedMachine("cards", "c", false, gpus.resources)
+    fun `tasks without GPUs leave the cores that GPUs need`() {
+        val machine = PlannedMachine(Offer("cards", "c", false), gpus.resources)
         plan(listOf(gateway(60, emptyList())), arrayListOf(machine))
         assertTrue(machine.free.cores >= 8 * 12 * 0.7 - 1e-6, "${machine.free}")
     }
