--- a/src/main/kotlin/micatally/fleet/FleetManager.kt
+++ b/src/main/kotlin/micatally/fleet/FleetManager.kt
@@ -62,8 +62,9 @@
         ScaleIn(scope, settings, state, cloud, sharedKeys, { isLeader && membership.leaseHolds() }, nowMs)
     private val requests = ProvisioningRequestStore(state, sharedKeys)
     private val scaleOut = ScaleOut(scope, settings, cloud, requests, machines, instances, { isLeader }, nowMs)
+    private val prober = MachineProber(scope, http, settings, machines, nowMs)
     private val failureDetector =
-        MachineFailureDetector(scope, http, settings, machines, instances, pendingWorkload::unreachableZones, nowMs)
+        MachineFailureDetector(settings, machines, instances, prober, pendingWorkload::unreachableZones)
     private val eviction =
         GracefulEviction(
             scope,
