--- a/src/main/kotlin/micatally/fleet/MachineTypeCatalog.kt
+++ b/src/main/kotlin/micatally/fleet/MachineTypeCatalog.kt
@@ -16,7 +16,12 @@
 import micatally.worker.MachineRegistry
 import org.slf4j.LoggerFactory
 
-/** Keeps the machine types known here: from the cloud, or from the state service while the cloud can't be asked. */
+/**
+ * Keeps the machine types in [MachineRegistry] up to date: from the cloud, or from the state store while the cloud can't be asked.
+ *
+ * @param isLeader whether this process is the fleet manager; only that one asks the cloud again once the types are known
+ * @param onFirstKnown called when the types become known
+ */
 class MachineTypeCatalog(
     private val settings: Settings,
     private val state: StateStoreClient,
@@ -26,20 +31,17 @@
     private val onFirstKnown: () -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("micatally.fleet")
+
+    /** The text of the value in the state store, as far as this process knows. */
     private var stored: String? = null
+    private val isUnknown get() = machines.machineTypes.isEmpty()
 
+    /** Follows the machine types; never returns. */
     suspend fun follow() {
         while (true) {
-            if (machines.machineTypes.isEmpty()) loadStored()
-            if (machines.machineTypes.isEmpty() || isLeader()) refreshFromCloud()
-            delay(
-                if (machines.machineTypes.isEmpty()) {
-                    settings.leaseMs / ATTEMPTS_PER_LEASE
-                } else {
-                    settings.leaseMs *
-                        REFRESH_LEASES
-                },
-            )
+            if (isUnknown) loadStored()
+            if (isUnknown || isLeader()) refreshFromCloud()
+            delay(if (isUnknown) settings.leaseMs / ATTEMPTS_PER_LEASE else settings.leaseMs * REFRESH_LEASES)
         }
     }
 
@@ -50,18 +52,17 @@
         applyTypes(read.item.value)
     }
 
-    /** What the cloud says is stored for nodes that start while it can't be asked. */
+    /** Also stores the cloud's answer, for controllers that start while the cloud can't be asked. */
     private suspend fun refreshFromCloud() {
         val answer = cloud.machineTypes() ?: return
         applyTypes(answer)
         val text = answer.toString()
         if (text == stored || RecordPacking.size(answer) > settings.valueBytes) return
-        val written =
-            state.transact(
-                1,
-                Urgency.SUMMARY,
-            ) { Transaction(emptyList(), listOf(Put(Keys.MACHINE_TYPES, answer))) }
-        if (written is TransactionResult.Applied) stored = text
+        val result =
+            state.transact(1, Urgency.SUMMARY) {
+                Transaction(emptyList(), listOf(Put(Keys.MACHINE_TYPES, answer)))
+            }
+        if (result is TransactionResult.Applied) stored = text
     }
 
     private fun applyTypes(answer: JsonObject) {
@@ -72,14 +73,16 @@
                 log.error("machine types: {}", e.message)
                 return
             }
-        val isFirst = machines.machineTypes.isEmpty()
+        val isFirst = isUnknown
         machines.machineTypes = types.associateBy { it.label }
         if (isFirst) onFirstKnown()
     }
 
     private companion object {
-        /** How often to ask: so many times a lease while nothing is known, and once in so many leases afterwards. */
+        /** How often in a lease to ask while the types are unknown. */
         const val ATTEMPTS_PER_LEASE = 20
+
+        /** After how many leases to ask again once they are known. */
         const val REFRESH_LEASES = 3
     }
 }
--- a/src/main/kotlin/micatally/fleet/ProvisioningRequest.kt
+++ b/src/main/kotlin/micatally/fleet/ProvisioningRequest.kt
@@ -12,10 +12,12 @@
 import micatally.wire.text
 
 /**
- * A request for machines as it is kept in the state service, from before the cloud hears of it until what it gave is up.
+ * A request for machines as it is stored in the state store, from before the cloud receives it until its machines are up.
  *
  * @property name never used again, since the cloud answers a repeated request as before
- * @property machines what the cloud gave, once it has answered; versions that don't know the field ask the cloud again
+ * @property count how many machines were asked for
+ * @property machines names of the machines that the cloud has provisioned; empty before it has answered. Versions that don't know
+ * the field ask the cloud again.
  */
 data class ProvisioningRequest(
     val name: String,
@@ -23,8 +25,10 @@
     val count: Int,
     val machines: List<String> = emptyList(),
 ) {
+    /** The request as answered by the cloud. */
     fun withMachines(names: List<String>) = copy(machines = names)
 
+    /** The stored form. */
     fun toJson(): JsonObject =
         buildJsonObject {
             put(TYPE, offer.type)
@@ -41,6 +45,7 @@
         private const val COUNT = "count"
         private const val MACHINES = "cars"
 
+        /** Reads the stored form of the request called [name]. */
         fun parse(
             name: String,
             stored: JsonObject,
--- a/src/main/kotlin/micatally/fleet/ScaleIn.kt
+++ b/src/main/kotlin/micatally/fleet/ScaleIn.kt
@@ -15,7 +15,12 @@
 import micatally.wire.EMPTY_OBJECT
 import org.slf4j.LoggerFactory
 
-/** Returns machines to the cloud and stores that they are gone, which is the proof that their tasks are. */
+/**
+ * Deletes machines and stores a record of each deletion. The record is the termination evidence for the tasks that ran there, so it
+ * is only written once the cloud has confirmed that the machine is gone.
+ *
+ * @param mayDelete whether this process is the fleet manager and its lease holds; asked again right before each deletion
+ */
 class ScaleIn(
     private val scope: CoroutineScope,
     private val settings: Settings,
@@ -26,6 +31,8 @@
     private val nowMs: () -> Long,
 ) {
     private val log = LoggerFactory.getLogger("micatally.fleet")
+
+    /** Names of machines to delete with the next [submit]. */
     private val requested = LinkedHashSet<String>()
     private val inProgress = HashSet<String>()
     private val deletedAt = HashMap<String, Long>()
@@ -38,13 +45,12 @@
         requested.add(name)
     }
 
-    /** What is not sent now is found again in the next step, if it is still to go. */
+    /** Starts to delete the requested machines. Those that exceed one request are dropped: the next review asks for them again. */
     fun submit() {
         val names =
             requested
-                .filter {
-                    it !in inProgress && !sharedKeys.has(Keys.DELETED_MACHINE + it)
-                }.take(MAX_MACHINES_PER_REQUEST)
+                .filter { it !in inProgress && !sharedKeys.has(Keys.DELETED_MACHINE + it) }
+                .take(MAX_MACHINES_PER_REQUEST)
         requested.clear()
         if (names.isEmpty()) return
         inProgress.addAll(names)
@@ -58,50 +64,47 @@
     }
 
     private suspend fun delete(names: List<String>) {
-        // The process may have stood still since this was decided; another fleet manager uses the machines by then.
+        // The process may have been suspended since this was decided; another fleet manager uses the machines by then.
         if (!mayDelete() || !cloud.delete(names)) return
         log.info("machines deleted: {}", names)
         deletedAt.putAll(names.associateWith { nowMs() })
-        for (chunk in names.chunked(maxOf(1, settings.maxOperationsPerTransaction / 2))) {
-            while (state.transact(
-                    chunk.size,
-                    Urgency.INTENT,
-                ) { deletionRecords(chunk) } !is TransactionResult.Applied
-            ) {
-                delay(settings.leaseMs / RETRIES_PER_LEASE)
-            }
+        // Up to two changes for each machine.
+        for (chunk in names.chunked(maxOf(1, settings.maxOperationsPerTransaction / 2))) store(chunk)
+    }
+
+    /** The machines are gone and only this process knows it: the records are written however long it takes. */
+    private suspend fun store(names: List<String>) {
+        while (state.transact(names.size, Urgency.INTENT) { deletionRecords(names) } !is TransactionResult.Applied) {
+            delay(settings.leaseMs / RETRIES_PER_LEASE)
         }
     }
 
     private fun deletionRecords(names: List<String>): Transaction {
         val evicted = names.map { Keys.DRAIN + it }.filter { sharedKeys.has(it) }
-        return Transaction(
-            emptyList(),
-            names.map { Put(Keys.DELETED_MACHINE + it, EMPTY_OBJECT) } + evicted.map { Delete(it) },
-        )
+        val records = names.map { Put(Keys.DELETED_MACHINE + it, EMPTY_OBJECT) }
+        return Transaction(emptyList(), records + evicted.map { Delete(it) })
     }
 
-    /** Old proofs are dropped; a machine whose proof is missed is simply deleted again. */
+    /** Drops old deletion records. A machine whose record is missed later is simply deleted again. */
     suspend fun pruneDeletionRecords() {
         val oldest = nowMs() - settings.leaseMs * RETENTION_LEASES
         val expired = deletedAt.filterValues { it < oldest }.keys.take(settings.maxOperationsPerTransaction / 2)
         if (expired.isEmpty() || !mayDelete()) return
         val result =
             state.transact(expired.size, Urgency.SUMMARY) {
-                Transaction(
-                    emptyList(),
-                    expired.map {
-                        Delete(Keys.DELETED_MACHINE + it)
-                    },
-                )
+                Transaction(emptyList(), expired.map { Delete(Keys.DELETED_MACHINE + it) })
             }
         if (result is TransactionResult.Applied) deletedAt.keys.removeAll(expired.toSet())
     }
 
     private companion object {
-        /** Half of the protocol's limit for one request. */
+        /** Half of the cloud's limit for one request. */
         const val MAX_MACHINES_PER_REQUEST = 50
+
+        /** For how many leases deletion records are stored. */
         const val RETENTION_LEASES = 60
+
+        /** How often in a lease storing the records is repeated. */
         const val RETRIES_PER_LEASE = 20
     }
 }
