--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -188,7 +188,7 @@
 
             override fun recentServices() = peers.recentServices()
 
-            override fun silentZones() = peers.silentZones()
+            override fun unreachableZones() = peers.silentZones()
         }
 
     /** Whether this controller scales the fleet out and in for all. */
@@ -225,7 +225,7 @@
             scheduler.requestCycle()
         }
         fleetManager.onMachineTypes = { scheduler.requestCycle() }
-        peers.onRetire = { fleetManager.retire(it) }
+        peers.onRetire = { fleetManager.requestDeletion(it) }
         peers.onNews = { scheduler.requestCycle() }
         membership.onChange = { keys -> cpuUsage.of(CpuUsage.Kind.SHARED) { sharedKeysChanged(keys) } }
         membership.onSummaries =
--- a/src/main/kotlin/micatally/controller/UnreachableMachineSearch.kt
+++ b/src/main/kotlin/micatally/controller/UnreachableMachineSearch.kt
@@ -29,7 +29,7 @@
         for (machine in machines.byName.values) {
             if (machine.deleted || machine.attempts.isEmpty()) continue
             if (isUnreachable(machine, nowMs)) {
-                fleetManager.retire(listOf(machine.name))
+                fleetManager.requestDeletion(listOf(machine.name))
                 peers.retire(machine.name)
             }
         }
--- a/src/main/kotlin/micatally/fleet/BootTimes.kt
+++ b/src/main/kotlin/micatally/fleet/BootTimes.kt
@@ -1,93 +1,98 @@
 package micatally.fleet
 
+/** An instance that is not up yet, and how long ago it was provisioned. */
+class BootingInstance(
+    val offer: Offer,
+    val ageMs: Long,
+)
+
 /**
- * How long machines take to boot, learnt by type and zone from those that came up and from the age of those still out. Decisions
- * only.
+ * Estimates how long machines take to boot, by type and zone, from recent boots and from the ages of those still booting. Decisions
+ * only: no I/O.
+ *
+ * A booting machine counts as capacity to come for as long as that is plausible. After that the capacity is provisioned elsewhere,
+ * but only once: when most machines of a type and zone are late, all of them are waited for longer, or the same capacity would be
+ * provisioned again and again.
  *
- * A rented machine counts as room that is coming for as long as that is plausible. Beyond it the room is looked for elsewhere,
- * once: when most machines of a type and zone are late, all of them are waited for longer, or the same room would be ordered again
- * and again.
+ * @param nominalMs the boot time that the cloud states for a machine type, in milliseconds
  */
 class BootTimes(
     private val nominalMs: (String) -> Long,
 ) {
-    private data class Place(
-        val type: String,
-        val zone: String,
-    )
-
     private class Boot(
-        val tookMs: Long,
+        val bootMs: Long,
         val atMs: Long,
     )
 
-    private val seen = HashMap<Place, ArrayDeque<Boot>>()
-    private var ages: Map<Place, List<Long>> = emptyMap()
+    private val recentBoots = HashMap<TypeInZone, ArrayDeque<Boot>>()
+    private var bootingAges: Map<TypeInZone, List<Long>> = emptyMap()
 
-    /** A machine came up. */
-    fun cameUp(
+    /** Records that a machine came up at [nowMs], [bootMs] after it was provisioned. */
+    fun recordBoot(
         offer: Offer,
-        tookMs: Long,
+        bootMs: Long,
         nowMs: Long,
     ) {
-        val recent = seen.getOrPut(place(offer)) { ArrayDeque() }
-        recent.addLast(Boot(tookMs, nowMs))
-        if (recent.size > REMEMBERED) recent.removeFirst()
+        val recent = recentBoots.getOrPut(offer.typeInZone) { ArrayDeque() }
+        recent.addLast(Boot(bootMs, nowMs))
+        if (recent.size > BOOTS_KEPT) recent.removeFirst()
     }
 
-    /** Takes note of the machines that are still out, by offer and age, and forgets what is long past. */
-    fun observe(
-        waitingFor: List<Pair<Offer, Long>>,
+    /** Replaces the set of machines that are still booting, and forgets boots that are long past. */
+    fun updateBooting(
+        booting: List<BootingInstance>,
         nowMs: Long,
     ) {
-        ages = waitingFor.groupBy({ place(it.first) }, { it.second })
-        for ((place, boots) in seen) boots.removeIf { nowMs - it.atMs > nominalMs(place.type) * REMEMBERED_NOMINAL }
+        bootingAges = booting.groupBy({ it.offer.typeInZone }, { it.ageMs })
+        for ((typeInZone, boots) in recentBoots) {
+            boots.removeIf { nowMs - it.atMs > nominalMs(typeInZone.type) * RETENTION_NOMINALS }
+        }
     }
 
-    /** Up to which age a machine that is not up counts as coming. */
-    fun plausibleMs(offer: Offer): Long {
+    /** Up to which age, in milliseconds, a machine that is not up counts as capacity to come. */
+    fun expectedWithinMs(offer: Offer): Long {
         val nominal = nominalMs(offer.type)
-        val most = maxOf(nominal * MOST_NOMINAL, longestSeenMs(offer) * SPREAD_LONGEST)
-        return (typicalMs(offer) * SPREAD).toLong().coerceIn(nominal * LEAST_NOMINAL, most)
+        val longestWaitMs = maxOf(nominal * TIMEOUT_NOMINALS, longestBootMs(offer) * LONGEST_MARGIN)
+        return (typicalBootMs(offer) * TYPICAL_MARGIN).toLong().coerceIn(nominal * USUAL_NOMINALS, longestWaitMs)
     }
 
-    /** At which age a machine is given up and deleted. While most are late, all may yet come. */
-    fun hopelessMs(offer: Offer): Long {
+    /** At which age, in milliseconds, a machine that is not up is to be deleted. While most are late, all may still come up. */
+    fun bootTimeoutMs(offer: Offer): Long {
         val nominal = nominalMs(offer.type)
-        val patience = if (slowness(offer) > 1.0) SLOW_GIVE_UP_NOMINAL else MOST_NOMINAL
-        return maxOf(nominal * patience, longestSeenMs(offer) * SPREAD_LONGEST)
+        val timeoutNominals = if (slowness(offer) > 1.0) SLOW_TIMEOUT_NOMINALS else TIMEOUT_NOMINALS
+        return maxOf(nominal * timeoutNominals, longestBootMs(offer) * LONGEST_MARGIN)
     }
 
-    /** How many times slower than nominal the offer's machines come now; 1 within what is usual. */
+    /** How many times slower than nominal the offer's machines boot now; 1 within what is usual. */
     fun slowness(offer: Offer): Double {
-        val ratio = typicalMs(offer).toDouble() / nominalMs(offer.type)
-        return if (ratio > LEAST_NOMINAL) ratio else 1.0
+        val ratio = typicalBootMs(offer).toDouble() / nominalMs(offer.type)
+        return if (ratio > USUAL_NOMINALS) ratio else 1.0
     }
 
-    /** The median of the boots seen lately and of the ages of those that take longer than usual by now. */
-    private fun typicalMs(offer: Offer): Long {
+    /** The median of recent boots and of the ages of machines whose boot takes longer than usual by now. */
+    private fun typicalBootMs(offer: Offer): Long {
         val nominal = nominalMs(offer.type)
-        val late = ages[place(offer)]?.filter { it > nominal * LEAST_NOMINAL } ?: emptyList()
-        val all = (seen[place(offer)]?.map { it.tookMs } ?: emptyList()) + late
-        return if (all.isEmpty()) nominal else all.sorted()[all.size / 2]
+        val lateAges = bootingAges[offer.typeInZone]?.filter { it > nominal * USUAL_NOMINALS } ?: emptyList()
+        val bootTimes = (recentBoots[offer.typeInZone]?.map { it.bootMs } ?: emptyList()) + lateAges
+        return if (bootTimes.isEmpty()) nominal else bootTimes.sorted()[bootTimes.size / 2]
     }
 
-    private fun longestSeenMs(offer: Offer) = seen[place(offer)]?.maxOfOrNull { it.tookMs } ?: 0L
-
-    private fun place(offer: Offer) = Place(offer.type, offer.zone)
+    private fun longestBootMs(offer: Offer) = recentBoots[offer.typeInZone]?.maxOfOrNull { it.bootMs } ?: 0L
 
     private companion object {
-        /** Boots remembered for each type and zone, and for how many nominal boots: a spell of slow ones passes. */
-        const val REMEMBERED = 8
-        const val REMEMBERED_NOMINAL = 10L
+        /** Boots remembered for each type and zone, and for how many nominal boot times: a period of slow boots ends. */
+        const val BOOTS_KEPT = 8
+        const val RETENTION_NOMINALS = 10L
+
+        /** Nominal boot times that a machine may take without being late. The cloud usually takes up to 1.5 of them. */
+        const val USUAL_NOMINALS = 2L
 
-        /** The protocol: usually up to 1.5 times the nominal time. */
-        const val LEAST_NOMINAL = 2L
+        /** Nominal boot times after which a machine is not waited for any more. The cloud says that some take several of them. */
+        const val TIMEOUT_NOMINALS = 4L
+        const val SLOW_TIMEOUT_NOMINALS = 10L
 
-        /** The protocol: some take several times as long. */
-        const val MOST_NOMINAL = 4L
-        const val SLOW_GIVE_UP_NOMINAL = 10L
-        const val SPREAD = 1.5
-        const val SPREAD_LONGEST = 2L
+        /** Safety factors on the typical and on the longest boot time observed. */
+        const val TYPICAL_MARGIN = 1.5
+        const val LONGEST_MARGIN = 2L
     }
 }
--- a/src/main/kotlin/micatally/fleet/MachineFailureDetector.kt
+++ b/src/main/kotlin/micatally/fleet/MachineFailureDetector.kt
@@ -1,187 +1,158 @@
 package micatally.fleet
 
-import kotlinx.coroutines.CoroutineScope
-import kotlinx.coroutines.launch
-import micatally.http.HttpCaller
-import micatally.http.Outcome
 import micatally.settings.Settings
-import micatally.wire.Heartbeat
-import micatally.wire.MalformedMessage
-import micatally.wire.parseObject
 import micatally.worker.Machine
 import micatally.worker.MachineRegistry
 import org.slf4j.LoggerFactory
 
 /**
- * Machines that nobody hears any more. Deleting one is the proof that its tasks are gone; while a whole zone is silent, a cut is
- * likelier than so many ends, and waiting costs less.
+ * Finds machines that have failed. Deleting one is the termination evidence for its tasks. While a whole zone is unreachable, a
+ * network partition is likelier than so many failures, and waiting costs less than deleting.
  *
- * @param silentZones where controllers are that can't be heard: they may hear their zone's workers and can't say so
+ * @param unreachableZones zones of controllers that can't be reached: these may hear their zone's workers and be unable to say so
  */
 class MachineFailureDetector(
-    private val scope: CoroutineScope,
-    private val http: HttpCaller,
     private val settings: Settings,
     private val machines: MachineRegistry,
     private val instances: ProvisionedInstances,
-    private val silentZones: () -> Set<String>,
-    private val nowMs: () -> Long,
+    private val prober: MachineProber,
+    private val unreachableZones: () -> Set<String>,
 ) {
     private val log = LoggerFactory.getLogger("micatally.fleet")
-    private val probing = HashSet<String>()
     private val probeAfterMs = maxOf(settings.heartbeatIntervalMs * 2, settings.leaseMs / 4)
-    private val probeMs = settings.leaseMs / 16
-    private var contactLostAt = Long.MIN_VALUE / 2
 
-    /** How many machines of a zone were heard lately, how many were not, and those that were not for long. */
+    /** When some controller was last unreachable. */
+    private var controllerUnreachableAt = Long.MIN_VALUE / 2
+
+    /** The machines of a zone by how long they have not been heard from. */
     private class ZoneView {
-        var heard = 0
-        var quiet = 0
-        val silent = ArrayList<Machine>()
+        var responsive = 0
+        var unresponsive = 0
+
+        /** Those of the unresponsive ones that have not been heard from for so long that they may be deleted. */
+        val unreachable = ArrayList<Machine>()
     }
 
-    /** Names of the machines to delete. [since] is when this node began to look after the fleet. */
-    fun find(
+    /**
+     * Names of the machines to delete; some twice, if more than one reason holds. Starts probes of unresponsive machines.
+     *
+     * @param termBeganAt when this process became the fleet manager; earlier silence does not count
+     */
+    fun findFailed(
         now: Long,
-        since: Long,
+        termBeganAt: Long,
     ): List<String> {
-        // While a node can't be heard, its workers may be looking for another, or it may hear them and can't say so.
-        val zonesOfSilentNodes = silentZones()
-        if (zonesOfSilentNodes.isNotEmpty()) contactLostAt = now
-        val zones = look(now, since)
-        return withoutPower(zones, now) + silentOnes(zones, zonesOfSilentNodes, now, since)
+        // While a controller can't be reached, its workers may be looking for another, or it may hear them and can't say so.
+        val zonesOfUnreachable = unreachableZones()
+        if (zonesOfUnreachable.isNotEmpty()) controllerUnreachableAt = now
+        val zones = classifyByZone(now, termBeganAt)
+        return findPoweredOff(zones, now) + findUnreachable(zones, zonesOfUnreachable, now, termBeganAt)
     }
 
-    private fun look(
+    private fun classifyByZone(
         now: Long,
-        since: Long,
+        termBeganAt: Long,
     ): Map<String, ZoneView> {
-        val silentMs =
-            if (now - contactLostAt <
-                settings.leaseMs * 3 / 2
-            ) {
-                settings.leaseMs * 5 / 2
-            } else {
-                settings.leaseMs
-            }
-        val hungMs = settings.leaseMs * 2
         val zones = HashMap<String, ZoneView>()
-        for (m in machines.byName.values) {
-            val instance = instances.of(m.name)
-            if (m.deleted || instance != null && !instance.isUp) continue
-            val zone = zones.getOrPut(m.zone) { ZoneView() }
-            val silence = now - maxOf(m.heardAt, since, instance?.provisionedAtMs ?: 0L)
-            if (silence > probeAfterMs) {
-                probe(m, now)
-                zone.quiet++
+        for (machine in machines.byName.values) {
+            val instance = instances.of(machine.name)
+            val isBooting = instance != null && !instance.isUp
+            if (machine.deleted || isBooting) continue
+            val zone = zones.getOrPut(machine.zone) { ZoneView() }
+            val silentForMs = now - maxOf(machine.heardAt, termBeganAt, instance?.provisionedAtMs ?: 0L)
+            if (silentForMs > probeAfterMs) {
+                prober.probe(machine, now)
+                zone.unresponsive++
             } else {
-                zone.heard++
+                zone.responsive++
             }
-            // A machine that takes connections and says nothing hangs and may go on soon: its tasks are lost by then, but
-            // not its images, and those take longer to fetch than the wait.
-            val isHung = now - m.connectedAt < settings.leaseMs / 2
-            if (silence > if (isHung) maxOf(silentMs, hungMs) else silentMs) zone.silent.add(m)
+            if (silentForMs > unreachableAfterMs(machine, now)) zone.unreachable.add(machine)
         }
         return zones
     }
 
+    /** After how long without a heartbeat the machine may be deleted. */
+    private fun unreachableAfterMs(
+        machine: Machine,
+        now: Long,
+    ): Long {
+        val wasControllerUnreachable = now - controllerUnreachableAt < settings.leaseMs * 3 / 2
+        val usualMs = if (wasControllerUnreachable) settings.leaseMs * 5 / 2 else settings.leaseMs
+        // A machine that accepts connections and does not answer hangs and may go on soon: its tasks are lost by then, but not
+        // its images, and fetching those takes longer than the wait.
+        val isHung = now - machine.connectedAt < settings.leaseMs / 2
+        return if (isHung) maxOf(usualMs, settings.leaseMs * 2) else usualMs
+    }
+
     /**
-     * Nothing answers on them, not even their system, while the rest of their zone is heard and reached from here. When two zones
-     * lose each other, the other one's machines look just the same, but none of them is reached. Waiting for the lease to end
-     * would only keep the replicas away for longer.
+     * Machines of which not even the operating system accepts connections, while the rest of their zone is heard and reached from
+     * here. When two zones lose each other, the other zone's machines look just the same, but none of them is reached. Waiting for
+     * the lease to expire would only keep the replicas down for longer.
      */
-    private fun withoutPower(
+    private fun findPoweredOff(
         zones: Map<String, ZoneView>,
         now: Long,
     ): List<String> {
-        val dark = machines.byName.values.filter { it.dark > 0 && !it.deleted }
-        for (zone in dark.mapTo(HashSet()) { it.zone }) probeHealthyOne(zone, now)
-        val lost =
-            dark.filter { m ->
-                val zone = zones[m.zone]
-                val isZoneReached = now - machines.reachedAt(m.zone) < settings.heartbeatIntervalMs
-                val isZoneHeard = (zone?.quiet ?: 0) <= (zone?.heard ?: 0)
-                m.dark >= DARK && isZoneReached && isZoneHeard && now - m.heardAt > probeAfterMs
-            }
-        for (m in lost) log.info("machine {} has no power", m.name)
-        return lost.map { it.name }
+        val suspected = machines.byName.values.filter { it.dark > 0 && !it.deleted }
+        for (zone in suspected.mapTo(HashSet()) { it.zone }) probeResponsiveMachine(zone, now)
+        val poweredOff = suspected.filter { isPoweredOff(it, zones[it.zone], now) }
+        for (machine in poweredOff) {
+            log.info(
+                "machine {} accepts no connections and counts as powered off",
+                machine.name,
+            )
+        }
+        return poweredOff.map { it.name }
+    }
+
+    private fun isPoweredOff(
+        machine: Machine,
+        zone: ZoneView?,
+        now: Long,
+    ): Boolean {
+        val isZoneReached = now - machines.reachedAt(machine.zone) < settings.heartbeatIntervalMs
+        val isZoneResponsive = zone == null || zone.unresponsive <= zone.responsive
+        val isUnresponsive = now - machine.heardAt > probeAfterMs
+        return machine.dark >= MIN_HUNG_CONNECTIONS && isZoneReached && isZoneResponsive && isUnresponsive
     }
 
-    /** With few workers here nothing may have come for a while: one that is heard is asked, to see whether this node reaches any. */
-    private fun probeHealthyOne(
+    /** With few workers here, none may have reported for a while: one that is responsive is probed, to see whether any is reached. */
+    private fun probeResponsiveMachine(
         zone: String,
         now: Long,
     ) {
         if (now - machines.reachedAt(zone) <= settings.heartbeatIntervalMs / 2) return
-        val healthy =
-            machines.byName.values.firstOrNull {
-                it.zone == zone && !it.deleted && it.dark == 0 && now - it.heardAt < probeAfterMs
-            }
-        if (healthy != null) probe(healthy, now)
+        val responsive = machines.byName.values.firstOrNull { it.zone == zone && isResponsive(it, now) }
+        if (responsive != null) prober.probe(responsive, now)
     }
 
-    private fun silentOnes(
-        zones: Map<String, ZoneView>,
-        zonesOfSilentNodes: Set<String>,
+    private fun isResponsive(
+        machine: Machine,
         now: Long,
-        since: Long,
-    ): List<String> =
-        zones.flatMap { (name, zone) ->
-            // Few machines tell little, but when the zone's controller is silent with them, that is a cut too.
-            val isCut = zone.silent.size >= zone.heard && (zone.silent.size >= MANY || name in zonesOfSilentNodes)
-            val mostMs = settings.leadershipMs + settings.leaseMs * 2
-            zone.silent.filter { !isCut || now - maxOf(it.heardAt, since) > mostMs }.map { it.name }
-        }
+    ) = !machine.deleted && machine.dark == 0 && now - machine.heardAt < probeAfterMs
 
-    /** Asks a silent machine itself. What it answers counts as heard. */
-    private fun probe(
-        m: Machine,
+    private fun findUnreachable(
+        zones: Map<String, ZoneView>,
+        zonesOfUnreachable: Set<String>,
         now: Long,
-    ) {
-        val isTooSoon = m.addr.isEmpty() || probing.size >= settings.maxConcurrentProbes || now - m.probedAt < probeMs
-        if (isTooSoon || !probing.add(m.name)) return
-        m.probedAt = now
-        scope.launch {
-            try {
-                probed(m, http.call(m.addr, "GET", "/show", null, probeMs), nowMs() - now)
-            } catch (e: MalformedMessage) {
-                log.info("machine {} answers what is no report: {}", m.name, e.message)
-            } finally {
-                probing.remove(m.name)
-            }
-        }
-    }
-
-    private fun probed(
-        m: Machine,
-        out: Outcome,
-        tookMs: Long,
-    ) {
-        when (out) {
-            is Outcome.Answer ->
-                if (out.status == 200) {
-                    m.mute = 0
-                    m.dark = 0
-                    machines.apply(Heartbeat.parse(parseObject(out.body)), false)
-                }
-            // The first one may have gone into a connection from before; the second has made one.
-            Outcome.Silence, Outcome.TooLarge -> {
-                m.dark = 0
-                if (++m.mute >= 2) m.connectedAt = nowMs()
-            }
-            // A refusal comes at once; a connection that hangs takes the whole time.
-            Outcome.NotSent -> {
-                m.mute = 0
-                if (tookMs >= probeMs * 9 / 10) m.dark++ else m.dark = 0
-            }
+        termBeganAt: Long,
+    ): List<String> {
+        val partitionMs = settings.leadershipMs + settings.leaseMs * 2
+        return zones.flatMap { (name, zone) ->
+            // Few machines are weak evidence, but when the zone's controller is unreachable with them, that is a partition too.
+            val isEvident = zone.unreachable.size >= MIN_PARTITIONED_MACHINES || name in zonesOfUnreachable
+            val isPartitioned = isEvident && zone.unreachable.size >= zone.responsive
+            zone.unreachable
+                .filter { !isPartitioned || now - maxOf(it.heardAt, termBeganAt) > partitionMs }
+                .map { it.name }
         }
     }
 
     private companion object {
-        /** Connections in a row that have to hang. */
-        const val DARK = 3
+        /** Connections that have to hang in a row. */
+        const val MIN_HUNG_CONNECTIONS = 3
 
-        /** So many silent machines of a zone look like a cut. */
-        const val MANY = 3
+        /** So many unreachable machines of a zone look like a network partition. */
+        const val MIN_PARTITIONED_MACHINES = 3
     }
 }
