--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -281,7 +281,7 @@
                 PeriodicTask("spot evacuation", 1) { now -> spotEvacuation.run(now) },
                 PeriodicTask("fencing token raise", 1) { now -> fencingTokenRaise.run(now) },
                 PeriodicTask("allotment release", 20) { quota.handBack() },
-                PeriodicTask("deletion record removal", 20) { scope.launch { fleetManager.prune() } },
+                PeriodicTask("deletion record removal", 20) { scope.launch { fleetManager.pruneDeletionRecords() } },
                 PeriodicTask("cancellation confirmation", 4) { now -> jobManager.cancellations.follow(now) },
                 PeriodicTask("CPU usage report", 1) { now -> usageReport.run(now) },
                 PeriodicTask("unreachable machine search", 8) { now -> unreachableMachineSearch.run(now) },
