--- a/src/main/kotlin/micatally/fleet/GracefulEviction.kt
+++ b/src/main/kotlin/micatally/fleet/GracefulEviction.kt
@@ -137,7 +137,7 @@
 
     private fun isEmpty(machine: Machine): Boolean {
         val used = machine.used
-        return machine.tasks.all { it.ended } && machine.attempts.isEmpty() && used.cores < EPSILON &&
+        return machine.tasks.all { it.isEnded } && machine.attempts.isEmpty() && used.cores < EPSILON &&
             used.gpus < EPSILON &&
             used.memoryGb < EPSILON
     }
--- a/src/main/kotlin/micatally/fleet/Offer.kt
+++ b/src/main/kotlin/micatally/fleet/Offer.kt
@@ -4,7 +4,7 @@
 data class Offer(
     val type: String,
     val zone: String,
-    val spot: Boolean,
+    val isSpot: Boolean,
 ) {
     val typeInZone get() = TypeInZone(type, zone)
 }
--- a/src/main/kotlin/micatally/fleet/ScaleOutPlan.kt
+++ b/src/main/kotlin/micatally/fleet/ScaleOutPlan.kt
@@ -130,7 +130,7 @@
 
         /** How many more of the tasks each zone may take; null: any number. */
         private val remainingByZone =
-            if (request.zoneRoom.isEmpty()) null else request.zones.zip(request.zoneRoom).toMap(HashMap())
+            if (request.zoneLimits.isEmpty()) null else request.zones.zip(request.zoneLimits).toMap(HashMap())
 
         /** A task that is too large for what the GPUs' cores leave, on every type that it may use, would wait forever: it is
          * planned as if no cores were reserved. */
--- a/src/main/kotlin/micatally/gang/GangPlacement.kt
+++ b/src/main/kotlin/micatally/gang/GangPlacement.kt
@@ -40,32 +40,32 @@
         candidates: List<GangCandidate<M>>,
         tasks: Int,
         together: Boolean,
-        zoneRoom: (String) -> Int,
+        zoneLimits: (String) -> Int,
     ): GangAssignment<M>? {
         val groups = if (together) candidates.groupBy { it.zone }.values else listOf(candidates)
-        return groups.mapNotNull { fill(it, tasks, zoneRoom) }.minByOrNull { it.cost }
+        return groups.mapNotNull { fill(it, tasks, zoneLimits) }.minByOrNull { it.cost }
     }
 
     private fun <M> fill(
         candidates: List<GangCandidate<M>>,
         tasks: Int,
-        zoneRoom: (String) -> Int,
+        zoneLimits: (String) -> Int,
     ): GangAssignment<M>? {
-        val whole = candidates.filter { it.capacity >= tasks && zoneRoom(it.zone) >= tasks }.minByOrNull { it.cost }
+        val whole = candidates.filter { it.capacity >= tasks && zoneLimits(it.zone) >= tasks }.minByOrNull { it.cost }
         val onOne = whole?.let { machine -> GangAssignment(List(tasks) { machine }) }
-        val onSeveral = spread(candidates, tasks, zoneRoom)
+        val onSeveral = spread(candidates, tasks, zoneLimits)
         return listOfNotNull(onOne, onSeveral).minByOrNull { it.cost }
     }
 
     private fun <M> spread(
         candidates: List<GangCandidate<M>>,
         tasks: Int,
-        zoneRoom: (String) -> Int,
+        zoneLimits: (String) -> Int,
     ): GangAssignment<M>? {
         val left = HashMap<String, Int>()
         val chosen = ArrayList<GangCandidate<M>>(tasks)
         for (candidate in candidates.sortedWith(compareBy({ it.cost }, { -it.capacity }))) {
-            val room = left.getOrPut(candidate.zone) { zoneRoom(candidate.zone) }
+            val room = left.getOrPut(candidate.zone) { zoneLimits(candidate.zone) }
             val count = minOf(candidate.capacity, tasks - chosen.size, room)
             if (count <= 0) continue
             repeat(count) { chosen.add(candidate) }
--- a/src/main/kotlin/micatally/scheduling/AllOrNothingPlacement.kt
+++ b/src/main/kotlin/micatally/scheduling/AllOrNothingPlacement.kt
@@ -62,10 +62,10 @@
                     gang == null || gang.phase != GangPhase.WAITING ||
                         tasks.none { gang.wasTried(it, candidate.machine.name) }
                 }
-        val zoneRoom = { zone: String ->
+        val zoneLimits = { zone: String ->
             if (spec.scatter) Placement.zoneCap(spec) - (zoneRule.attemptsByZone[zone] ?: 0) else spec.taskCount
         }
-        val assignment = GangPlacement.choose(candidates, tasks.size, spec.together, zoneRoom)
+        val assignment = GangPlacement.choose(candidates, tasks.size, spec.together, zoneLimits)
         if (assignment == null) {
             onNoCapacity(job, requestFor(spec, zoneRule, tasks.size, candidates, now))
             return null
@@ -93,7 +93,7 @@
         val fullest = request.zones.maxBy { fitting[it] ?: 0 }
         val zone = if ((fitting[fullest] ?: 0) > 0) fullest else request.zones[turn]
         val missing = maxOf(1, count - (fitting[zone] ?: 0))
-        return request.copy(zones = listOf(zone), count = missing, zoneRoom = emptyList())
+        return request.copy(zones = listOf(zone), count = missing, zoneLimits = emptyList())
     }
 
     private companion object {
--- a/src/main/kotlin/micatally/scheduling/CapacityMisses.kt
+++ b/src/main/kotlin/micatally/scheduling/CapacityMisses.kt
@@ -17,7 +17,7 @@
         val resources: Resources,
         val types: Set<String>?,
         val zones: List<String>,
-        val spot: Boolean,
+        val isSpot: Boolean,
         val isService: Boolean,
         val priority: Int,
     )
@@ -71,7 +71,7 @@
         spec.resources,
         spec.types,
         allZones.filter { zoneRule.allows(it) },
-        spec.spot,
+        spec.isSpot,
         spec.isService,
         spec.priority.ordinal,
     )
--- a/src/main/kotlin/micatally/scheduling/ClusterView.kt
+++ b/src/main/kotlin/micatally/scheduling/ClusterView.kt
@@ -48,7 +48,7 @@
         peerRequests: List<ResourceRequest>,
         now: Long,
     ) {
-        peerServiceRequests = peerRequests.filter { it.service }
+        peerServiceRequests = peerRequests.filter { it.isService }
         peerGangRequests = peerRequests.filter { it.isGang }
         val usable = machines.byName.values.filter { isUsable(it, now) && freeCapacityOf(it).cores > Resources.SLACK }
         machinesWithFreeCores = usable
--- a/src/main/kotlin/micatally/scheduling/Placement.kt
+++ b/src/main/kotlin/micatally/scheduling/Placement.kt
@@ -69,7 +69,7 @@
         count: Int,
     ): ResourceRequest {
         val zones = allZones.filter { zoneRule.allows(it) }
-        val zoneRoom =
+        val zoneLimits =
             if (spec.scatter) {
                 zones.map {
                     zoneCap(
@@ -91,7 +91,7 @@
             spec.isService,
             spec.estimateS,
             spec.image,
-            zoneRoom,
+            zoneLimits,
             spec.isGang,
         )
     }
--- a/src/test/kotlin/micatally/fleet/ScaleOutPlanTest.kt
+++ b/src/test/kotlin/micatally/fleet/ScaleOutPlanTest.kt
@@ -22,8 +22,8 @@
         2.7,
         zones = listOf("a", "b", "c"),
         count = count,
-        service = true,
-        zoneRoom = zoneCapacity,
+        isService = true,
+        zoneLimits = zoneCapacity,
     )
 
     private fun plan(
--- a/src/test/kotlin/micatally/sim/RandomFaults.kt
+++ b/src/test/kotlin/micatally/sim/RandomFaults.kt
@@ -285,7 +285,7 @@
     }
 
     private fun takeSpotInstances() {
-        for (machine in cloud.workers.filter { it.spot }.take(3)) {
+        for (machine in cloud.workers.filter { it.isSpot }.take(3)) {
             note("taken ${machine.name}")
             fleet.workers.loseMachine(machine)
         }
--- a/src/test/kotlin/micatally/sim/SimWorkers.kt
+++ b/src/test/kotlin/micatally/sim/SimWorkers.kt
@@ -132,7 +132,7 @@
         machine: WorkerEmulator,
         jobId: String,
         taskIndex: Int,
-    ) = OnMachine(jobId, taskIndex, machine.name, machine.type, machine.zone, machine.spot)
+    ) = OnMachine(jobId, taskIndex, machine.name, machine.type, machine.zone, machine.isSpot)
 
     private companion object {
         const val MACHINES_PER_KIND = 8
--- a/src/test/kotlin/micatally/sim/StarvationCheck.kt
+++ b/src/test/kotlin/micatally/sim/StarvationCheck.kt
@@ -65,7 +65,7 @@
     ): Boolean {
         val isTypeAllowed = spec.types?.contains(worker.type) != false
         val isZoneAllowed = spec.zone == null || spec.zone == worker.zone
-        return isTypeAllowed && isZoneAllowed && (!worker.spot || spec.spot)
+        return isTypeAllowed && isZoneAllowed && (!worker.isSpot || spec.isSpot)
     }
 
     /** Whether one more task may start in this zone beside those that run in [zones]. */
