--- a/src/main/kotlin/micatally/config/ConfigurationService.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationService.kt
@@ -13,7 +13,7 @@
     scope: CoroutineScope,
     settings: Settings,
     state: StateStoreClient,
-    private val membership: Membership,
+    membership: Membership,
     upgrade: Upgrade,
     http: HttpCaller,
     nowMs: () -> Long,
@@ -32,7 +32,6 @@
     /** @param onApplied told of each new version before it counts as applied */
     fun start(onApplied: (former: Configuration, next: Configuration) -> Unit) {
         live.onApplied = onApplied
-        membership.startGate = { live.mayStart(membership.viewAgeMs) }
     }
 
     /** Looks at the shared keys after a change. */
--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -30,7 +30,8 @@
 import micatally.job.StopReason
 import micatally.membership.Keys
 import micatally.membership.Membership
-import micatally.membership.SharedKeyCache
+import micatally.membership.MembershipConditions
+import micatally.membership.MembershipListener
 import micatally.peer.Peers
 import micatally.quota.Quota
 import micatally.scheduling.PriorityQueues
@@ -93,7 +94,16 @@
             settings.leaseMs / 2,
         )
     val membership =
-        Membership(scope, settings, state, SharedKeyCache(), random, nowMs, operator.archiveMode == ArchiveMode.ON)
+        Membership(
+            scope,
+            settings,
+            state,
+            random,
+            nowMs,
+            movesRecords = operator.archiveMode == ArchiveMode.ON,
+            membershipConditions(),
+            membershipListener(),
+        )
     val machines = MachineRegistry(nowMs)
     private val wantedFormat =
         if (operator.storesTeams) FormatVersion.STORED_TEAMS else FormatVersion.PACKED_RECORDS
@@ -182,6 +192,26 @@
     private val workers =
         WorkerApi(settings, membership, machines, peers, jobManager.cancellations.cancelledTasks, nowMs)
 
+    private fun membershipConditions(): MembershipConditions =
+        object : MembershipConditions {
+            override fun shouldStepDown() = reach.mayStepDown() && peers.somePeerHasState()
+
+            override fun peersConfirmedAt() = peers.peersConfirmedAt()
+
+            override fun mayStartTasks(viewAgeMs: Long) = configuration.live.mayStart(viewAgeMs)
+        }
+
+    private fun membershipListener(): MembershipListener =
+        object : MembershipListener {
+            override fun sharedKeysChanged(keys: Set<String>) =
+                cpuUsage.of(CpuUsage.Kind.SHARED) { sharedChanged(keys) }
+
+            override fun summariesChanged(keys: Set<String>) {
+                cpuUsage.of(CpuUsage.Kind.SHARED) { peers.summariesChanged(keys) }
+                scheduler.requestCycle()
+            }
+        }
+
     private fun loadedShards() =
         object : LoadedShards {
             override fun loaded(name: String) = jobManager.shards[name]?.takeIf { it.state == ShardState.ACTIVE }
@@ -202,8 +232,6 @@
     fun start() {
         jobManager.dispatcher = dispatcher
         configuration.start { former, next -> configurationApplied(former, next) }
-        membership.shouldStepDown = { reach.mayStepDown() && peers.somePeerHasState() }
-        membership.peersConfirmedAt = { peers.peersConfirmedAt() }
         jobManager.quota = quota
         jobManager.requestCycle = { scheduler.requestCycle() }
         scheduler.stateAnswers =
@@ -231,12 +259,6 @@
         fleetManager.onMachineTypes = { scheduler.requestCycle() }
         peers.onRetire = { fleetManager.retire(it) }
         peers.onNews = { scheduler.requestCycle() }
-        membership.onChange = { keys -> cpuUsage.of(CpuUsage.Kind.SHARED) { sharedChanged(keys) } }
-        membership.onSummaries =
-            { keys ->
-                cpuUsage.of(CpuUsage.Kind.SHARED) { peers.summariesChanged(keys) }
-                scheduler.requestCycle()
-            }
         membership.start()
         fleetManager.start()
         peers.start()
--- a/src/main/kotlin/micatally/membership/Membership.kt
+++ b/src/main/kotlin/micatally/membership/Membership.kt
@@ -21,47 +21,21 @@
     private val scope: CoroutineScope,
     private val settings: Settings,
     state: StateStoreClient,
-    val sharedKeys: SharedKeyCache,
     random: Random,
     nowMs: () -> Long,
-    movesRecords: Boolean = false,
+    movesRecords: Boolean,
+    conditions: MembershipConditions,
+    private val listener: MembershipListener,
 ) {
     /** Names this process, so that a restarted controller does not take its predecessor's entries for its own. */
     val process: String = java.lang.Long.toString(random.nextLong(1, Long.MAX_VALUE), PROCESS_NAME_RADIX)
 
+    /** The copy of the keys under [Keys.PREFIX]. */
+    val sharedKeys = SharedKeyCache()
+
     /** The copy of the keys under [Keys.SUMMARIES]: all controllers' capacity and heartbeat summaries. */
     val summaries = SharedKeyCache()
 
-    /** Up to when the other controllers themselves have told of every cancellation; see [micatally.peer.Peers]. */
-    var peersConfirmedAt: () -> Long = { Long.MIN_VALUE / 2 }
-
-    /** Whether another node can serve this one's shards better: then this one has no lease until they are taken, or it can again. */
-    var shouldStepDown: () -> Boolean = { false }
-
-    /** Told which summaries have changed. */
-    var onSummaries: (Set<String>) -> Unit = {}
-
-    /** Told which shared keys have changed. */
-    var onChange: (Set<String>) -> Unit = {}
-
-    /** What else has to hold for a start; see [micatally.config.LiveConfiguration.mayStart]. */
-    var startGate: () -> Boolean = { true }
-
-    private val conditions =
-        object : MembershipConditions {
-            override fun shouldStepDown() = this@Membership.shouldStepDown()
-
-            override fun peersConfirmedAt() = this@Membership.peersConfirmedAt()
-
-            override fun mayStartTasks(viewAgeMs: Long) = startGate()
-        }
-    private val listener =
-        object : MembershipListener {
-            override fun sharedKeysChanged(keys: Set<String>) = onChange(keys)
-
-            override fun summariesChanged(keys: Set<String>) = onSummaries(keys)
-        }
-
     private val retryDelay = RetryDelay(settings.liveMs, random)
     private val leadershipClock = Leadership(settings, sharedKeys, conditions, nowMs)
     private val controllerLease =
--- a/src/test/kotlin/micatally/sim/OperationsTest.kt
+++ b/src/test/kotlin/micatally/sim/OperationsTest.kt
@@ -155,7 +155,7 @@
     }
 
     /** Guard: a controller that can talk to no worker says that it is not healthy, accepts nothing, and leaves its shard to one that
-     * can ([micatally.worker.WorkerReach], [micatally.membership.Membership.shouldStepDown]). */
+     * can ([micatally.worker.WorkerReach], [micatally.membership.MembershipConditions.shouldStepDown]). */
     @Test
     fun `the jobs of a controller that is cut from the workers go on at another one, and short cuts move nothing`() {
         for (mode in CutMode.entries) {
