--- a/src/main/kotlin/micatally/state/TransactionResult.kt
+++ b/src/main/kotlin/micatally/state/TransactionResult.kt
@@ -1,26 +1,29 @@
 package micatally.state
 
+/** What became of a [Transaction]. */
 sealed interface TransactionResult {
+    /** Carried out, at this revision of the state store. */
     class Applied(
         val revision: Long,
     ) : TransactionResult
 
-    /** The keys whose marks did not hold. Nothing was changed. */
+    /** Not carried out: the conditions on [keys] did not hold. */
     class Failed(
         val keys: Set<String>,
     ) : TransactionResult
 
+    /** Not carried out: the lease of a [Put] has expired. */
     data object NoSuchLease : TransactionResult
 
-    /** Certainly not carried out: refused (503) or never sent. */
+    /** Not carried out: the state store was unavailable, or the request was never sent. */
     data object Refused : TransactionResult
 
-    /** Certainly not carried out: over the limits. */
+    /** Not carried out: over the rate limits. */
     data object Limited : TransactionResult
 
-    /** Certainly not carried out: larger than the service allows. */
+    /** Not carried out: larger than the state store allows. */
     data object TooLarge : TransactionResult
 
-    /** Perhaps carried out, perhaps carried out later. */
+    /** There is no valid answer: the transaction may have been carried out, or may be carried out later. */
     data object Unknown : TransactionResult
 }
--- a/src/main/kotlin/micatally/state/WatchEvents.kt
+++ b/src/main/kotlin/micatally/state/WatchEvents.kt
@@ -2,12 +2,24 @@
 
 import kotlinx.serialization.json.JsonObject
 
+/**
+ * The answer to a watch.
+ *
+ * @property revision the next watch continues from here
+ * @property isCompacted the changes can't be had any more: the keys have to be listed again
+ */
 class WatchEvents(
     val revision: Long,
     val events: List<WatchEvent>,
     val isCompacted: Boolean = false,
-)
+) {
+    internal companion object {
+        /** The answer to a watch from [revision] whose changes can't be had. */
+        fun compacted(revision: Long) = WatchEvents(revision, emptyList(), isCompacted = true)
+    }
+}
 
+/** One change of a key; [value] is null if it was deleted. */
 class WatchEvent(
     val key: String,
     val value: JsonObject?,
