--- a/src/main/kotlin/micatally/state/StateStoreClient.kt
+++ b/src/main/kotlin/micatally/state/StateStoreClient.kt
@@ -1,27 +1,23 @@
 package micatally.state
 
-import kotlinx.serialization.json.JsonArray
 import kotlinx.serialization.json.JsonObject
-import kotlinx.serialization.json.buildJsonArray
-import kotlinx.serialization.json.buildJsonObject
-import kotlinx.serialization.json.put
 import micatally.http.HttpCaller
 import micatally.http.Outcome
 import micatally.http.queryPart
 import micatally.wire.EMPTY_OBJECT
-import micatally.wire.asObject
-import micatally.wire.asText
+import micatally.wire.StateStoreMessages
 import micatally.wire.bytes
-import micatally.wire.child
-import micatally.wire.listOrNull
-import micatally.wire.long
-import micatally.wire.longOrNull
-import micatally.wire.parseObject
-import micatally.wire.text
-import micatally.wire.textOrNull
 import org.slf4j.LoggerFactory
 
-/** The state service's protocol, within this node's share of its limits. */
+/**
+ * Client of the state store, within this controller's share of the store's rate limits. Each call suspends until the budget
+ * lets it leave and its answer has come or its time is over.
+ *
+ * @param addr host and port of the state store
+ * @param requests budget of all requests
+ * @param writes budget of puts and deletes
+ * @param timeoutMs how long an answer may take
+ */
 class StateStoreClient(
     private val http: HttpCaller,
     private val addr: String,
@@ -30,31 +26,18 @@
     private val timeoutMs: Long,
 ) {
     private val log = LoggerFactory.getLogger("micatally.state")
-    val waitingWrites get() = writes.waiting
 
-    private suspend fun send(
-        method: String,
-        target: String,
-        body: JsonObject?,
-        urgency: Urgency,
-        timeout: Long = timeoutMs,
-    ): Outcome {
-        requests.take(1, urgency)
-        return call(method, target, body, timeout)
-    }
+    /** Kinds of keys for which a refusal has been logged: one line for each is enough. */
+    private val refusedKinds = HashSet<String>()
 
-    private suspend fun call(
-        method: String,
-        target: String,
-        body: JsonObject?,
-        timeout: Long,
-    ): Outcome {
-        val out = http.call(addr, method, target, body?.bytes(), timeout)
-        if (out is Outcome.Answer && out.status == 429) requests.drained()
-        return out
-    }
+    /** How many transactions wait for the write budget. */
+    val waitingWrites get() = writes.waiting
 
-    /** @param onSend runs when the request leaves: what is asked from then on may be newer than its answer */
+    /**
+     * Reads one key.
+     *
+     * @param onSend runs when the request leaves. What is written from then on may be missing from the answer
+     */
     suspend fun get(
         key: String,
         urgency: Urgency,
@@ -62,25 +45,25 @@
     ): ReadResult {
         requests.take(1, urgency)
         onSend()
-        val out = call("GET", "/keys/$key", null, timeoutMs)
-        if (out !is Outcome.Answer) return ReadResult.Unavailable
-        return when (out.status) {
-            200 -> ReadResult.Found(item(parseObject(out.body)))
-            404 -> ReadResult.Missing
+        val outcome = call("GET", "/keys/$key", null)
+        if (outcome !is Outcome.Answer) return ReadResult.Unavailable
+        return when (outcome.status) {
+            StoreStatus.OK -> ReadResult.Found(StateStoreMessages.keyValue(outcome.body))
+            StoreStatus.NOT_FOUND -> ReadResult.Missing
             else -> ReadResult.Unavailable
         }
     }
 
-    private fun item(o: JsonObject) = KeyValue(o.text("k"), o.child("value") ?: EMPTY_OBJECT, o.long("mark"))
-
-    /** All keys under [prefix], or null when a page could not be had. The revision is that of the first page, so that a watch
-     * from there misses nothing.
+    /**
+     * Reads all keys under [prefix]; null when a page could not be read. The revision is that of the first page, so that a
+     * watch from there misses nothing.
      *
-     * @param after only keys behind this one */
+     * @param after only keys that sort behind this one
+     */
     suspend fun list(
         prefix: String,
         urgency: Urgency,
-        pageSize: Int = 500,
+        pageSize: Int = DEFAULT_PAGE_SIZE,
         after: String? = null,
     ): Listing? {
         val items = ArrayList<KeyValue>()
@@ -88,191 +71,174 @@
         return Listing(items, revision)
     }
 
-    /** Shows [visit] all keys under [prefix] a page at a time, so that no more than a page is held; returns the revision of
-     * the first page, or null when a page could not be had. */
+    /**
+     * Passes all keys under [prefix] to [visit] a page at a time, so that no more than a page is in memory.
+     *
+     * @param after only keys that sort behind this one
+     * @return the revision of the first page, or null when a page could not be read
+     */
     suspend fun eachPage(
         prefix: String,
         urgency: Urgency,
-        pageSize: Int = 500,
+        pageSize: Int = DEFAULT_PAGE_SIZE,
         after: String? = null,
         visit: (List<KeyValue>) -> Unit,
     ): Long? {
-        var since: String? = after
-        var revision = -1L
-        while (true) {
-            val end = page(prefix, urgency, since, pageSize, visit) ?: return null
-            if (revision < 0) revision = end.revision
-            if (!end.hasMore) return revision
-            since = end.lastKey
+        val first = page(prefix, urgency, after, pageSize, visit) ?: return null
+        var end = first
+        while (end.hasMore) {
+            end = page(prefix, urgency, end.lastKey, pageSize, visit) ?: return null
         }
+        return first.revision
     }
 
-    /** Shows [visit] one page of the keys under [prefix] behind [after]; null when it could not be had. */
+    /** Passes one page of the keys under [prefix] behind [after] to [visit]; null when it could not be read. */
     suspend fun page(
         prefix: String,
         urgency: Urgency,
         after: String?,
-        pageSize: Int = 500,
+        pageSize: Int = DEFAULT_PAGE_SIZE,
         visit: (List<KeyValue>) -> Unit,
     ): PageEnd? {
         val from = if (after == null) "" else "&since=${queryPart(after)}"
-        val out = send("GET", "/keys?under=${queryPart(prefix)}$from&page=$pageSize", null, urgency)
-        if (out !is Outcome.Answer || out.status != 200) return null
-        val o = parseObject(out.body)
-        val page = (o.listOrNull("items") ?: emptyList()).map { item(it.asObject()) }
-        visit(page)
-        return PageEnd(page.lastOrNull()?.key, o["more"]?.toString() == "true" && page.isNotEmpty(), o.long("odometer"))
+        requests.take(1, urgency)
+        val outcome = call("GET", "/keys?under=${queryPart(prefix)}$from&page=$pageSize", null)
+        if (outcome !is Outcome.Answer || outcome.status != StoreStatus.OK) return null
+        val page = StateStoreMessages.listingPage(outcome.body)
+        visit(page.items)
+        return PageEnd(page.items.lastOrNull()?.key, page.hasMore, page.revision)
     }
 
-    /** Runs a transaction of [count] changes. It is put together only when the budget allows it to leave, so that
-     * what waited meanwhile goes along. Null from [build]: nothing to do any more. */
+    /**
+     * Carries out a transaction.
+     *
+     * @param count the number of its puts and deletes
+     * @param build puts the transaction together. It runs only when the budget lets the request leave, so that what was decided
+     * while it waited goes along, and again before a repetition. Null: there is nothing to do any more, and the result is
+     * [TransactionResult.Refused]
+     */
     suspend fun transact(
         count: Int,
         urgency: Urgency,
         build: () -> Transaction?,
     ): TransactionResult {
-        var borrowed = writes.take(count, urgency, true)
+        var isBorrowed = writes.take(count, urgency, true)
         requests.take(1, urgency)
         while (true) {
-            val transact = build() ?: return TransactionResult.Refused
-            val r = commit(transact)
-            if (r !is TransactionResult.Limited) return r
-            if (!borrowed) {
+            val transaction = build() ?: return TransactionResult.Refused
+            val result = commit(transaction)
+            if (result !is TransactionResult.Limited) return result
+            if (!isBorrowed) {
                 writes.drained()
-                return r
+                return result
             }
-            // Nothing was carried out; now it waits for this node's own share.
+            // Nothing was carried out. It is repeated within this controller's own share.
             writes.loanRefused()
             writes.take(count, urgency)
             requests.take(1, urgency)
-            borrowed = false
+            isBorrowed = false
         }
     }
 
-    private suspend fun commit(transact: Transaction): TransactionResult {
-        val body =
-            buildJsonObject {
-                put(
-                    "when",
-                    JsonArray(
-                        transact.conditions.map { c ->
-                            buildJsonObject {
-                                put("k", c.key)
-                                put("mark", c.modRevision)
-                            }
-                        },
-                    ),
-                )
-                put(
-                    "then",
-                    buildJsonArray {
-                        for (c in transact.changes) {
-                            add(
-                                buildJsonObject {
-                                    when (c) {
-                                        is Put -> {
-                                            put("put", c.key)
-                                            put("value", c.value)
-                                            if (c.lease !=
-                                                null
-                                            ) {
-                                                put("permit", c.lease)
-                                            }
-                                        }
-                                        is Delete -> put("delete", c.key)
-                                    }
-                                },
-                            )
-                        }
-                    },
-                )
-            }
-        return when (val out = call("POST", "/txn", body, timeoutMs)) {
+    private suspend fun commit(transaction: Transaction): TransactionResult =
+        when (val outcome = call("POST", "/txn", StateStoreMessages.transactionRequest(transaction))) {
             is Outcome.NotSent -> TransactionResult.Refused
             is Outcome.Silence, is Outcome.TooLarge -> TransactionResult.Unknown
-            is Outcome.Answer ->
-                when (out.status) {
-                    200 -> TransactionResult.Applied(parseObject(out.body).long("odometer"))
-                    409 ->
-                        TransactionResult.Failed(
-                            (parseObject(out.body).listOrNull("failed") ?: emptyList()).map { it.asText() }.toSet(),
-                        )
-                    400 -> refusal(transact, out.body.decodeToString())
-                    429 -> TransactionResult.Limited
-                    503 -> TransactionResult.Refused
-                    else -> TransactionResult.Unknown
-                }
+            is Outcome.Answer -> transactionResult(transaction, outcome)
         }
-    }
 
-    /** The limits may have been lowered since this was decided; the writers of large values try again in another form. */
+    private fun transactionResult(
+        transaction: Transaction,
+        answer: Outcome.Answer,
+    ): TransactionResult =
+        when (answer.status) {
+            StoreStatus.OK -> TransactionResult.Applied(StateStoreMessages.appliedRevision(answer.body))
+            StoreStatus.CONDITION_FAILED -> TransactionResult.Failed(StateStoreMessages.failedKeys(answer.body))
+            StoreStatus.REFUSED -> refusal(transaction, answer.body.decodeToString())
+            StoreStatus.OVER_RATE_LIMIT -> TransactionResult.Limited
+            StoreStatus.UNAVAILABLE -> TransactionResult.Refused
+            else -> TransactionResult.Unknown
+        }
+
+    /**
+     * The limits may have been lowered since the transaction was put together, so every refusal that is not about a lease counts
+     * as one of size: the writers of large values try again in another form.
+     */
     private fun refusal(
-        transact: Transaction,
+        transaction: Transaction,
         text: String,
     ): TransactionResult {
-        if ("no such lease" in text) return TransactionResult.NoSuchLease
-        val key = transact.changes.first().key
-        if (refusedKinds.add(key.substringBefore('/'))) log.warn("state service refuses {}: {}", key, text)
+        if (StateStoreMessages.isNoSuchLease(text)) return TransactionResult.NoSuchLease
+        val key = transaction.changes.first().key
+        val isFirstOfKind = refusedKinds.add(key.substringBefore('/'))
+        if (isFirstOfKind) log.warn("state service refuses {}: {}", key, text)
         return TransactionResult.TooLarge
     }
 
-    /** Kinds of keys of which a refusal has been logged. */
-    private val refusedKinds = HashSet<String>()
-
-    suspend fun grant(lifeMs: Long): Long? {
-        val out = send("POST", "/grants", buildJsonObject { put("life_ms", lifeMs) }, Urgency.LEASE)
-        return if (out is Outcome.Answer && out.status == 200) parseObject(out.body).longOrNull("permit") else null
+    /** Requests a lease of [liveMs] milliseconds; returns its id, or null if there is no valid answer. */
+    suspend fun grant(liveMs: Long): Long? {
+        requests.take(1, Urgency.LEASE)
+        val outcome = call("POST", "/grants", StateStoreMessages.grantRequest(liveMs))
+        val isGranted = outcome is Outcome.Answer && outcome.status == StoreStatus.OK
+        return if (isGranted) StateStoreMessages.grantedLease(outcome.body) else null
     }
 
-    /** True: renewed; false: the lease has ended; null: nobody knows. */
+    /** Renews a lease for its full time. True: renewed; false: expired; null: there is no valid answer. */
     suspend fun renew(lease: Long): Boolean? {
-        val out = send("POST", "/grants/$lease/renew", EMPTY_OBJECT, Urgency.LEASE)
-        if (out !is Outcome.Answer) return null
-        return when (out.status) {
-            200 -> true
-            404 -> false
+        requests.take(1, Urgency.LEASE)
+        val outcome = call("POST", "/grants/$lease/renew", EMPTY_OBJECT)
+        if (outcome !is Outcome.Answer) return null
+        return when (outcome.status) {
+            StoreStatus.OK -> true
+            StoreStatus.NOT_FOUND -> false
             else -> null
         }
     }
 
-    /** Ends a lease that is not wanted; if that fails it ends by itself. */
+    /** Ends a lease that is no longer wanted. If the request fails the lease expires by itself. */
     suspend fun revoke(lease: Long) {
-        send("DELETE", "/grants/$lease", null, Urgency.LEASE)
+        requests.take(1, Urgency.LEASE)
+        call("DELETE", "/grants/$lease", null)
     }
 
+    /**
+     * Waits for changes under [prefix] after the revision [since], for [holdMs] at the most.
+     *
+     * @return the changes, none if there were none in that time; [WatchEvents.isCompacted] if the keys have to be listed again;
+     * null if there is no valid answer
+     */
     suspend fun watch(
         prefix: String,
         since: Long,
         holdMs: Long,
         urgency: Urgency,
     ): WatchEvents? {
-        val out =
-            send(
-                "GET",
-                "/watch?under=${queryPart(prefix)}&since=$since&hold_ms=$holdMs",
-                null,
-                urgency,
-                holdMs + timeoutMs,
-            )
-        // What is too much for one answer is read again in pages, as what the service does not keep any more.
-        if (out is Outcome.TooLarge) return WatchEvents(since, emptyList(), true)
-        if (out !is Outcome.Answer) return null
-        if (out.status == 410) return WatchEvents(since, emptyList(), true)
-        if (out.status != 200) return null
-        val o = parseObject(out.body)
-        return WatchEvents(
-            o.long("odometer"),
-            (o.listOrNull("news") ?: emptyList()).map {
-                val e = it.asObject()
-                val put = e.textOrNull("put")
-                if (put !=
-                    null
-                ) {
-                    WatchEvent(put, e.child("value") ?: EMPTY_OBJECT, e.long("mark"))
-                } else {
-                    WatchEvent(e.text("delete"), null, e.long("mark"))
-                }
-            },
-        )
+        requests.take(1, urgency)
+        val target = "/watch?under=${queryPart(prefix)}&since=$since&hold_ms=$holdMs"
+        val outcome = call("GET", target, null, holdMs + timeoutMs)
+        // Changes that are too much for one answer are read by a listing, like those that the store no longer keeps.
+        if (outcome is Outcome.TooLarge) return WatchEvents.compacted(since)
+        if (outcome !is Outcome.Answer) return null
+        return when (outcome.status) {
+            StoreStatus.OK -> StateStoreMessages.watchEvents(outcome.body)
+            StoreStatus.COMPACTED -> WatchEvents.compacted(since)
+            else -> null
+        }
+    }
+
+    private suspend fun call(
+        method: String,
+        target: String,
+        body: JsonObject?,
+        timeout: Long = timeoutMs,
+    ): Outcome {
+        val outcome = http.call(addr, method, target, body?.bytes(), timeout)
+        val isOverRateLimit = outcome is Outcome.Answer && outcome.status == StoreStatus.OVER_RATE_LIMIT
+        if (isOverRateLimit) requests.drained()
+        return outcome
+    }
+
+    private companion object {
+        const val DEFAULT_PAGE_SIZE = 500
     }
 }
