--- a/src/main/kotlin/micatally/membership/ControllerLease.kt
+++ b/src/main/kotlin/micatally/membership/ControllerLease.kt
@@ -4,6 +4,7 @@
 import micatally.settings.Settings
 import micatally.state.Compare
 import micatally.state.Put
+import micatally.state.RenewalResult
 import micatally.state.StateStoreClient
 import micatally.state.Transaction
 import micatally.state.TransactionResult
@@ -108,15 +109,15 @@
     private suspend fun renew(held: Long) {
         val sentAt = nowMs()
         when (state.renew(held)) {
-            true -> {
+            RenewalResult.RENEWED -> {
                 provenAt = sentAt
                 delay(settings.liveMs / RENEWALS_PER_LIVE_TIME)
             }
-            false -> {
+            RenewalResult.EXPIRED -> {
                 log.info("lease {} has ended", held)
                 id = null
             }
-            null -> delay(retryDelay.nextMs())
+            RenewalResult.UNKNOWN -> delay(retryDelay.nextMs())
         }
     }
 
--- a/src/main/kotlin/micatally/state/StateStoreClient.kt
+++ b/src/main/kotlin/micatally/state/StateStoreClient.kt
@@ -183,15 +183,15 @@
         return if (isGranted) StateStoreMessages.grantedLease(outcome.body) else null
     }
 
-    /** Renews a lease for its full time. True: renewed; false: expired; null: there is no valid answer. */
-    suspend fun renew(lease: Long): Boolean? {
+    /** Renews a lease for its full time. */
+    suspend fun renew(lease: Long): RenewalResult {
         requests.take(1, Urgency.LEASE)
         val outcome = call("POST", "/grants/$lease/renew", EMPTY_OBJECT)
-        if (outcome !is Outcome.Answer) return null
+        if (outcome !is Outcome.Answer) return RenewalResult.UNKNOWN
         return when (outcome.status) {
-            StoreStatus.OK -> true
-            StoreStatus.NOT_FOUND -> false
-            else -> null
+            StoreStatus.OK -> RenewalResult.RENEWED
+            StoreStatus.NOT_FOUND -> RenewalResult.EXPIRED
+            else -> RenewalResult.UNKNOWN
         }
     }
 
--- a/src/test/kotlin/micatally/compatibility/MessagesTest.kt
+++ b/src/test/kotlin/micatally/compatibility/MessagesTest.kt
@@ -35,6 +35,7 @@
 import micatally.state.Put
 import micatally.state.RateBudget
 import micatally.state.ReadResult
+import micatally.state.RenewalResult
 import micatally.state.StateLimits
 import micatally.state.StateStoreClient
 import micatally.state.Transaction
@@ -521,7 +522,9 @@
             assertEquals(7L, state(grant).grant(5000))
             assertEquals(listOf("POST /grants"), grant.requests)
             assertEquals(text("state/grant.json"), grant.body)
-            for ((status, expected) in listOf(200 to true, 404 to false, 503 to null)) {
+            val results =
+                listOf(200 to RenewalResult.RENEWED, 404 to RenewalResult.EXPIRED, 503 to RenewalResult.UNKNOWN)
+            for ((status, expected) in results) {
                 val renew = Recorder(answer(status))
                 assertEquals(expected, state(renew).renew(7))
                 assertEquals(listOf("POST /grants/7/renew"), renew.requests)
