--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -23,7 +23,8 @@
 import micatally.job.ShardState
 import micatally.membership.Keys
 import micatally.membership.Membership
-import micatally.membership.SharedKeyCache
+import micatally.membership.MembershipConditions
+import micatally.membership.MembershipListener
 import micatally.peer.Peers
 import micatally.quota.Quota
 import micatally.scheduling.PriorityQueues
@@ -80,7 +81,16 @@
 
     /** Leases, the fencing token and this controller's copy of the shared keys. */
     val membership =
-        Membership(scope, settings, state, SharedKeyCache(), random, nowMs, operator.archiveMode == ArchiveMode.ON)
+        Membership(
+            scope,
+            settings,
+            state,
+            random,
+            nowMs,
+            movesRecords = operator.archiveMode == ArchiveMode.ON,
+            membershipConditions(),
+            membershipListener(),
+        )
 
     /** All machines that this controller knows of. */
     val machines = MachineRegistry(nowMs)
@@ -177,6 +187,26 @@
         return PriorityQueues(boundsSeconds, operator.promotionRatio)
     }
 
+    private fun membershipConditions(): MembershipConditions =
+        object : MembershipConditions {
+            override fun shouldStepDown() = reach.mayStepDown() && peers.somePeerHasState()
+
+            override fun peersConfirmedAt() = peers.peersConfirmedAt()
+
+            override fun mayStartTasks(viewAgeMs: Long) = configuration.live.mayStart(viewAgeMs)
+        }
+
+    private fun membershipListener(): MembershipListener =
+        object : MembershipListener {
+            override fun sharedKeysChanged(keys: Set<String>) =
+                cpuUsage.of(CpuUsage.Kind.SHARED) { sharedKeysChanged(keys) }
+
+            override fun summariesChanged(keys: Set<String>) {
+                cpuUsage.of(CpuUsage.Kind.SHARED) { peers.summariesChanged(keys) }
+                scheduler.requestCycle()
+            }
+        }
+
     private fun loadedShards() =
         object : LoadedShards {
             override fun loaded(name: String) = jobManager.shards[name]?.takeIf { it.state == ShardState.ACTIVE }
@@ -198,8 +228,6 @@
     fun start() {
         jobManager.dispatcher = dispatcher
         configuration.start { former, next -> configurationApplied(former, next) }
-        membership.shouldStepDown = { reach.mayStepDown() && peers.somePeerHasState() }
-        membership.peersConfirmedAt = { peers.peersConfirmedAt() }
         jobManager.quota = quota
         jobManager.requestCycle = { scheduler.requestCycle() }
         scheduler.stateAnswers =
@@ -227,12 +255,6 @@
         fleetManager.onMachineTypes = { scheduler.requestCycle() }
         peers.onRetire = { fleetManager.requestDeletion(it) }
         peers.onNews = { scheduler.requestCycle() }
-        membership.onChange = { keys -> cpuUsage.of(CpuUsage.Kind.SHARED) { sharedKeysChanged(keys) } }
-        membership.onSummaries =
-            { keys ->
-                cpuUsage.of(CpuUsage.Kind.SHARED) { peers.summariesChanged(keys) }
-                scheduler.requestCycle()
-            }
         membership.start()
         fleetManager.start()
         peers.start()
