--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -227,10 +227,10 @@
         fleetManager.onMachineTypes = { scheduler.requestCycle() }
         peers.onRetire = { fleetManager.retire(it) }
         peers.onNews = { scheduler.requestCycle() }
-        membership.onChange = { keys -> cpuUsage.of(CpuUsage.Kind.SHARED) { sharedKeysChanged(keys) } }
+        membership.onChange = { keys -> cpuUsage.of(CpuUsage.Kind.SHARED_KEYS) { sharedKeysChanged(keys) } }
         membership.onSummaries =
             { keys ->
-                cpuUsage.of(CpuUsage.Kind.SHARED) { peers.summariesChanged(keys) }
+                cpuUsage.of(CpuUsage.Kind.SHARED_KEYS) { peers.summariesChanged(keys) }
                 scheduler.requestCycle()
             }
         membership.start()
@@ -277,7 +277,7 @@
             tickMs = settings.heartbeatIntervalMs / TICKS_PER_HEARTBEAT,
             nowMs,
             listOf(
-                PeriodicTask("state review", 1) { now -> cpuUsage.of(CpuUsage.Kind.HOUSE) { review.run(now) } },
+                PeriodicTask("state review", 1) { now -> cpuUsage.of(CpuUsage.Kind.PERIODIC_TASKS) { review.run(now) } },
                 PeriodicTask("spot evacuation", 1) { now -> spotEvacuation.run(now) },
                 PeriodicTask("fencing token raise", 1) { now -> fencingTokenRaise.run(now) },
                 PeriodicTask("allotment release", 20) { quota.handBack() },
@@ -291,7 +291,7 @@
     }
 
     private fun usageDetails() =
-        " machines=${machines.byName.size} waiting=${scheduler.unplaced.size} ${cpuUsage.news()} " +
+        " machines=${machines.byName.size} waiting=${scheduler.unplaced.size} ${cpuUsage.takeDeltaBytes()} " +
             "allotmentOveruse=${quota.audit.overuseCount} " +
             "writes=${budgets.stateWrites.tell()} requests=${budgets.stateRequests.tell()}"
 
--- a/src/main/kotlin/micatally/controller/CpuUsage.kt
+++ b/src/main/kotlin/micatally/controller/CpuUsage.kt
@@ -2,81 +2,106 @@
 
 import org.slf4j.LoggerFactory
 
-/** What the processor's time goes to, by kind of work. Counted for operators; decides nothing. */
+/**
+ * Measures the time that a controller spends on each kind of work, for operators; nothing is decided by it. The time is that
+ * between the beginning and the end of the work, which is CPU time as long as the work does not suspend.
+ *
+ * @param nowNs a monotonic clock in nanoseconds
+ */
 class CpuUsage(
     private val nowNs: () -> Long,
 ) {
+    /**
+     * A kind of work.
+     *
+     * @property label its name in the log line
+     */
     enum class Kind(
-        val word: String,
+        val label: String,
     ) {
-        REPORT(
-            "reports",
-        ),
-        NEWS(
-            "news",
-        ),
-        ROUND("rounds"),
-        SHARED("shared keys"),
-        ORDERS("orders"),
-        KEEPER("keeper"),
-        HOUSE("housekeeping"),
+        HEARTBEATS("heartbeats"),
+        DELTAS("deltas"),
+        SCHEDULING("scheduling"),
+        SHARED_KEYS("shared keys"),
+        PERIODIC_TASKS("periodic tasks"),
     }
 
-    private val log = LoggerFactory.getLogger("micatally.cpu")
-
-    @PublishedApi internal val times = LongArray(Kind.entries.size)
-
-    @PublishedApi internal val counts = IntArray(Kind.entries.size)
+    /** The work of one kind since the last line. */
+    private class Usage {
+        var count = 0
+        var totalNs = 0L
+        var longestNs = 0L
+    }
 
-    @PublishedApi internal val longest = LongArray(Kind.entries.size)
+    private val log = LoggerFactory.getLogger("micatally.cpu")
+    private val usages = Kind.entries.associateWith { Usage() }
+    private var deltaBytesReceived = 0L
+    private var deltaBytesAnswered = 0L
 
     @PublishedApi internal fun now() = nowNs()
 
+    @PublishedApi
+    internal fun add(
+        kind: Kind,
+        durationNs: Long,
+    ) {
+        val usage = usages.getValue(kind)
+        usage.count++
+        usage.totalNs += durationNs
+        usage.longestNs = maxOf(usage.longestNs, durationNs)
+    }
+
+    /** Does [work] and returns its result; the time it takes counts as [kind], also if it throws. */
     inline fun <T> of(
         kind: Kind,
         work: () -> T,
     ): T {
-        val began = now()
+        val beganNs = now()
         try {
             return work()
         } finally {
-            val t = now() - began
-            times[kind.ordinal] += t
-            counts[kind.ordinal]++
-            if (t > longest[kind.ordinal]) longest[kind.ordinal] = t
+            add(kind, now() - beganNs)
         }
     }
 
-    private var newsReceived = 0L
-    private var newsAnswered = 0L
-
-    /** Bytes of a peer's news and of the answer to it. */
-    fun newsTaken(
-        received: Int,
-        answered: Int,
+    /** Counts the bytes of a peer's delta and of the answer to it. */
+    fun addDelta(
+        bytesReceived: Int,
+        bytesAnswered: Int,
     ) {
-        newsReceived += received
-        newsAnswered += answered
+        deltaBytesReceived += bytesReceived
+        deltaBytesAnswered += bytesAnswered
     }
 
-    /** Bytes of peers' news since the last call. */
-    fun news(): String =
-        "newsReceived=$newsReceived newsAnswered=$newsAnswered".also {
-            newsReceived = 0
-            newsAnswered = 0
-        }
+    /** Returns the fields for the bytes of deltas since the last call, and begins anew. */
+    fun takeDeltaBytes(): String {
+        val fields = "deltaBytesReceived=$deltaBytesReceived deltaBytesAnswered=$deltaBytesAnswered"
+        deltaBytesReceived = 0
+        deltaBytesAnswered = 0
+        return fields
+    }
+
+    /**
+     * Logs one line for the time since the last one, and begins anew. Each kind of work is shown as its count, its time in all
+     * and the longest time of one; [details] follows.
+     */
+    fun logUsage(details: String) {
+        log.info("cpu usage {}{}", usages.entries.joinToString(" ") { (kind, usage) -> field(kind, usage) }, details)
+        for (usage in usages.values) reset(usage)
+    }
+
+    private fun field(
+        kind: Kind,
+        usage: Usage,
+    ) = "${kind.label}=${usage.count}x/${usage.totalNs / NANOS_PER_MILLI}ms/${usage.longestNs / NANOS_PER_MILLI}ms"
+
+    private fun reset(usage: Usage) {
+        usage.count = 0
+        usage.totalNs = 0
+        usage.longestNs = 0
+    }
 
-    /** One line for the time since the last one. */
-    fun tell(more: String) {
-        log.info(
-            "cpu usage {}{}",
-            Kind.entries.joinToString(" ") {
-                "${it.word}=${counts[it.ordinal]}x/${times[it.ordinal] / 1_000_000}ms/${longest[it.ordinal] / 1_000_000}ms"
-            },
-            more,
-        )
-        times.fill(0)
-        counts.fill(0)
-        longest.fill(0)
+    private companion object {
+        const val NANOS_PER_MILLI = 1_000_000
     }
 }
--- a/src/main/kotlin/micatally/controller/CpuUsageReport.kt
+++ b/src/main/kotlin/micatally/controller/CpuUsageReport.kt
@@ -19,6 +19,6 @@
     fun run(nowMs: Long) {
         if (nowMs - loggedAtMs <= intervalMs) return
         loggedAtMs = nowMs
-        cpuUsage.tell(details())
+        cpuUsage.logUsage(details())
     }
 }
--- a/src/main/kotlin/micatally/controller/PeerRouter.kt
+++ b/src/main/kotlin/micatally/controller/PeerRouter.kt
@@ -51,8 +51,8 @@
         }
 
     private fun applyDelta(body: ByteArray): ByteArray {
-        val answer = cpuUsage.of(CpuUsage.Kind.NEWS) { peers.takeNews(body) }
-        cpuUsage.newsTaken(body.size, answer.size)
+        val answer = cpuUsage.of(CpuUsage.Kind.DELTAS) { peers.takeNews(body) }
+        cpuUsage.addDelta(body.size, answer.size)
         return answer
     }
 
--- a/src/main/kotlin/micatally/scale/CpuUsageLines.kt
+++ b/src/main/kotlin/micatally/scale/CpuUsageLines.kt
@@ -23,8 +23,8 @@
     val writes: Map<String, CpuUsageFigures> =
         sum(Regex("""([a-z]+):(\d+)x/(\d+)ms/(\d+)ms"""), "writes=", " requests=")
 
-    val newsBytesReceived = efforts.sumOf { number(it, "newsReceived=") }
-    val newsBytesAnswered = efforts.sumOf { number(it, "newsAnswered=") }
+    val deltaBytesReceived = efforts.sumOf { number(it, "deltaBytesReceived=") }
+    val deltaBytesAnswered = efforts.sumOf { number(it, "deltaBytesAnswered=") }
 
     private fun sum(
         pattern: Regex,
--- a/src/main/kotlin/micatally/scale/Measurement.kt
+++ b/src/main/kotlin/micatally/scale/Measurement.kt
@@ -159,9 +159,9 @@
     private fun peerFigures(efforts: CpuUsageLines): PeerFigures {
         val factor = perSecond(efforts)
         return PeerFigures(
-            (efforts.work["news"]?.count ?: 0L) * factor,
-            efforts.newsBytesReceived * factor,
-            efforts.newsBytesAnswered * factor,
+            (efforts.work["deltas"]?.count ?: 0L) * factor,
+            efforts.deltaBytesReceived * factor,
+            efforts.deltaBytesAnswered * factor,
         )
     }
 
--- a/src/main/kotlin/micatally/scheduling/Scheduler.kt
+++ b/src/main/kotlin/micatally/scheduling/Scheduler.kt
@@ -101,7 +101,7 @@
             val wait = nextAt - nowMs()
             if (wait > 0) delay(wait)
             asked = false
-            cpuUsage.of(CpuUsage.Kind.ROUND) { runCycle() }
+            cpuUsage.of(CpuUsage.Kind.SCHEDULING) { runCycle() }
         }
     }
 
--- a/src/test/kotlin/micatally/scale/SweepTest.kt
+++ b/src/test/kotlin/micatally/scale/SweepTest.kt
@@ -57,15 +57,15 @@
     @Test
     fun `effort lines are summed by kind of work and by urgency`() {
         val line =
-            "[x] INFO micatally.cpu - cpu usage reports=10x/20ms/3ms shared keys=4x/8ms/5ms machines=20 waiting=0 " +
-                "newsReceived=100 newsAnswered=7 writes=lease:2x/0ms/1ms,intent:6x/1ms/9ms requests=lease:30x/0ms/0ms"
+            "[x] INFO micatally.cpu - cpu usage heartbeats=10x/20ms/3ms shared keys=4x/8ms/5ms machines=20 waiting=0 " +
+                "deltaBytesReceived=100 deltaBytesAnswered=7 writes=lease:2x/0ms/1ms,intent:6x/1ms/9ms requests=lease:30x/0ms/0ms"
         val efforts = CpuUsageLines(listOf(line, line, "something else"))
         assertEquals(2, efforts.count)
-        assertEquals(20, efforts.work.getValue("reports").count)
+        assertEquals(20, efforts.work.getValue("heartbeats").count)
         assertEquals(16, efforts.work.getValue("shared keys").totalMs)
         assertEquals(12, efforts.writes.getValue("intent").count)
         assertEquals(9, efforts.writes.getValue("intent").longestMs)
-        assertEquals(200, efforts.newsBytesReceived)
-        assertEquals(14, efforts.newsBytesAnswered)
+        assertEquals(200, efforts.deltaBytesReceived)
+        assertEquals(14, efforts.deltaBytesAnswered)
     }
 }
