--- a/src/main/kotlin/micatally/quota/AllotmentRule.kt
+++ b/src/main/kotlin/micatally/quota/AllotmentRule.kt
@@ -31,14 +31,22 @@
 /**
  * The row that a shard's holder writes.
  *
- * @property lowers whether the row holds less than the stored one in some dimension
+ * @property stored the row that it is to replace
  * @property isEnough false if the wish was for a task that the limit has no room for now
  */
 class AllotmentDecision(
+    val stored: AllotmentRow,
     val row: AllotmentRow,
-    val lowers: Boolean,
     val isEnough: Boolean,
-)
+) {
+    /** Whether the row holds less than the stored one in some dimension. */
+    val lowers get() = stored.share.exceeds(row.share)
+
+    private val raises get() = row.share.exceeds(stored.share)
+
+    /** Whether the decision differs from what is stored, so that it is worth a write. */
+    val isWorthWriting get() = raises || lowers || row.isShort != stored.isShort
+}
 
 /**
  * The one place where a row is decided. What it returns keeps two promises, whatever is wished: the shard's use stays
@@ -59,43 +67,34 @@
             AllotmentWish.HandBack -> handBack(view)
         }
 
-    /** Whether the decision differs from what is stored, so that it is worth a write. */
-    fun isWorthWriting(
-        view: AllotmentView,
-        decision: AllotmentDecision,
-    ): Boolean {
-        val stored = view.stored.of(view.shard)
-        return decision.row.share.exceeds(stored.share) || decision.lowers || decision.row.isShort != stored.isShort
-    }
-
     private fun moreRoom(
         view: AllotmentView,
         wish: AllotmentWish.MoreRoom,
     ): AllotmentDecision {
         val team = view.team
-        val stored = view.stored.of(view.shard).share
+        val stored = view.stored.of(view.shard)
         // Where another owner waits for the limit, nothing is taken that is not needed now.
         val isContested = view.stored.isAnotherShort(view.shard)
         val slack = if (isContested) 0.0 else slackOfOne
         val tasks = if (isContested) 1 else wish.tasks.coerceIn(1, TASKS_AT_ONCE)
         val free = team.limit - view.stored.totalOfOthers(view.shard)
         val wanted = (view.use + wish.task * tasks + team.limit * slack).atMost(free)
-        val raised = team.limitedPart(wanted).atLeast(stored)
+        val raised = team.limitedPart(wanted).atLeast(stored.share)
         val isEnough = team.covers(raised, view.use + wish.task)
         // Of what does not suffice for a task nothing is taken: two owners would each hold half of what one of them needs.
-        val share = if (isEnough) raised else stored
-        return AllotmentDecision(AllotmentRow(share, view.wasShort || !isEnough), false, isEnough)
+        val share = if (isEnough) raised else stored.share
+        return AllotmentDecision(stored, AllotmentRow(share, view.wasShort || !isEnough), isEnough)
     }
 
     private fun handBack(view: AllotmentView): AllotmentDecision {
         val team = view.team
-        val stored = view.stored.of(view.shard).share
+        val stored = view.stored.of(view.shard)
         val isWanted = view.stored.isAnotherShort(view.shard) || view.stored.isOver(team)
         val slack = team.limit * (if (isWanted) 0.0 else slackOfOne)
         val kept = team.limitedPart(view.use) + slack
-        val lowers = stored.exceeds(kept + slack)
-        val share = if (lowers) stored.atMost(kept) else stored
-        return AllotmentDecision(AllotmentRow(share, view.wasShort), lowers, true)
+        val isWorthLowering = stored.share.exceeds(kept + slack)
+        val share = if (isWorthLowering) stored.share.atMost(kept) else stored.share
+        return AllotmentDecision(stored, AllotmentRow(share, view.wasShort), isEnough = true)
     }
 
     private companion object {
--- a/src/main/kotlin/micatally/quota/AllotmentWriter.kt
+++ b/src/main/kotlin/micatally/quota/AllotmentWriter.kt
@@ -116,12 +116,21 @@
             is TransactionResult.Applied -> {
                 tell(sent, result.revision)
                 // Until the copy shows it, any other change of this node would be refused.
-                awaitSeen(change) { sharedKeys.revision >= result.revision }
+                endsWhen(change) { sharedKeys.revision >= result.revision }
+                awaitSeen(change)
             }
             // After silence a lowering may yet be carried out; a raise that is carried out late is conditional on its mark.
-            is TransactionResult.Unknown -> if (sent.decision.lowers) repeatUntilSeen(change, sent)
+            is TransactionResult.Unknown ->
+                if (sent.decision.lowers) {
+                    endsWhen(change) { hasOtherMark(sent) }
+                    repeatUntilAnswered(change, sent)
+                    awaitSeen(change)
+                }
             // The key has another mark than in the copy: until that shows it, any other change would be refused too.
-            is TransactionResult.Failed -> awaitSeen(change) { hasOtherMark(sent) }
+            is TransactionResult.Failed -> {
+                endsWhen(change) { hasOtherMark(sent) }
+                awaitSeen(change)
+            }
             else -> {}
         }
     }
@@ -133,7 +142,7 @@
         val team = teams.team(change.id.team)?.takeIf { it.isLimited } ?: return null
         val view = view(shard, team)
         val decision = rule.decide(view, change.wish)
-        if (!rule.isWorthWriting(view, decision)) return null
+        if (!decision.isWorthWriting) return null
         return Pending(transaction(shard, view, decision), view, decision)
     }
 
@@ -160,44 +169,44 @@
         revision: Long,
     ) {
         val view = sent.view
-        val before = view.stored.of(view.shard).share
         audit.changed(
             AllotmentChange(
                 view.team.name,
                 view.shard,
                 view.stored.modRevision,
                 revision,
-                before,
+                sent.decision.stored.share,
                 sent.decision.row.share,
                 view.use,
             ),
         )
     }
 
-    private suspend fun awaitSeen(
+    /** From now on the change counts as seen when the copy shows it, or when the shard is not this node's any more. */
+    private fun endsWhen(
         change: Change,
         isShown: () -> Boolean,
     ) {
         change.isSeen = { !change.shard.mine || isShown() }
+    }
+
+    private suspend fun awaitSeen(change: Change) {
         while (!change.isSeen()) delay(SEEN_EVERY_MS)
     }
 
     private fun hasOtherMark(sent: Pending) =
         sharedKeys.modRevision(Keys.team(sent.view.team.name)) != sent.view.stored.modRevision
 
-    /** The same transaction again until there is an answer; then until the key is seen to have changed, also when the repeat
-     * shows that it has, since this node's copy may still hold the former allotment. */
-    private suspend fun repeatUntilSeen(
+    /** The same transaction again until there is an answer, or the change is seen. An answer alone does not end the change:
+     * this node's copy may still hold the former allotment. */
+    private suspend fun repeatUntilAnswered(
         change: Change,
         sent: Pending,
     ) {
         val shard = change.shard
-        change.isSeen = { !shard.mine || hasOtherMark(sent) }
         while (!change.isSeen()) {
             val again = state.transact(1, Urgency.SUMMARY) { sent.transact.takeIf { shard.state == ShardState.ACTIVE } }
-            if (again is TransactionResult.Applied || again is TransactionResult.Failed) {
-                return awaitSeen(change) { hasOtherMark(sent) }
-            }
+            if (again is TransactionResult.Applied || again is TransactionResult.Failed) return
             delay(REPEAT_MS)
         }
     }
--- a/src/main/kotlin/micatally/quota/Quota.kt
+++ b/src/main/kotlin/micatally/quota/Quota.kt
@@ -74,7 +74,7 @@
         val stored = allotments(team.name)
         if (stored.isOver(team)) return false
         val id = AllotmentId(job.shard.name, team.name)
-        val need = Share(spec.resources.cores, spec.resources.gpus) * tasks
+        val need = spec.taskShare * tasks
         val hasRoom = team.covers(writer.usable(id, stored.of(id.shard).share), use.of(id) + need)
         if (!hasRoom) askForMore(job.shard, team, AllotmentWish.MoreRoom(need, job.pendingCount / tasks))
         return hasRoom
@@ -91,7 +91,7 @@
         val view = view(shard, team)
         val decision = rule.decide(view, wish)
         if (!decision.isEnough) shortAt[AllotmentId(shard.name, team.name)] = looks
-        if (rule.isWorthWriting(view, decision)) writer.request(shard, team, wish, Urgency.INTENT)
+        if (decision.isWorthWriting) writer.request(shard, team, wish, Urgency.INTENT)
     }
 
     /** The look of [handBack] in which a shard was last found short of a team's limit. */
@@ -123,8 +123,7 @@
         val view = view(shard, team)
         if (!view.stored.has(shard.name)) return
         val decision = rule.decide(view, AllotmentWish.HandBack)
-        val stored = view.stored.of(shard.name)
-        val isShortOver = stored.isShort && !decision.row.isShort
+        val isShortOver = decision.stored.isShort && !decision.row.isShort
         if (!decision.lowers && !isShortOver) return
         writer.request(
             shard,
--- a/src/main/kotlin/micatally/quota/ShardUsage.kt
+++ b/src/main/kotlin/micatally/quota/ShardUsage.kt
@@ -25,7 +25,7 @@
         // A record without a spec is that of a job that is over and has no attempts.
         val spec = job.spec ?: return
         val id = AllotmentId(job.shard.name, spec.team)
-        used[id] = of(id) + Share(spec.resources.cores, spec.resources.gpus) * tasks
+        used[id] = of(id) + spec.taskShare * tasks
     }
 
     fun forget(shard: String) {
--- a/src/main/kotlin/micatally/quota/Share.kt
+++ b/src/main/kotlin/micatally/quota/Share.kt
@@ -1,6 +1,7 @@
 package micatally.quota
 
 import micatally.settings.Team
+import micatally.wire.JobSpec
 
 /** Cores and cards, the two things that teams are limited in. */
 data class Share(
@@ -34,6 +35,9 @@
     }
 }
 
+/** What one task of this job takes of its team's limit. */
+val JobSpec.taskShare get() = Share(resources.cores, resources.gpus)
+
 /** Whether the team is limited at all. */
 val Team.isLimited get() = coresMax > 0 || gpusMax > 0
 
