--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -199,10 +199,10 @@
     private fun membershipListener(): MembershipListener =
         object : MembershipListener {
             override fun sharedKeysChanged(keys: Set<String>) =
-                cpuUsage.of(CpuUsage.Kind.SHARED) { sharedKeysChanged(keys) }
+                cpuUsage.of(CpuUsage.Kind.SHARED_KEYS) { sharedKeysChanged(keys) }
 
             override fun summariesChanged(keys: Set<String>) {
-                cpuUsage.of(CpuUsage.Kind.SHARED) { peers.summariesChanged(keys) }
+                cpuUsage.of(CpuUsage.Kind.SHARED_KEYS) { peers.summariesChanged(keys) }
                 scheduler.requestCycle()
             }
         }
@@ -299,7 +299,7 @@
             tickMs = settings.heartbeatIntervalMs / TICKS_PER_HEARTBEAT,
             nowMs,
             listOf(
-                PeriodicTask("state review", 1) { now -> cpuUsage.of(CpuUsage.Kind.HOUSE) { review.run(now) } },
+                PeriodicTask("state review", 1) { now -> cpuUsage.of(CpuUsage.Kind.PERIODIC_TASKS) { review.run(now) } },
                 PeriodicTask("spot evacuation", 1) { now -> spotEvacuation.run(now) },
                 PeriodicTask("fencing token raise", 1) { now -> fencingTokenRaise.run(now) },
                 PeriodicTask("allotment release", 20) { quota.handBack() },
@@ -313,7 +313,7 @@
     }
 
     private fun usageDetails() =
-        " machines=${machines.byName.size} waiting=${scheduler.pendingRequests.size} ${cpuUsage.news()} " +
+        " machines=${machines.byName.size} waiting=${scheduler.pendingRequests.size} ${cpuUsage.takeDeltaBytes()} " +
             "allotmentOveruse=${quota.audit.overuseCount} " +
             "writes=${budgets.stateWrites.tell()} requests=${budgets.stateRequests.tell()}"
 
--- a/src/main/kotlin/micatally/scheduling/Scheduler.kt
+++ b/src/main/kotlin/micatally/scheduling/Scheduler.kt
@@ -81,7 +81,7 @@
             val waitMs = nextCycleAt - nowMs()
             if (waitMs > 0) delay(waitMs)
             isCycleRequested = false
-            cpuUsage.of(CpuUsage.Kind.ROUND) { runCycle() }
+            cpuUsage.of(CpuUsage.Kind.SCHEDULING) { runCycle() }
         }
     }
 
