--- a/src/main/kotlin/micatally/api/UserApi.kt
+++ b/src/main/kotlin/micatally/api/UserApi.kt
@@ -16,6 +16,7 @@
 import micatally.job.readable
 import micatally.membership.LeadershipState
 import micatally.membership.Membership
+import micatally.peer.PeerPaths
 import micatally.peer.Peers
 import micatally.scheduling.Placement
 import micatally.scheduling.Scheduler
@@ -73,11 +74,11 @@
                 later("starting")
             jobManager.own()?.let { jobManager.isLoadOverdue(it) } == true -> later("the ledger can't be loaded")
             // Others can take what this node has to turn away. In an outage for all every node stays: polls are still answered.
-            !stateReachable && (peers.somePeerHasState() || !peers.anyHeard()) ->
+            !stateReachable && (peers.contacts.hasStateStoreContact() || !peers.contacts.isAnyPeerHeard()) ->
                 later(
                     "no contact with the state service",
                 )
-            reach.isCutOff && peers.somePeerHasState() -> later("no contact with the workers")
+            reach.isCutOff && peers.contacts.hasStateStoreContact() -> later("no contact with the workers")
             else -> HttpResponse(200, "{}".encodeToByteArray())
         }
 
@@ -228,7 +229,7 @@
         },
     ): Look {
         val cached = shardOf.getIfPresent(jobId)
-        if (cached != null) askHolder(cached, Peers.QUERY, jobId)?.let { return Look.Known(it) }
+        if (cached != null) askHolder(cached, PeerPaths.QUERY_JOB, jobId)?.let { return Look.Known(it) }
         if (!stateReachable) return Look.Unclear
         return when (val found = read()) {
             is ReadResult.Unavailable -> Look.Unclear
@@ -283,8 +284,8 @@
         jobId: String,
     ): JobAnswer? {
         val host = membership.sharedKeys.leader(shard)?.host ?: return null
-        if (host == settings.host || !membership.sharedKeys.isLive(host) || !peers.reaches(host)) return null
-        val a = peers.ask(host, what, jobId, askMs) ?: return null
+        if (host == settings.host || !membership.sharedKeys.isLive(host) || !peers.contacts.isReachable(host)) return null
+        val a = peers.jobClient.request(host, what, jobId, askMs) ?: return null
         return JobAnswer(jobId, a.status, a.doneCount, a.runningCount).also { jobManager.rememberFinal(it) }
     }
 
@@ -308,7 +309,7 @@
         }
         val shard = shardOf.getIfPresent(jobId) ?: return later("the job's owner is not known")
         withdrawHere(jobId)?.let { return brief(it) }
-        return askHolder(shard, Peers.CANCEL, jobId)?.let { brief(it) } ?: later("the job's owner can't be reached")
+        return askHolder(shard, PeerPaths.CANCEL_JOB, jobId)?.let { brief(it) } ?: later("the job's owner can't be reached")
     }
 
     private fun brief(a: JobAnswer) = HttpResponse(200, a.brief().bytes())
@@ -321,7 +322,7 @@
         val ok = withTimeoutOrNull(durableMs) { store.durable(job) } ?: false
         if (!ok || job.durableState != JobState.CANCELLED && job.durableState != JobState.DONE) return null
         if (!jobManager.cancellations.mayConfirm(job)) {
-            peers.spread(job)
+            peers.cancellations.broadcastCancellation(job)
             if (!jobManager.cancellations.mayConfirm(job)) return null
         }
         return job.answer()
--- a/src/main/kotlin/micatally/api/WorkerApi.kt
+++ b/src/main/kotlin/micatally/api/WorkerApi.kt
@@ -29,7 +29,7 @@
     private val cancelledTasks: CancelledTasks,
     private val nowMs: () -> Long,
 ) {
-    private val redirects = WorkerRedirects(settings, machines, nowMs) { peers.bestFor(it) }
+    private val redirects = WorkerRedirects(settings, machines, nowMs) { peers.zoneRedirects.bestControllerFor(it) }
 
     fun report(request: HttpRequest): HttpResponse {
         val report =
@@ -45,7 +45,7 @@
         val before = m?.tasks
         val news = machines.apply(report, false)
         val known = machines.known(report.machine, report.addr, report.type, report.zone, report.isSpot)
-        if (news && (before == null || differs(before, report))) peers.tell(known)
+        if (news && (before == null || differs(before, report))) peers.requestDelta(known)
         // The node does not know the fencing token that the worker knows: it may have been replaced without having heard.
         if (report.token > membership.sharedKeys.fencingToken) {
             membership.catchUp(NOTHING_MORE)
@@ -71,7 +71,7 @@
     private fun isAloneWithoutState(): Boolean {
         val longestMs = settings.leaseMs * 3 / 10
         val overdueMs = membership.viewAgeMs - longestMs
-        return overdueMs > 0 && peers.somePeerHasStateSince(nowMs() - overdueMs)
+        return overdueMs > 0 && peers.contacts.hasStateStoreContactSince(nowMs() - overdueMs)
     }
 
     private fun differs(
@@ -91,7 +91,7 @@
             }.map { Command(CommandType.KILL, it.jobId, it.taskIndex, it.attempt, 0.0) }
 
     private fun refuse(): HttpResponse {
-        val other = peers.leadingPeer()
+        val other = peers.contacts.redirectTarget()
         return HttpResponse(421, buildJsonObject { if (other != null) put("marshal", other) }.bytes())
     }
 
--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -31,6 +31,8 @@
 import micatally.membership.Keys
 import micatally.membership.Membership
 import micatally.membership.SharedKeyCache
+import micatally.peer.PeerListener
+import micatally.peer.PeerPaths
 import micatally.peer.Peers
 import micatally.quota.Quota
 import micatally.scheduling.PriorityQueues
@@ -150,7 +152,8 @@
             cpuUsage,
             nowMs,
         )
-    private val peers = Peers(scope, http, settings, state, membership, machines, jobManager, scheduler, nowMs)
+    private val peers =
+        Peers(scope, http, settings, state, membership, machines, jobManager, scheduler, peerListener(), nowMs)
     private val reach = WorkerReach(scope, http, settings, machines, nowMs)
     private val fleetManager =
         FleetManager(scope, http, settings, state, cloud, membership, machines, fleetDemand(), operator, nowMs)
@@ -189,11 +192,22 @@
 
     private fun fleetDemand() =
         object : PendingWorkload {
-            override fun unplaced() = scheduler.unplaced.values.toList() + peers.demandOfPeers()
+            override fun unplaced() = scheduler.unplaced.values.toList() + peers.peerDemand()
 
             override fun recentServices() = peers.recentServices()
 
-            override fun silentZones() = peers.silentZones()
+            override fun silentZones() = peers.contacts.silentZones()
+        }
+
+    private fun peerListener(): PeerListener =
+        object : PeerListener {
+            override fun deletionRequested(machines: List<String>) {
+                fleetManager.retire(machines)
+            }
+
+            override fun clusterStateChanged() {
+                scheduler.requestCycle()
+            }
         }
 
     /** Whether this node rents and returns machines for all. */
@@ -202,17 +216,17 @@
     fun start() {
         jobManager.dispatcher = dispatcher
         configuration.start { former, next -> configurationApplied(former, next) }
-        membership.shouldStepDown = { reach.mayStepDown() && peers.somePeerHasState() }
-        membership.peersConfirmedAt = { peers.peersConfirmedAt() }
+        membership.shouldStepDown = { reach.mayStepDown() && peers.contacts.hasStateStoreContact() }
+        membership.peersConfirmedAt = { peers.cancellations.confirmedByPeersAt() }
         jobManager.quota = quota
         jobManager.requestCycle = { scheduler.requestCycle() }
         scheduler.stateAnswers =
             { state.waitingWrites == 0 && state.get(Keys.FENCING_TOKEN, Urgency.SUMMARY) is ReadResult.Found }
-        scheduler.peerRequests = { peers.demandOfPeers() }
+        scheduler.peerRequests = { peers.peerDemand() }
         store.onDurable = { job, written -> jobManager.durable(job, written) }
         store.onDropped = { jobManager.forget(it) }
         store.onRecordFull = { job, attempts -> jobManager.giveUp(job, attempts) }
-        jobManager.cancellations.askPeers = { peers.spread(it) }
+        jobManager.cancellations.askPeers = { peers.cancellations.broadcastCancellation(it) }
         store.onShardLost = { l ->
             jobManager.loseShard(l)
             scope.launch { membership.refresh() }
@@ -229,12 +243,10 @@
             scheduler.requestCycle()
         }
         fleetManager.onMachineTypes = { scheduler.requestCycle() }
-        peers.onRetire = { fleetManager.retire(it) }
-        peers.onNews = { scheduler.requestCycle() }
         membership.onChange = { keys -> cpuUsage.of(CpuUsage.Kind.SHARED) { sharedChanged(keys) } }
         membership.onSummaries =
             { keys ->
-                cpuUsage.of(CpuUsage.Kind.SHARED) { peers.summariesChanged(keys) }
+                cpuUsage.of(CpuUsage.Kind.SHARED) { peers.storedSummariesChanged(keys) }
                 scheduler.requestCycle()
             }
         membership.start()
@@ -278,7 +290,7 @@
                 machines.of(k.removePrefix(Keys.DRAIN))?.draining = membership.sharedKeys.has(k)
             }
         }
-        peers.sharedChanged()
+        peers.sharedKeysChanged()
         scheduler.requestCycle()
     }
 
@@ -360,7 +372,7 @@
                 now - m.heardAt > settings.leaseMs + settings.leadershipMs + settings.leaseMs
             ) {
                 fleetManager.retire(listOf(m.name))
-                peers.retire(m.name)
+                peers.requestDeletion(m.name)
             }
         }
     }
@@ -406,16 +418,16 @@
         val bytes =
             try {
                 when (r.path) {
-                    Peers.NEWS ->
-                        cpuUsage.of(CpuUsage.Kind.NEWS) { peers.takeNews(r.body) }.also {
+                    PeerPaths.DELTA ->
+                        cpuUsage.of(CpuUsage.Kind.NEWS) { peers.receiveDelta(r.body) }.also {
                             cpuUsage.newsTaken(r.body.size, it.size)
                         }
-                    Peers.CANCELLED_TASKS -> peers.takeCancelledTasks(r.body)
-                    Peers.QUERY ->
+                    PeerPaths.CANCELLED_TASKS -> peers.cancellations.receiveCancellation(r.body)
+                    PeerPaths.QUERY_JOB ->
                         ProtoBuf.encodeToByteArray(
                             users.peerQuery(ProtoBuf.decodeFromByteArray<PeerJobRequest>(r.body).jobId),
                         )
-                    Peers.CANCEL ->
+                    PeerPaths.CANCEL_JOB ->
                         ProtoBuf.encodeToByteArray(
                             users.peerCancel(ProtoBuf.decodeFromByteArray<PeerJobRequest>(r.body).jobId),
                         )
--- a/src/main/kotlin/micatally/peer/Peers.kt
+++ b/src/main/kotlin/micatally/peer/Peers.kt
@@ -4,13 +4,11 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import micatally.http.HttpCaller
-import micatally.job.Job
 import micatally.job.JobManager
 import micatally.membership.Membership
 import micatally.scheduling.Scheduler
 import micatally.settings.Settings
 import micatally.state.StateStoreClient
-import micatally.wire.PeerJobResponse
 import micatally.wire.ResourceRequest
 import micatally.worker.Machine
 import micatally.worker.MachineRegistry
@@ -30,6 +28,7 @@
     private val machines: MachineRegistry,
     private val jobManager: JobManager,
     scheduler: Scheduler,
+    listener: PeerListener,
     nowMs: () -> Long,
 ) {
     private val timings = PeerTimings(settings)
@@ -37,57 +36,40 @@
     private val localSummary = LocalCapacitySummary(settings, membership, machines, jobManager, scheduler)
     private val peerSummaries = PeerCapacitySummaries(settings, membership, machines, nowMs)
     private val localHeartbeats = LocalHeartbeats(machines, timings, nowMs)
-    private val contacts = PeerContacts(connections, timings, nowMs)
-    private val zoneRedirects = ZoneRedirects(settings, connections, timings, nowMs)
-    private val cancellations = CancellationBroadcast(connections, http, timings, membership, jobManager)
-    private val jobClient = PeerJobClient(http, settings)
-    private val publisher = SummaryPublisher(connections, settings, timings, state, localSummary, localHeartbeats)
-    private val storedSummaryReader = StoredSummaryReader(membership, machines, peerSummaries, settings)
-    private val deltaSender = DeltaSender(http, settings, membership, machines, jobManager, localSummary, nowMs)
-    private val deltaReceiver =
-        DeltaReceiver(connections, membership, machines, jobManager, peerSummaries, listener(), nowMs)
-
-    var onRetire: (List<String>) -> Unit = {}
-    var onNews: () -> Unit = {}
-
-    private fun listener() =
-        object : PeerListener {
-            override fun deletionRequested(machines: List<String>) = onRetire(machines)
-
-            override fun clusterStateChanged() = onNews()
-        }
-
-    fun somePeerHasStateSince(sinceMs: Long): Boolean = contacts.hasStateStoreContactSince(sinceMs)
-
-    fun somePeerHasState(): Boolean = contacts.hasStateStoreContact()
-
-    fun anyHeard(): Boolean = contacts.isAnyPeerHeard()
 
-    fun bestFor(zone: String): String? = zoneRedirects.bestControllerFor(zone)
+    /** Which peers are in contact. */
+    val contacts = PeerContacts(connections, timings, nowMs)
 
-    fun reaches(host: String) = contacts.isReachable(host)
+    /** Where the workers of a zone should report. */
+    val zoneRedirects = ZoneRedirects(settings, connections, timings, nowMs)
 
-    fun silentZones(): Set<String> = contacts.silentZones()
+    /** Cancellations, sent to and received from peers. */
+    val cancellations = CancellationBroadcast(connections, http, timings, membership, jobManager)
 
-    fun leadingPeer(): String? = contacts.redirectTarget()
-
-    fun peersConfirmedAt(): Long = cancellations.confirmedByPeersAt()
+    /** Requests to peers about jobs. */
+    val jobClient = PeerJobClient(http, settings)
+    private val publisher = SummaryPublisher(connections, settings, timings, state, localSummary, localHeartbeats)
+    private val storedSummaryReader = StoredSummaryReader(membership, machines, peerSummaries, settings)
+    private val deltaSender = DeltaSender(http, settings, membership, machines, jobManager, localSummary, nowMs)
+    private val deltaReceiver =
+        DeltaReceiver(connections, membership, machines, jobManager, peerSummaries, listener, nowMs)
 
     /** Services that were submitted to any controller lately. */
     fun recentServices(): List<ResourceRequest> = localSummary.recentServices + peerSummaries.recentServices
 
     /** Requests that wait at the other controllers. */
-    fun demandOfPeers(): List<ResourceRequest> = peerSummaries.demand
+    fun peerDemand(): List<ResourceRequest> = peerSummaries.demand
 
     /** The shared keys have changed. */
-    fun sharedChanged() = peerSummaries.sharedKeysChanged()
+    fun sharedKeysChanged() = peerSummaries.sharedKeysChanged()
 
     /** A heartbeat received here showed something new: peers get the machine's status with the next delta. */
-    fun tell(m: Machine) {
-        for (connection in connections) connection.addUnsentMachine(m.name)
+    fun requestDelta(machine: Machine) {
+        for (connection in connections) connection.addUnsentMachine(machine.name)
     }
 
-    fun retire(name: String) = deltaSender.requestDeletion(name)
+    /** Asks the peers to have the machine deleted: one of them may be the fleet manager. */
+    fun requestDeletion(machine: String) = deltaSender.requestDeletion(machine)
 
     /** Starts the exchange; called once, when all parts of the controller are wired. */
     fun start() {
@@ -117,26 +99,13 @@
         }
     }
 
-    fun takeNews(body: ByteArray): ByteArray = deltaReceiver.receiveDelta(body)
+    /**
+     * Handles an encoded [micatally.wire.PeerDelta] and returns the encoded response.
+     *
+     * @throws kotlinx.serialization.SerializationException if [body] is malformed
+     */
+    fun receiveDelta(body: ByteArray): ByteArray = deltaReceiver.receiveDelta(body)
 
-    /** Summaries in the state store have changed. */
-    fun summariesChanged(keys: Set<String>) = storedSummaryReader.storedSummariesChanged(keys)
-
-    suspend fun spread(job: Job) = cancellations.broadcastCancellation(job)
-
-    fun takeCancelledTasks(body: ByteArray): ByteArray = cancellations.receiveCancellation(body)
-
-    suspend fun ask(
-        host: String,
-        what: String,
-        jobId: String,
-        timeoutMs: Long,
-    ): PeerJobResponse? = jobClient.request(host, what, jobId, timeoutMs)
-
-    companion object {
-        const val NEWS = PeerPaths.DELTA
-        const val CANCELLED_TASKS = PeerPaths.CANCELLED_TASKS
-        const val QUERY = PeerPaths.QUERY_JOB
-        const val CANCEL = PeerPaths.CANCEL_JOB
-    }
+    /** Summaries in the state store have changed under these keys. */
+    fun storedSummariesChanged(keys: Set<String>) = storedSummaryReader.storedSummariesChanged(keys)
 }
--- a/src/test/kotlin/micatally/compatibility/MessagesTest.kt
+++ b/src/test/kotlin/micatally/compatibility/MessagesTest.kt
@@ -24,7 +24,7 @@
 import micatally.http.Outcome
 import micatally.http.Server
 import micatally.http.errorResponse
-import micatally.peer.Peers
+import micatally.peer.PeerPaths
 import micatally.settings.Operator
 import micatally.settings.Settings
 import micatally.settings.SettingsError
@@ -768,7 +768,7 @@
     fun `paths for controllers and operators`() {
         assertEquals(
             listOf("/peer/news", "/peer/kills", "/peer/query", "/peer/cancel"),
-            listOf(Peers.NEWS, Peers.CANCELLED_TASKS, Peers.QUERY, Peers.CANCEL),
+            listOf(PeerPaths.DELTA, PeerPaths.CANCELLED_TASKS, PeerPaths.QUERY_JOB, PeerPaths.CANCEL_JOB),
         )
         assertEquals(
             listOf("get", "apply", "history", "rollback", "status", "applied").map { "/config/$it" },
--- a/src/test/kotlin/micatally/sim/GapTest.kt
+++ b/src/test/kotlin/micatally/sim/GapTest.kt
@@ -155,7 +155,7 @@
         host.handler = { addr, r ->
             plain(addr, r).also {
                 if (r.path ==
-                    micatally.peer.Peers.CANCELLED_TASKS
+                    micatally.peer.PeerPaths.CANCELLED_TASKS
                 ) {
                     host.handler = plain
                     f.scope.launch {
