--- a/src/main/kotlin/micatally/peer/LocalCapacitySummary.kt
+++ b/src/main/kotlin/micatally/peer/LocalCapacitySummary.kt
@@ -11,9 +11,14 @@
 import micatally.wire.CapacitySummary
 import micatally.wire.HeldCapacity
 import micatally.wire.ResourceRequest
+import micatally.worker.Machine
 import micatally.worker.MachineRegistry
 
-/** What this node holds on machines and what waits here, numbered so that peers are told changes only. */
+/**
+ * What this controller holds on machines and which requests wait here.
+ *
+ * Each change raises the [version], so that a peer which has an earlier version gets the changes only.
+ */
 internal class LocalCapacitySummary(
     private val settings: Settings,
     private val membership: Membership,
@@ -21,118 +26,143 @@
     private val jobManager: JobManager,
     private val scheduler: Scheduler,
 ) {
-    /** This node's room on a machine, and the version of the summary in which it changed last. */
-    private class Mine(
-        val room: HeldCapacity,
+    private class Entry(
+        val held: HeldCapacity,
+        /** Version of the summary in which [held] changed last. */
         val version: Long,
     )
 
-    private val mine = HashMap<String, Mine>()
+    /** By machine. A machine on which nothing is held any more keeps an empty entry, so that peers are sent the change. */
+    private val entries = HashMap<String, Entry>()
     private var demand: List<ResourceRequest> = emptyList()
 
-    /** Services that came to this node lately. */
+    /** Services that were submitted to this controller lately. */
     var recentServices: List<ResourceRequest> = emptyList()
         private set
 
-    /** Of this node's summary; 0 until it first knows what it holds. */
+    /** Version of this summary; 0 until the controller first knows what it holds. */
     var version = 0L
         private set
 
-    /** Finds what has changed since the last look. */
+    /** Machines on which this controller holds anything. */
+    val heldMachines: Set<String> get() = entries.filterValues { it.held.isHeld }.keys
+
+    /** Looks for changes and raises the [version] if there are any. To be called only while all shards are loaded. */
     fun refresh() {
-        val next = version + 1
-        var changed = false
-        for (m in machines.byName.values) {
-            val old = mine[m.name]?.room
-            if (m.deleted || m.attempts.isEmpty() && !m.isPromised) {
-                if (old != null && old.isHeld) {
-                    mine[m.name] = Mine(HeldCapacity(m.name), next)
-                    changed = true
-                }
-                continue
-            }
-            val u = m.ownUsed
-            if (old != null && old.cores == u.cores && old.gpus == u.gpus && old.memoryGb == u.memoryGb &&
-                old.images.size == m.ownImages.size &&
-                m.ownImages.containsAll(old.images)
-            ) {
-                continue
-            }
-            val images = m.ownImages.toList()
-            mine[m.name] =
-                Mine(
-                    HeldCapacity(m.name, u.cores, u.gpus, u.memoryGb, images, images.map { m.images[it] ?: 0.0 }),
-                    next,
-                )
-            changed = true
-        }
-        val demandNow = scheduler.unplaced.values.toList()
-        if (demandNow != demand) {
-            demand = demandNow
-            changed = true
-        }
-        val recentNow = jobManager.recentServices()
-        if (recentNow != recentServices) {
-            recentServices = recentNow
-            changed = true
+        val nextVersion = version + 1
+        var hasChanged = false
+        for (machine in machines.byName.values) if (refreshEntry(machine, nextVersion)) hasChanged = true
+        if (refreshDemand()) hasChanged = true
+        if (refreshRecentServices()) hasChanged = true
+        if (hasChanged || version == 0L) version = nextVersion
+    }
+
+    /** Returns whether the machine's entry has changed. */
+    private fun refreshEntry(
+        machine: Machine,
+        nextVersion: Long,
+    ): Boolean {
+        val former = entries[machine.name]?.held
+        val isUnused = machine.deleted || machine.attempts.isEmpty() && !machine.isPromised
+        if (isUnused) {
+            if (former == null || !former.isHeld) return false
+            entries[machine.name] = Entry(HeldCapacity(machine.name), nextVersion)
+            return true
         }
-        if (changed || version == 0L) version = next
+        if (former != null && isCurrent(former, machine)) return false
+        entries[machine.name] = Entry(heldOn(machine), nextVersion)
+        return true
+    }
+
+    private fun isCurrent(
+        held: HeldCapacity,
+        machine: Machine,
+    ): Boolean {
+        val used = machine.ownUsed
+        val areResourcesEqual = held.cores == used.cores && held.gpus == used.gpus && held.memoryGb == used.memoryGb
+        return areResourcesEqual &&
+            held.images.size == machine.ownImages.size &&
+            machine.ownImages.containsAll(held.images)
+    }
+
+    private fun heldOn(machine: Machine): HeldCapacity {
+        val used = machine.ownUsed
+        val images = machine.ownImages.toList()
+        val imagesGb = images.map { machine.images[it] ?: 0.0 }
+        return HeldCapacity(machine.name, used.cores, used.gpus, used.memoryGb, images, imagesGb)
     }
 
-    /** What has changed since the summary with the version [base]; all of it for 0. */
-    fun changesSince(base: Long) =
-        CapacitySummary(
-            settings.host,
-            membership.process,
-            version,
-            mine.values
-                .filter {
-                    it.version > base && (base > 0 || it.room.isHeld)
-                }.map { it.room },
-            demand,
-            base,
+    private fun refreshDemand(): Boolean {
+        val current = scheduler.unplaced.values.toList()
+        if (current == demand) return false
+        demand = current
+        return true
+    }
+
+    private fun refreshRecentServices(): Boolean {
+        val current = jobManager.recentServices()
+        if (current == recentServices) return false
+        recentServices = current
+        return true
+    }
+
+    /** What has changed since [baseVersion]; everything for 0. */
+    fun changesSince(baseVersion: Long): CapacitySummary {
+        val isFull = baseVersion == 0L
+        val changed = entries.values.filter { it.version > baseVersion && (!isFull || it.held.isHeld) }
+        return CapacitySummary(
+            host = settings.host,
+            process = membership.process,
+            version = version,
+            held = changed.map { it.held },
+            demand = demand,
+            baseVersion = baseVersion,
             recentServices = recentServices,
         )
+    }
 
-    /** Machines on which this node holds anything. */
-    val heldMachines: Set<String> get() = mine.filterValues { it.room.isHeld }.keys
-
-    /** What a piece of the stored summary says; pieces that say the same as before are not written again. */
+    /** What a stored partition says, for comparison: a partition that says the same as before is not written again. */
     fun contentOf(
-        piece: Int,
-        names: List<String>,
-    ): Any = roomsOn(names) to (if (piece == 0) demand else null)
+        partitionIndex: Int,
+        machineNames: List<String>,
+    ): Any = PartitionContent(heldOn(machineNames), if (partitionIndex == 0) demand else null)
+
+    private data class PartitionContent(
+        val held: List<HeldCapacity>,
+        val demand: List<ResourceRequest>?,
+    )
 
-    /** The first piece brings the demand as well. */
+    /** The partition of the stored summary that holds these machines. The first one carries the demand as well. */
     fun partition(
-        names: List<String>,
-        piece: Int,
-        pieces: Int,
+        machineNames: List<String>,
+        partitionIndex: Int,
+        partitionCount: Int,
     ) = CapacitySummary(
-        settings.host,
-        membership.process,
-        version,
-        roomsOn(names),
-        if (piece == 0) demandsInPiece() else emptyList(),
-        0,
-        piece,
-        pieces,
+        host = settings.host,
+        process = membership.process,
+        version = version,
+        held = heldOn(machineNames),
+        demand = if (partitionIndex == 0) demandThatFits() else emptyList(),
+        baseVersion = 0,
+        partitionIndex = partitionIndex,
+        partitionCount = partitionCount,
     )
 
-    private fun roomsOn(names: List<String>) = names.mapNotNull { mine[it]?.room }
+    private fun heldOn(machineNames: List<String>) = machineNames.mapNotNull { entries[it]?.held }
 
-    /** As many demands as half a value holds. */
-    private fun demandsInPiece(): List<ResourceRequest> {
-        val most = settings.valueBytes * 3 / 4 / 2
+    /** The first requests, as many as fit in half a value. */
+    private fun demandThatFits(): List<ResourceRequest> {
+        // A value is text: base64 turns three bytes into four characters.
+        val maxBytes = settings.valueBytes * 3 / 4 / 2
         var bytes = 0
         return demand.takeWhile {
-            bytes += ProtoBuf.encodeToByteArray(it).size + PROTO_FIELD_BYTES
-            bytes <= most
+            bytes += ProtoBuf.encodeToByteArray(it).size + NESTED_MESSAGE_OVERHEAD_BYTES
+            bytes <= maxBytes
         }
     }
 
     private companion object {
         /** Tag and length of a nested message. */
-        const val PROTO_FIELD_BYTES = 4
+        const val NESTED_MESSAGE_OVERHEAD_BYTES = 4
     }
 }
--- a/src/main/kotlin/micatally/peer/PeerCapacitySummaries.kt
+++ b/src/main/kotlin/micatally/peer/PeerCapacitySummaries.kt
@@ -11,152 +11,174 @@
 import micatally.worker.Machine
 import micatally.worker.MachineRegistry
 
-/** Whether an owner holds anything on the machine. */
+/** Whether its owner holds anything on the machine. */
 internal val HeldCapacity.isHeld get() = cores > 0 || gpus > 0 || memoryGb > 0
 
-/** What the other controllers hold on machines and what waits there, as they tell directly or through the state service. */
+/**
+ * What the other controllers hold on machines and which requests wait there, as received directly or through the state store.
+ * What is held is entered in the [MachineRegistry], so that placement counts it as used.
+ */
 internal class PeerCapacitySummaries(
     private val settings: Settings,
     private val membership: Membership,
     private val machines: MachineRegistry,
     private val nowMs: () -> Long,
 ) {
-    /** A peer's summary, put together from what came. */
-    private class Theirs(
+    /** The summary of one process of a peer, put together from what has arrived. */
+    private class PeerSummary(
         val process: String,
     ) {
-        var number = 0L
+        /** Version that was received directly; 0 while only partitions have come. */
+        var version = 0L
         var demand: List<ResourceRequest> = emptyList()
-        var recent: List<ResourceRequest> = emptyList()
-        val rooms = HashMap<String, HeldCapacity>()
+        var recentServices: List<ResourceRequest> = emptyList()
+        val heldByMachine = HashMap<String, HeldCapacity>()
     }
 
-    private val theirs = HashMap<String, Theirs>()
+    private val summaries = HashMap<String, PeerSummary>()
 
-    /** Services that came to the other controllers lately. */
-    val recentServices: List<ResourceRequest> get() = theirs.values.flatMap { it.recent }
+    /** Hosts with a summary that lead no shard any more, and since when. */
+    private val orphanedAt = HashMap<String, Long>()
+
+    /** Services that were submitted to the other controllers lately. */
+    val recentServices: List<ResourceRequest> get() = summaries.values.flatMap { it.recentServices }
 
-    /** What waits at a node whose shards another one has taken waits there now: counted twice it would be rented for twice. */
-    val demand: List<ResourceRequest> get() = theirs.filterKeys { it !in orphanedAt }.values.flatMap { it.demand }
+    /**
+     * Requests that wait at the other controllers.
+     *
+     * Those of a host whose shards another one has taken over are left out: they wait at the new leader now, and counted
+     * twice they would be provisioned for twice.
+     */
+    val demand: List<ResourceRequest>
+        get() = summaries.filterKeys { it !in orphanedAt }.values.flatMap { it.demand }
 
-    /** A machine has become known: what peers hold on it counts. */
+    /** A machine has been added to the registry: enters what peers hold on it. */
     fun machineAdded(machine: Machine) {
-        for ((host, t) in theirs) t.rooms[machine.name]?.let { hold(host, machine, it) }
+        for ((host, summary) in summaries) {
+            summary.heldByMachine[machine.name]?.let { enter(host, machine, it) }
+        }
     }
 
-    /** Takes a peer's summary; false if its changes don't join on to what is here. */
-    fun apply(s: CapacitySummary): Boolean {
-        if (s.host == settings.host) return true
-        val old = theirs[s.host]?.takeIf { it.process == s.process }
-        if (old != null && old.number >= s.version) return true
-        if (s.baseVersion > (old?.number ?: 0L)) return false
-        val t = if (old != null && s.baseVersion > 0) old else succeed(s.host, s.process)
-        t.number = s.version
-        t.demand = s.demand
-        t.recent = s.recentServices
-        if (s.baseVersion == 0L) {
-            val there = s.held.mapTo(HashSet()) { it.machine }
-            for (name in t.rooms.keys.filter { it !in there }) put(s.host, t, HeldCapacity(name))
-        }
-        for (r in s.held) put(s.host, t, r)
+    /**
+     * Applies a summary that a peer has sent directly.
+     *
+     * @return false if it holds changes to a version that is not known here: the peer has to send the full summary
+     */
+    fun apply(received: CapacitySummary): Boolean {
+        if (received.host == settings.host) return true
+        val known = summaries[received.host]?.takeIf { it.process == received.process }
+        if (known != null && known.version >= received.version) return true
+        val knownVersion = known?.version ?: 0L
+        if (received.baseVersion > knownVersion) return false
+        val isFull = received.baseVersion == 0L
+        val summary = if (known != null && received.baseVersion > 0) known else replaceProcess(received.host, received.process)
+        summary.version = received.version
+        summary.demand = received.demand
+        summary.recentServices = received.recentServices
+        if (isFull) removeAllExcept(received, summary) { true }
+        for (held in received.held) update(received.host, summary, held)
         return true
     }
 
-    /** A piece that came through the state service: it counts where nothing newer came directly. What it lacks of its
-     * own bucket is given up; of other buckets it says nothing. */
-    fun applyPartition(s: CapacitySummary) {
-        if (s.host == settings.host) return
-        // A former process of that host may have left pieces behind.
-        val current =
-            membership.sharedKeys.value(Keys.live(s.host))?.textOrNull("process")
-                ?: membership.sharedKeys
-                    .shards()
-                    .mapNotNull {
-                        membership.sharedKeys.leader(
-                            it,
-                        )
-                    }.find { it.host == s.host }
-                    ?.process
-        if (current != null && current != s.process) return
-        val t = theirs[s.host]?.takeIf { it.process == s.process } ?: succeed(s.host, s.process)
-        if (t.number >= s.version) return
-        if (s.partitionIndex == 0) t.demand = s.demand
-        val there = s.held.mapTo(HashSet()) { it.machine }
-        for (name in t.rooms.keys.filter {
-            partitionOf(
-                it,
-                s.partitionCount,
-            ) == s.partitionIndex && it !in there
-        }) {
-            put(s.host, t, HeldCapacity(name))
+    /**
+     * Applies a partition that came through the state store. It counts only where nothing newer came directly. Machines of
+     * this partition that it does not list are released; of other partitions it says nothing.
+     */
+    fun applyPartition(received: CapacitySummary) {
+        if (received.host == settings.host) return
+        // A former process of the host may have left partitions behind.
+        val currentProcess = currentProcessOf(received.host)
+        if (currentProcess != null && currentProcess != received.process) return
+        val summary =
+            summaries[received.host]?.takeIf { it.process == received.process }
+                ?: replaceProcess(received.host, received.process)
+        if (summary.version >= received.version) return
+        if (received.partitionIndex == 0) summary.demand = received.demand
+        removeAllExcept(received, summary) { machineName ->
+            partitionOf(machineName, received.partitionCount) == received.partitionIndex
         }
-        for (r in s.held) put(s.host, t, r)
+        for (held in received.held) update(received.host, summary, held)
     }
 
-    private fun put(
+    /** The process that the host's live key names, or else that of a shard that it leads. */
+    private fun currentProcessOf(host: String): String? {
+        val liveProcess = membership.sharedKeys.value(Keys.live(host))?.textOrNull("process")
+        if (liveProcess != null) return liveProcess
+        val leaders = membership.sharedKeys.shards().mapNotNull { membership.sharedKeys.leader(it) }
+        return leaders.find { it.host == host }?.process
+    }
+
+    /** Releases the machines that [received] covers and does not list. */
+    private fun removeAllExcept(
+        received: CapacitySummary,
+        summary: PeerSummary,
+        isCovered: (machineName: String) -> Boolean,
+    ) {
+        val listed = received.held.mapTo(HashSet()) { it.machine }
+        val released = summary.heldByMachine.keys.filter { isCovered(it) && it !in listed }
+        for (machineName in released) update(received.host, summary, HeldCapacity(machineName))
+    }
+
+    private fun update(
         host: String,
-        t: Theirs,
-        r: HeldCapacity,
+        summary: PeerSummary,
+        held: HeldCapacity,
     ) {
-        if (r.isHeld) t.rooms[r.machine] = r else t.rooms.remove(r.machine)
-        machines.of(r.machine)?.let { hold(host, it, r) }
+        if (held.isHeld) summary.heldByMachine[held.machine] = held else summary.heldByMachine.remove(held.machine)
+        machines.of(held.machine)?.let { enter(host, it, held) }
     }
 
-    private fun hold(
+    private fun enter(
         host: String,
-        m: Machine,
-        r: HeldCapacity,
+        machine: Machine,
+        held: HeldCapacity,
     ) {
-        m.others(host, Resources(r.cores, r.gpus, r.memoryGb), nowMs())
-        val cacheGb = machines.machineTypes[m.type]?.cacheGb ?: 0.0
-        for ((i, image) in r.images.withIndex()) {
-            if (image !in
-                m.images
-            ) {
-                m.sawImage(image, r.imagesGb.getOrElse(i) { 0.0 }, cacheGb)
-            }
+        machine.others(host, Resources(held.cores, held.gpus, held.memoryGb), nowMs())
+        val cacheGb = machines.machineTypes[machine.type]?.cacheGb ?: 0.0
+        for ((index, image) in held.images.withIndex()) {
+            if (image !in machine.images) machine.sawImage(image, held.imagesGb.getOrElse(index) { 0.0 }, cacheGb)
         }
     }
 
-    /** A new process of a host holds what the one before held until it says otherwise, room by room: its tasks have
-     * not left their machines, and what looked free for a moment was filled by others, whose starts were then refused. */
-    private fun succeed(
+    /**
+     * Starts the summary of a new process with what the host's former process held, until the new one says otherwise machine
+     * by machine: the tasks have not left their machines. Without this, capacity looked free for a moment, others placed
+     * tasks there, and the workers refused to start them.
+     */
+    private fun replaceProcess(
         host: String,
         process: String,
-    ): Theirs =
-        Theirs(process).also { t ->
-            theirs[host]?.let { t.rooms.putAll(it.rooms) }
-            theirs[host] = t
-        }
-
-    private fun forget(host: String) {
-        val t = theirs.remove(host) ?: return
-        for (name in t.rooms.keys) machines.of(name)?.others(host, Resources.NONE, nowMs())
+    ): PeerSummary {
+        val summary = PeerSummary(process)
+        summaries[host]?.let { summary.heldByMachine.putAll(it.heldByMachine) }
+        summaries[host] = summary
+        return summary
     }
 
-    /** The shared keys have changed: summaries that have no one behind them any more go, a while later. Who took their
-     * shards over has to load them before it can say what it holds. */
+    /**
+     * The shared keys have changed: notes which hosts lead no shard any more. Their summaries stay for a while, since who
+     * took the shards over has to load them before it can say what it holds.
+     */
     fun sharedKeysChanged() {
-        if (theirs.isEmpty()) return
-        val holders = membership.sharedKeys.shards().mapNotNullTo(HashSet()) { membership.sharedKeys.leader(it)?.host }
-        for (host in theirs.keys) {
-            if (host in holders) {
-                orphanedAt.remove(host)
-            } else {
-                orphanedAt.putIfAbsent(host, nowMs())
-            }
+        if (summaries.isEmpty()) return
+        val leaders = membership.sharedKeys.shards().mapNotNullTo(HashSet()) { membership.sharedKeys.leader(it)?.host }
+        for (host in summaries.keys) {
+            if (host in leaders) orphanedAt.remove(host) else orphanedAt.putIfAbsent(host, nowMs())
         }
     }
 
-    private val orphanedAt = HashMap<String, Long>()
-
-    /** Forgets summaries that nobody stands behind any more, once whoever took their shards over has told. */
+    /** Removes the summaries of hosts that have led no shard for [Settings.handOverMs]. */
     fun removeOrphans() {
         if (orphanedAt.isEmpty()) return
-        for ((host, at) in orphanedAt.entries.map { it.key to it.value }) {
-            if (nowMs() - at <= settings.handOverMs) continue
+        val expired = orphanedAt.filterValues { nowMs() - it > settings.handOverMs }.keys
+        for (host in expired) {
             orphanedAt.remove(host)
-            forget(host)
+            remove(host)
         }
     }
+
+    private fun remove(host: String) {
+        val summary = summaries.remove(host) ?: return
+        for (machineName in summary.heldByMachine.keys) machines.of(machineName)?.others(host, Resources.NONE, nowMs())
+    }
 }
--- a/src/main/kotlin/micatally/peer/SummaryPartitions.kt
+++ b/src/main/kotlin/micatally/peer/SummaryPartitions.kt
@@ -11,17 +11,20 @@
 import micatally.wire.textOrNull
 import java.util.Base64
 
-/** The piece of a list that a machine belongs to, of [partitionCount]. */
+/** The partition, of [partitionCount], that a machine belongs to. */
 internal fun partitionOf(
-    machine: String,
+    machineName: String,
     partitionCount: Int,
-) = Math.floorMod(machine.hashCode(), partitionCount)
+) = Math.floorMod(machineName.hashCode(), partitionCount)
 
 /**
- * A list by machine in the state service. Values have a limit, so it goes in pieces, as many as it takes for each to fit;
- * only pieces that have changed are written.
+ * A list with entries by machine in the state store.
  *
- * @param key the piece's number is appended to it
+ * Values have a maximum size, so the list is split by a hash of the machine's name into as many partitions as it takes for
+ * each to fit. Only partitions that have changed are written. The number of partitions never decreases.
+ *
+ * @param valueBytes the largest value that the state store takes
+ * @param key prefix of the keys: a slash and the partition's index are appended
  */
 internal class SummaryPartitions(
     private val state: StateStoreClient,
@@ -30,65 +33,87 @@
 ) {
     var partitionCount = 1
         private set
-    private var nextPiece = 0
-    private val written = HashMap<Int, Any>()
 
-    /** What was written counts for nothing any more: all pieces are due again. */
-    fun forgetWritten() = written.clear()
+    private var nextPartition = 0
+
+    /** What each partition said when it was written last, by index. */
+    private val writtenContents = HashMap<Int, Any>()
+
+    /** Makes all partitions due again, changed or not. */
+    fun forgetWritten() = writtenContents.clear()
 
     /**
-     * Writes up to [most] of the pieces that have changed.
+     * Writes up to [maxWrites] of the partitions that have changed, and waits for the state store.
      *
-     * @param seen what a piece says, to be compared with what was written last
-     * @param encode a piece of these machines as it is stored
+     * @param machineNames machines in the list
+     * @param contentOf what a partition with these machines says, for comparison with what was written last
+     * @param encode the stored form of a partition with these machines; may be called several times for each
      */
     suspend fun write(
-        names: Collection<String>,
-        most: Int,
-        seen: (Int, List<String>) -> Any,
-        encode: (Int, List<String>) -> ByteArray,
+        machineNames: Collection<String>,
+        maxWrites: Int,
+        contentOf: (partitionIndex: Int, machineNames: List<String>) -> Any,
+        encode: (partitionIndex: Int, machineNames: List<String>) -> ByteArray,
     ) {
-        var parts: List<List<String>>
-        var left = most
+        val partitions = split(machineNames, encode)
+        var remainingWrites = maxWrites
+        // Round robin, so that each partition has its turn when only some may be written.
+        val order = partitions.indices.sortedBy { Math.floorMod(it - nextPartition, partitions.size) }
+        for (index in order) {
+            val content = contentOf(index, partitions[index])
+            if (writtenContents[index] == content) continue
+            if (remainingWrites-- <= 0) return
+            val isWritten = writeOne(index) { encode(index, partitions[index]) }
+            if (isWritten) writtenContents[index] = content
+            nextPartition = index + 1
+        }
+    }
+
+    /** Doubles the number of partitions until each fits in a value or has a single machine. */
+    private fun split(
+        machineNames: Collection<String>,
+        encode: (partitionIndex: Int, machineNames: List<String>) -> ByteArray,
+    ): List<List<String>> {
         while (true) {
-            parts = List(partitionCount) { i -> names.filter { partitionOf(it, partitionCount) == i } }
-            if (parts.withIndex().all { (i, p) -> p.size < 2 || fits(encode(i, p)) }) break
+            val partitions =
+                List(partitionCount) { index -> machineNames.filter { partitionOf(it, partitionCount) == index } }
+            val doAllFit = partitions.withIndex().all { (index, names) -> names.size < 2 || fits(encode(index, names)) }
+            if (doAllFit) return partitions
             partitionCount *= 2
-            written.clear()
-        }
-        // Goes round, so that each piece has its turn when only some may be written.
-        val order = parts.indices.sortedBy { Math.floorMod(it - nextPiece, parts.size) }
-        for (i in order) {
-            val machines = parts[i]
-            val now = seen(i, machines)
-            if (written[i] == now) continue
-            if (left-- <= 0) return
-            // What is told changes while the piece waits for its turn; one that has outgrown its value is left to the
-            // next time, when the pieces are measured again.
-            val result =
-                state.transact(1, Urgency.SUMMARY) {
-                    encode(
-                        i,
-                        machines,
-                    ).takeIf(::fits)?.let { Transaction(emptyList(), listOf(Put("$key/$i", packed(it)))) }
-                }
-            if (result is TransactionResult.Applied) written[i] = now
-            nextPiece = i + 1
+            writtenContents.clear()
         }
     }
 
-    /** Whether the bytes fit in a value as text, with the names around it. */
-    private fun fits(bytes: ByteArray) = bytes.size * 4 / 3 + ENVELOPE_BYTES <= valueBytes
+    /**
+     * Returns whether the partition was stored. Its content changes while it waits for its turn, so it is encoded only when
+     * the request leaves. One that has outgrown its value is left to the next [write], when all are measured again.
+     */
+    private suspend fun writeOne(
+        partitionIndex: Int,
+        encode: () -> ByteArray,
+    ): Boolean {
+        val result =
+            state.transact(1, Urgency.SUMMARY) {
+                val bytes = encode()
+                if (fits(bytes)) Transaction(emptyList(), listOf(Put("$key/$partitionIndex", pack(bytes)))) else null
+            }
+        return result is TransactionResult.Applied
+    }
 
-    private fun packed(bytes: ByteArray): JsonObject =
-        buildJsonObject {
-            put("b", Base64.getEncoder().encodeToString(bytes))
-        }
+    /** Whether the bytes fit in a value: base64 turns three bytes into four characters, with the JSON object around them. */
+    private fun fits(bytes: ByteArray) = bytes.size * 4 / 3 + ENVELOPE_BYTES <= valueBytes
 
     companion object {
         private const val ENVELOPE_BYTES = 64
+        private const val BYTES_FIELD = "b"
+
+        private fun pack(bytes: ByteArray): JsonObject =
+            buildJsonObject {
+                put(BYTES_FIELD, Base64.getEncoder().encodeToString(bytes))
+            }
 
         /** The bytes of a stored partition; null if the value has none. */
-        fun unpack(value: JsonObject): ByteArray? = value.textOrNull("b")?.let { Base64.getDecoder().decode(it) }
+        fun unpack(value: JsonObject): ByteArray? =
+            value.textOrNull(BYTES_FIELD)?.let { Base64.getDecoder().decode(it) }
     }
 }
--- a/src/test/kotlin/micatally/peer/SummaryPartitionsTest.kt
+++ b/src/test/kotlin/micatally/peer/SummaryPartitionsTest.kt
@@ -17,7 +17,7 @@
     private val sent = ArrayList<Int>()
     private val machines = List(20) { "m-%06d".format(it) }
 
-    private fun TestScope.pieces(): SummaryPartitions {
+    private fun TestScope.partitions(): SummaryPartitions {
         val http =
             HttpCaller { _, _, _, body, _ ->
                 sent.add(body!!.size)
@@ -29,17 +29,17 @@
     }
 
     @Test
-    fun `a list goes in as many pieces as fit, and only those that have changed are written again`() =
+    fun `a list goes in as many partitions as fit, and only those that have changed are written again`() =
         runTest {
-            val pieces = pieces()
-            val write = suspend { pieces.write(machines, 100, { _, p -> p }) { _, p -> ByteArray(p.size * 200) } }
+            val partitions = partitions()
+            val write = suspend { partitions.write(machines, 100, { _, names -> names }) { _, names -> ByteArray(names.size * 200) } }
             write()
-            assertTrue(pieces.partitionCount > 1)
+            assertTrue(partitions.partitionCount > 1)
             assertTrue(sent.all { it < valueBytes }, "$sent")
             val first = sent.size
             write()
             assertEquals(first, sent.size)
-            pieces.forgetWritten()
+            partitions.forgetWritten()
             write()
             assertEquals(first * 2, sent.size)
         }
@@ -47,14 +47,14 @@
     /** Found with 4,000 workers: a summary that had fitted grew while it waited for its turn, and the state service refused
      * it as too large. Guard: it is measured again in [SummaryPartitions.write] when it leaves. */
     @Test
-    fun `a piece that has grown beyond a value while it waited is left to the next time`() =
+    fun `a partition that has grown beyond a value while it waited is left to the next time`() =
         runTest {
-            val pieces = pieces()
+            val partitions = partitions()
             var encoded = 0
             val growing = { _: Int, _: List<String> -> ByteArray(if (encoded++ == 0) 100 else valueBytes) }
-            pieces.write(machines.take(2), 100, { _, p -> p }, growing)
+            partitions.write(machines.take(2), 100, { _, names -> names }, growing)
             assertEquals(emptyList<Int>(), sent)
-            pieces.write(machines.take(2), 100, { _, p -> p }) { _, _ -> ByteArray(100) }
+            partitions.write(machines.take(2), 100, { _, names -> names }) { _, _ -> ByteArray(100) }
             assertEquals(1, sent.size, "it counts as not written")
         }
 }
