--- a/src/main/kotlin/micatally/wire/CloudMessages.kt
+++ b/src/main/kotlin/micatally/wire/CloudMessages.kt
@@ -2,7 +2,16 @@
 
 import kotlinx.serialization.json.JsonObject
 
-/** A machine type of the cloud's. */
+/**
+ * A machine type that the cloud offers. Sent by the cloud's API, as an entry of its list of machine types.
+ *
+ * @property cacheGb local space for images, in gigabytes
+ * @property pullGbPerS nominal rate at which images are pulled, in gigabytes a second
+ * @property hourly price of an hour of an on-demand instance
+ * @property spotHourly price of an hour of a spot instance; that of an on-demand instance if the cloud names none
+ * @property readyS time that an instance takes to boot, in seconds
+ * @property zones zones in which the type is offered
+ */
 class MachineType(
     val label: String,
     val resources: Resources,
@@ -13,27 +22,38 @@
     val readyS: Double,
     val zones: List<String>,
 ) {
+    /** Price of an hour. */
     fun price(isSpot: Boolean) = if (isSpot) spotHourly else hourly
 
     companion object {
-        fun parseAll(o: JsonObject): List<MachineType> =
-            (o.listOrNull("chassis") ?: throw MalformedMessage("chassis is missing")).map {
-                val f = it.asObject()
-                MachineType(
-                    f.text("label"),
-                    Resources(f.number("cores"), f.numberOrNull("cards") ?: 0.0, f.number("ram_gb")),
-                    f.numberOrNull("local_gb") ?: 0.0,
-                    f.numberOrNull("pull_gb_per_s") ?: 1.0,
-                    f.number("hourly"),
-                    f.numberOrNull("spot_price") ?: f.number("hourly"),
-                    f.numberOrNull("ready_s") ?: 0.0,
-                    (f.listOrNull("circuits") ?: emptyList()).map { z -> z.asText() },
-                )
-            }
+        /** @throws MalformedMessage naming the first field that is missing or wrong */
+        fun parseAll(response: JsonObject): List<MachineType> {
+            val types = response.listOrNull("chassis") ?: throw MalformedMessage("chassis is missing")
+            return types.map { parse(it.asObject()) }
+        }
+
+        private fun parse(json: JsonObject) =
+            MachineType(
+                json.text("label"),
+                Resources(json.number("cores"), json.numberOrNull("cards") ?: 0.0, json.number("ram_gb")),
+                json.numberOrNull("local_gb") ?: 0.0,
+                json.numberOrNull("pull_gb_per_s") ?: 1.0,
+                json.number("hourly"),
+                json.numberOrNull("spot_price") ?: json.number("hourly"),
+                json.numberOrNull("ready_s") ?: 0.0,
+                (json.listOrNull("circuits") ?: emptyList()).map { zone -> zone.asText() },
+            )
     }
 }
 
-/** A line of the cloud's machine list. */
+/**
+ * An instance in the cloud's list of rented instances. Sent by the cloud's API.
+ *
+ * @property addr host and port of its worker; empty until it has one
+ * @property type label of its [MachineType]
+ * @property status [STARTING], [RUNNING] or [FAILED]
+ * @property ageS time since it was rented, in seconds
+ */
 class ListedMachine(
     val name: String,
     val addr: String,
@@ -48,15 +68,16 @@
         const val RUNNING = "running"
         const val FAILED = "failed"
 
-        fun parse(o: JsonObject) =
+        /** @throws MalformedMessage naming the first field that is missing or wrong */
+        fun parse(json: JsonObject) =
             ListedMachine(
-                o.text("ref"),
-                o.textOrNull("addr") ?: "",
-                o.text("rig"),
-                o.text("circuit"),
-                o.flag("loaners"),
-                o.text("status"),
-                o.numberOrNull("held_s") ?: 0.0,
+                json.text("ref"),
+                json.textOrNull("addr") ?: "",
+                json.text("rig"),
+                json.text("circuit"),
+                json.flag("loaners"),
+                json.text("status"),
+                json.numberOrNull("held_s") ?: 0.0,
             )
     }
 }
--- a/src/main/kotlin/micatally/wire/JobMessages.kt
+++ b/src/main/kotlin/micatally/wire/JobMessages.kt
@@ -1,19 +1,25 @@
 package micatally.wire
 
+import kotlinx.serialization.json.JsonElement
 import kotlinx.serialization.json.JsonObject
 import kotlinx.serialization.json.buildJsonObject
 import kotlinx.serialization.json.put
 
-/** Tasks that run to completion independently, replicas that run until cancelled, and tasks that run only all together. */
+/** What kind of job it is. [word] is the protocol's. */
 enum class Format(
     val word: String,
 ) {
+    /** A job array: tasks that run to completion independently. */
     ARRAY("sweep"),
+
+    /** Replicas that run until the job is cancelled. */
     SERVICE("daemon"),
+
+    /** Tasks that run only all together. */
     GANG("gang"),
 }
 
-/** The order is the order of importance, the first being the most important. */
+/** Priority of a job, the most important first. [word] is the protocol's; the ordinal is sent between controllers. */
 enum class Priority(
     val word: String,
 ) {
@@ -23,43 +29,64 @@
     LOW("low"),
 }
 
-/** What a task takes of its machine. */
+/** An amount of each resource: what a task takes of its machine, or what a machine has. */
 data class Resources(
     val cores: Double,
     val gpus: Double,
     val memoryGb: Double,
 ) {
-    operator fun plus(o: Resources) = Resources(cores + o.cores, gpus + o.gpus, memoryGb + o.memoryGb)
-
-    operator fun minus(o: Resources) = Resources(cores - o.cores, gpus - o.gpus, memoryGb - o.memoryGb)
-
-    operator fun times(n: Int) = Resources(cores * n, gpus * n, memoryGb * n)
-
-    fun fitsIn(o: Resources) = cores <= o.cores + SLACK && gpus <= o.gpus + SLACK && memoryGb <= o.memoryGb + SLACK
-
-    /** How many of it fit in [room]; a dimension that it does not take sets no bound. */
-    fun countIn(room: Resources): Int {
-        fun count(
-            one: Double,
-            all: Double,
-        ) = if (one <=
-            0
-        ) {
-            Int.MAX_VALUE
-        } else {
-            ((all + SLACK) / one).toInt().coerceAtLeast(0)
-        }
-        return minOf(count(cores, room.cores), count(gpus, room.gpus), count(memoryGb, room.memoryGb))
+    operator fun plus(other: Resources) =
+        Resources(cores + other.cores, gpus + other.gpus, memoryGb + other.memoryGb)
+
+    operator fun minus(other: Resources) =
+        Resources(cores - other.cores, gpus - other.gpus, memoryGb - other.memoryGb)
+
+    operator fun times(factor: Int) = Resources(cores * factor, gpus * factor, memoryGb * factor)
+
+    /** Whether each amount is at most that of [capacity], but for [SLACK]. */
+    fun fitsIn(capacity: Resources) =
+        cores <= capacity.cores + SLACK && gpus <= capacity.gpus + SLACK && memoryGb <= capacity.memoryGb + SLACK
+
+    /** How many times it fits in [capacity]. A resource of which it takes nothing sets no bound. */
+    fun countIn(capacity: Resources): Int =
+        minOf(
+            count(cores, capacity.cores),
+            count(gpus, capacity.gpus),
+            count(memoryGb, capacity.memoryGb),
+        )
+
+    private fun count(
+        amount: Double,
+        capacity: Double,
+    ): Int {
+        if (amount <= 0) return Int.MAX_VALUE
+        return ((capacity + SLACK) / amount).toInt().coerceAtLeast(0)
     }
 
     companion object {
-        /** Sums of decimal amounts are compared with this much room for rounding. */
+        /** Allowance for rounding when sums of decimal amounts are compared. */
         const val SLACK = 1e-6
         val NONE = Resources(0.0, 0.0, 0.0)
     }
 }
 
-/** A job as its user submitted it. Parsed once, checked field by field. */
+/**
+ * A job as its user submitted it: the body of the request that a user sends, checked field by field.
+ *
+ * @property jobClass class of similar jobs, chosen by the user
+ * @property resources what one task takes
+ * @property imageGb size of the image, in gigabytes
+ * @property types labels of the machine types that its tasks may run on; null for all
+ * @property zone the only zone that its tasks may run in; null for all
+ * @property together whether all its tasks have to be in the same zone; the waiting ones of a service are then placed at once
+ * @property scatter whether a zone may hold at most half of its tasks, rounded up
+ * @property isSpot whether its tasks may run on spot instances
+ * @property estimateS expected run time of one task, in seconds
+ * @property checkpointS interval between checkpoints, in seconds; 0 if its tasks save none
+ * @property saveS time that it takes to save a checkpoint, in seconds
+ * @property deadlineS time from the submission within which the job should be done, in seconds; null for none. Stored, not acted on.
+ * @property source the known fields as they were submitted, to be stored
+ */
 class JobSpec(
     val jobId: String,
     val jobClass: String,
@@ -89,7 +116,8 @@
 
     companion object {
         const val MAX_TASKS = 100_000
-        private val REF = Regex("j-[0-9]{1,18}")
+        private const val MAX_WORD_LENGTH = 200
+        private val JOB_ID = Regex("j-[0-9]{1,18}")
         private val FIELDS =
             setOf(
                 "ref",
@@ -114,73 +142,87 @@
                 "flag_s",
             )
 
-        fun isValidId(jobId: String) = REF.matches(jobId)
+        /** Whether [jobId] looks like j-000412. */
+        fun isValidId(jobId: String) = JOB_ID.matches(jobId)
 
-        fun parse(o: JsonObject): JobSpec {
-            val jobId = o.text("ref")
+        /** @throws MalformedMessage naming the first field that is missing or wrong */
+        fun parse(json: JsonObject): JobSpec {
+            val jobId = json.text("ref")
             if (!isValidId(jobId)) throw MalformedMessage("ref must look like j-000412")
-            val taskCount = o.long("laps")
+            val taskCount = json.long("laps")
             if (taskCount !in 1..MAX_TASKS) throw MalformedMessage("laps must be from 1 to $MAX_TASKS")
-            val types =
-                o
-                    .listOrNull("chassis")
-                    ?.map {
-                        try {
-                            it.asText()
-                        } catch (e: MalformedMessage) {
-                            throw MalformedMessage("chassis must hold strings")
-                        }
-                    }?.toSet()
-            if (types != null && types.isEmpty()) throw MalformedMessage("chassis must not be empty")
-            val image = word(o, "livery")
+            val types = parseTypes(json)
+            val image = word(json, "livery")
             return JobSpec(
                 jobId,
-                word(o, "lane"),
-                word(o, "crew"),
-                Format.entries.find { it.word == o.text("format") }
+                word(json, "lane"),
+                word(json, "crew"),
+                Format.entries.find { it.word == json.text("format") }
                     ?: throw MalformedMessage("format must be sweep, daemon or gang"),
-                Priority.entries.find { it.word == o.text("grid") }
+                Priority.entries.find { it.word == json.text("grid") }
                     ?: throw MalformedMessage("grid must be production, high, standard or low"),
                 taskCount.toInt(),
-                Resources(amount(o, "cores"), amount(o, "cards"), amount(o, "ram_gb")),
+                Resources(amount(json, "cores"), amount(json, "cards"), amount(json, "ram_gb")),
                 image,
-                amount(o, "size_gb"),
+                amount(json, "size_gb"),
                 types,
-                o.textOrNull("circuit"),
-                o.flag("together"),
-                o.flag("scatter"),
-                o.flag("loaners"),
-                amount(o, "lap_time_s"),
-                amount(o, "sector_s"),
-                amount(o, "pit_stop_s"),
-                o.numberOrNull("flag_s")?.also { if (it < 0) throw MalformedMessage("flag_s must not be negative") },
-                JsonObject(o.filterKeys { it in FIELDS }),
+                json.textOrNull("circuit"),
+                json.flag("together"),
+                json.flag("scatter"),
+                json.flag("loaners"),
+                amount(json, "lap_time_s"),
+                amount(json, "sector_s"),
+                amount(json, "pit_stop_s"),
+                json.numberOrNull("flag_s")?.also { if (it < 0) throw MalformedMessage("flag_s must not be negative") },
+                JsonObject(json.filterKeys { it in FIELDS }),
             )
         }
 
+        private fun parseTypes(json: JsonObject): Set<String>? {
+            val types = json.listOrNull("chassis")?.map { parseType(it) }?.toSet() ?: return null
+            if (types.isEmpty()) throw MalformedMessage("chassis must not be empty")
+            return types
+        }
+
+        private fun parseType(element: JsonElement): String =
+            try {
+                element.asText()
+            } catch (e: MalformedMessage) {
+                throw MalformedMessage("chassis must hold strings", e)
+            }
+
         private fun word(
-            o: JsonObject,
+            json: JsonObject,
             name: String,
-        ) = o.text(name).also {
-            if (it.isEmpty() || it.length > 200) throw MalformedMessage("$name must have 1 to 200 characters")
+        ) = json.text(name).also {
+            if (it.isEmpty() || it.length > MAX_WORD_LENGTH) {
+                throw MalformedMessage("$name must have 1 to $MAX_WORD_LENGTH characters")
+            }
         }
 
         private fun amount(
-            o: JsonObject,
+            json: JsonObject,
             name: String,
-        ) = o.number(name).also {
+        ) = json.number(name).also {
             if (it < 0) throw MalformedMessage("$name must not be negative")
         }
     }
 }
 
-/** What users are told of a job. */
+/**
+ * The status of a job. Sent to users in response to submissions, queries and cancellations.
+ *
+ * @property status [PENDING], [RUNNING], [DONE] or [CANCELLED]
+ * @property doneCount number of completed tasks
+ * @property runningCount number of running tasks
+ */
 data class JobAnswer(
     val jobId: String,
     val status: String,
     val doneCount: Int,
     val runningCount: Int,
 ) {
+    /** All fields. */
     fun json() =
         buildJsonObject {
             put("ref", jobId)
@@ -189,6 +231,7 @@
             put("running", runningCount)
         }
 
+    /** Id and status only. */
     fun brief() =
         buildJsonObject {
             put("ref", jobId)
--- a/src/main/kotlin/micatally/wire/WorkerMessages.kt
+++ b/src/main/kotlin/micatally/wire/WorkerMessages.kt
@@ -7,7 +7,14 @@
 import kotlinx.serialization.json.buildJsonObject
 import kotlinx.serialization.json.put
 
-/** One task on one machine under one attempt, as a worker lists it. */
+/**
+ * A task on a worker, in the list of its [Heartbeat].
+ *
+ * @property attempt number under which a controller started the task
+ * @property status one of [STATUSES]
+ * @property exitReasonText why an ended task has ended, in the worker's word; null if it has not
+ * @property isSaved whether the task has saved a checkpoint before it ended
+ */
 data class ListedTask(
     val jobId: String,
     val taskIndex: Int,
@@ -17,30 +24,45 @@
     val isSaved: Boolean,
 ) {
     val isEnded get() = status == ENDED
+    /** Whether the task has ended by completing. */
     val isDone get() = isEnded && exitReason == ExitReason.DONE
+
+    /** Null if the task has not ended, or for a reason that this program does not know. */
     val exitReason get() = ExitReason.of(exitReasonText)
 
     companion object {
+        /** The image is being pulled. */
         const val PULLING = "pulling"
 
-        /** A gang's task that has its image and waits for the others. */
+        /** A task of a gang that has its image and waits for the other tasks. */
         const val WAITING = "waiting"
         const val RUNNING = "running"
+
+        /** Saves a checkpoint before it stops. */
         const val SAVING = "saving"
         const val ENDED = "ended"
+
         val STATUSES = setOf(PULLING, WAITING, RUNNING, SAVING, ENDED)
     }
 }
 
-/** Why a task has ended, as its worker says. */
+/** Why a task has ended, as reported by its worker. [word] is the protocol's. */
 enum class ExitReason(
     val word: String,
 ) {
     DONE("done"),
+
+    /** On the command of a controller. */
     STOPPED("stopped"),
     ERROR("error"),
+
+    /** Refused: the machine has too little free capacity. */
     FULL("full"),
+
+    /** Refused: another attempt of the same task is on the machine. */
     IN_USE("in_use"),
+
+    /** Refused: the worker does not know the job, or the job has no such task. */
     UNKNOWN("unknown"),
 
     /** Another task of the gang is gone. */
@@ -51,11 +73,25 @@
     ;
 
     companion object {
+        /** Null for a word that is not known. */
         fun of(word: String?): ExitReason? = entries.find { it.word == word }
     }
 }
 
-/** A worker's report; the protocol's stint is the session, its tick the order of messages, its baton the token. */
+/**
+ * The state of a worker. Sent by the worker to a controller as a heartbeat, and as the response to commands.
+ *
+ * In the protocol's words: stint is the [incarnation], tick the [sequence], baton the [token], recall the spot notice.
+ *
+ * @property addr host and port of the worker
+ * @property type label of its [MachineType]
+ * @property isSpot whether it is a spot instance
+ * @property incarnation grows with each restart of the worker
+ * @property sequence grows with each message within an incarnation
+ * @property token highest fencing token that the worker has seen; 0 if none
+ * @property spotNoticeS time until the spot instance is reclaimed, in seconds; null without a notice
+ * @property tasks all tasks on the worker, also ended ones that no controller has cleared yet
+ */
 class Heartbeat(
     val machine: String,
     val addr: String,
@@ -69,46 +105,59 @@
     val tasks: List<ListedTask>,
 ) {
     companion object {
-        fun parse(o: JsonObject): Heartbeat =
+        /** @throws MalformedMessage naming the first field that is missing or wrong */
+        fun parse(json: JsonObject): Heartbeat =
             Heartbeat(
-                o.text("car"),
-                o.text("addr"),
-                o.text("rig"),
-                o.text("circuit"),
-                o.flag("loaners"),
-                o.long("stint"),
-                o.long("tick"),
-                o.longOrNull("baton") ?: 0,
-                o.numberOrNull("recall_s"),
-                (o.listOrNull("laps") ?: emptyList()).map { task(it.asObject()) },
+                json.text("car"),
+                json.text("addr"),
+                json.text("rig"),
+                json.text("circuit"),
+                json.flag("loaners"),
+                json.long("stint"),
+                json.long("tick"),
+                json.longOrNull("baton") ?: 0,
+                json.numberOrNull("recall_s"),
+                (json.listOrNull("laps") ?: emptyList()).map { parseTask(it.asObject()) },
             )
 
-        private fun task(o: JsonObject): ListedTask {
-            val name = o.text("lap")
-            val slash = name.lastIndexOf('/')
-            val taskIndex = if (slash < 0) null else name.substring(slash + 1).toIntOrNull()
+        private fun parseTask(json: JsonObject): ListedTask {
+            val taskName = json.text("lap")
+            val slash = taskName.lastIndexOf('/')
+            val taskIndex = if (slash < 0) null else taskName.substring(slash + 1).toIntOrNull()
             if (taskIndex == null) throw MalformedMessage("lap must look like j-000412/3")
-            val isSaved = (o["saved"] as? JsonPrimitive)?.booleanOrNull ?: false
+            val isSaved = (json["saved"] as? JsonPrimitive)?.booleanOrNull ?: false
             return ListedTask(
-                name.substring(0, slash),
+                taskName.substring(0, slash),
                 taskIndex,
-                o.long("start"),
-                o.text("status"),
-                o.textOrNull("retire_reason"),
+                json.long("start"),
+                json.text("status"),
+                json.textOrNull("retire_reason"),
                 isSaved,
             )
         }
     }
 }
 
+/** What a [Command] asks for. [word] is the protocol's. */
 enum class CommandType(
     val word: String,
 ) {
+    /** Start the task. */
     RUN("run"),
+
+    /** Stop the task. */
     KILL("kill"),
+
+    /** Remove an ended task from the worker's list. */
     CLEAR("clear"),
 }
 
+/**
+ * A command about one task. Sent by a controller to a worker, in a [commandRequest] or a [heartbeatResponse].
+ *
+ * @property attempt number under which the task is or was started
+ * @property graceS of a [CommandType.KILL]: time to save a checkpoint before the task is stopped, in seconds; null otherwise
+ */
 class Command(
     val type: CommandType,
     val jobId: String,
@@ -125,6 +174,12 @@
         }
 }
 
+/**
+ * Request of a controller to a worker. The worker answers with a [Heartbeat].
+ *
+ * @param token the controller's fencing token: a worker that has seen a higher one refuses the request
+ * @param incarnation the one that the commands are meant for
+ */
 fun commandRequest(
     token: Long,
     incarnation: Long,
@@ -136,6 +191,11 @@
         put("radio", JsonArray(commands.map { it.json() }))
     }
 
+/**
+ * Response of a controller to a worker's [Heartbeat].
+ *
+ * @param token the controller's fencing token
+ */
 fun heartbeatResponse(
     token: Long,
     commands: List<Command>,
