--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -25,6 +25,7 @@
 import micatally.membership.Membership
 import micatally.membership.MembershipConditions
 import micatally.membership.MembershipListener
+import micatally.peer.PeerListener
 import micatally.peer.Peers
 import micatally.quota.Quota
 import micatally.scheduling.PriorityQueues
@@ -153,7 +154,8 @@
             cpuUsage,
             nowMs,
         )
-    private val peers = Peers(scope, http, settings, state, membership, machines, jobManager, scheduler, nowMs)
+    private val peers =
+        Peers(scope, http, settings, state, membership, machines, jobManager, scheduler, peerListener(), nowMs)
     private val reach = WorkerReach(scope, http, settings, machines, nowMs)
     private val fleetManager =
         FleetManager(scope, http, settings, state, cloud, membership, machines, pendingWorkload(), operator, nowMs)
@@ -189,9 +191,9 @@
 
     private fun membershipConditions(): MembershipConditions =
         object : MembershipConditions {
-            override fun shouldStepDown() = reach.mayStepDown() && peers.somePeerHasState()
+            override fun shouldStepDown() = reach.mayStepDown() && peers.contacts.hasStateStoreContact()
 
-            override fun peersConfirmedAt() = peers.peersConfirmedAt()
+            override fun peersConfirmedAt() = peers.cancellations.confirmedByPeersAt()
 
             override fun mayStartTasks(viewAgeMs: Long) = configuration.live.mayStart(viewAgeMs)
         }
@@ -199,10 +201,10 @@
     private fun membershipListener(): MembershipListener =
         object : MembershipListener {
             override fun sharedKeysChanged(keys: Set<String>) =
-                cpuUsage.of(CpuUsage.Kind.SHARED_KEYS) { sharedKeysChanged(keys) }
+                cpuUsage.of(CpuUsage.Kind.SHARED_KEYS) { applySharedKeyChanges(keys) }
 
             override fun summariesChanged(keys: Set<String>) {
-                cpuUsage.of(CpuUsage.Kind.SHARED_KEYS) { peers.summariesChanged(keys) }
+                cpuUsage.of(CpuUsage.Kind.SHARED_KEYS) { peers.storedSummariesChanged(keys) }
                 scheduler.requestCycle()
             }
         }
@@ -214,11 +216,18 @@
 
     private fun pendingWorkload() =
         object : PendingWorkload {
-            override fun unplaced() = scheduler.pendingRequests.values.toList() + peers.demandOfPeers()
+            override fun unplaced() = scheduler.pendingRequests.values.toList() + peers.peerDemand()
 
             override fun recentServices() = peers.recentServices()
 
-            override fun unreachableZones() = peers.silentZones()
+            override fun unreachableZones() = peers.contacts.silentZones()
+        }
+
+    private fun peerListener(): PeerListener =
+        object : PeerListener {
+            override fun deletionRequested(machines: List<String>) = fleetManager.requestDeletion(machines)
+
+            override fun clusterStateChanged() = scheduler.requestCycle()
         }
 
     /** Whether this controller scales the fleet out and in for all. */
@@ -232,11 +241,11 @@
         jobManager.requestCycle = { scheduler.requestCycle() }
         scheduler.stateAnswers =
             { state.waitingWrites == 0 && state.get(Keys.FENCING_TOKEN, Urgency.SUMMARY) is ReadResult.Found }
-        scheduler.peerRequests = { peers.demandOfPeers() }
+        scheduler.peerRequests = { peers.peerDemand() }
         store.onDurable = { job, written -> jobManager.durable(job, written) }
         store.onDropped = { jobManager.forget(it) }
         store.onRecordFull = { job, attempts -> jobManager.giveUp(job, attempts) }
-        jobManager.cancellations.askPeers = { peers.spread(it) }
+        jobManager.cancellations.askPeers = { peers.cancellations.broadcastCancellation(it) }
         store.onShardLost = { l ->
             jobManager.loseShard(l)
             scope.launch { membership.refresh() }
@@ -253,8 +262,6 @@
             scheduler.requestCycle()
         }
         fleetManager.onMachineTypes = { scheduler.requestCycle() }
-        peers.onRetire = { fleetManager.requestDeletion(it) }
-        peers.onNews = { scheduler.requestCycle() }
         membership.start()
         fleetManager.start()
         peers.start()
@@ -279,12 +286,12 @@
     }
 
     /** Parts that rest on others come after them: the format, the configuration, then the shards, then single keys. */
-    private fun sharedKeysChanged(keys: Set<String>) {
+    private fun applySharedKeyChanges(keys: Set<String>) {
         upgrade.sharedChanged()
         configuration.sharedChanged()
         jobManager.checkShards()
         sharedKeyEvents.handleChanges(keys)
-        peers.sharedChanged()
+        peers.sharedKeysChanged()
         scheduler.requestCycle()
     }
 
--- a/src/main/kotlin/micatally/controller/PeerRouter.kt
+++ b/src/main/kotlin/micatally/controller/PeerRouter.kt
@@ -10,6 +10,7 @@
 import micatally.http.HttpRequest
 import micatally.http.HttpResponse
 import micatally.http.errorResponse
+import micatally.peer.PeerPaths
 import micatally.peer.Peers
 import micatally.wire.PeerJobRequest
 
@@ -43,15 +44,15 @@
         body: ByteArray,
     ): ByteArray? =
         when (path) {
-            Peers.NEWS -> applyDelta(body)
-            Peers.CANCELLED_TASKS -> peers.takeCancelledTasks(body)
-            Peers.QUERY -> ProtoBuf.encodeToByteArray(users.peerQuery(decodeJobId(body)))
-            Peers.CANCEL -> ProtoBuf.encodeToByteArray(users.peerCancel(decodeJobId(body)))
+            PeerPaths.DELTA -> applyDelta(body)
+            PeerPaths.CANCELLED_TASKS -> peers.cancellations.receiveCancellation(body)
+            PeerPaths.QUERY_JOB -> ProtoBuf.encodeToByteArray(users.peerQuery(decodeJobId(body)))
+            PeerPaths.CANCEL_JOB -> ProtoBuf.encodeToByteArray(users.peerCancel(decodeJobId(body)))
             else -> configuration.handle(path, body)
         }
 
     private fun applyDelta(body: ByteArray): ByteArray {
-        val answer = cpuUsage.of(CpuUsage.Kind.DELTAS) { peers.takeNews(body) }
+        val answer = cpuUsage.of(CpuUsage.Kind.DELTAS) { peers.receiveDelta(body) }
         cpuUsage.addDelta(body.size, answer.size)
         return answer
     }
--- a/src/main/kotlin/micatally/controller/UnreachableMachineSearch.kt
+++ b/src/main/kotlin/micatally/controller/UnreachableMachineSearch.kt
@@ -30,7 +30,7 @@
             if (machine.deleted || machine.attempts.isEmpty()) continue
             if (isUnreachable(machine, nowMs)) {
                 fleetManager.requestDeletion(listOf(machine.name))
-                peers.retire(machine.name)
+                peers.requestDeletion(machine.name)
             }
         }
     }
