--- a/src/main/kotlin/micatally/scheduling/AllOrNothingPlacement.kt
+++ b/src/main/kotlin/micatally/scheduling/AllOrNothingPlacement.kt
@@ -81,7 +81,7 @@
     /** What is to be rented for tasks of one zone: there where most of them fit already, or in turn where none do. */
     private fun requestFor(
         spec: JobSpec,
-        zoneRule: Placement.ZoneRule,
+        zoneRule: ZoneRule,
         count: Int,
         candidates: List<GangCandidate<Machine>>,
         now: Long,
--- a/src/main/kotlin/micatally/scheduling/CapacityMisses.kt
+++ b/src/main/kotlin/micatally/scheduling/CapacityMisses.kt
@@ -39,20 +39,20 @@
     /** Notes that no machine has free capacity for a task like this one. */
     fun addWithoutCapacity(
         spec: JobSpec,
-        zoneRule: Placement.ZoneRule,
+        zoneRule: ZoneRule,
     ) {
         withoutCapacity.add(shapeOf(spec, zoneRule))
     }
 
     fun isWithoutCapacity(
         spec: JobSpec,
-        zoneRule: Placement.ZoneRule,
+        zoneRule: ZoneRule,
     ): Boolean = shapeOf(spec, zoneRule) in withoutCapacity
 
     /** Notes that preemption can't free capacity for a task like this one that waits in [queue]. */
     fun addWithoutVictims(
         spec: JobSpec,
-        zoneRule: Placement.ZoneRule,
+        zoneRule: ZoneRule,
         queue: Int,
     ) {
         withoutVictims.add(QueuedShape(shapeOf(spec, zoneRule), queue))
@@ -60,13 +60,13 @@
 
     fun isWithoutVictims(
         spec: JobSpec,
-        zoneRule: Placement.ZoneRule,
+        zoneRule: ZoneRule,
         queue: Int,
     ): Boolean = QueuedShape(shapeOf(spec, zoneRule), queue) in withoutVictims
 
     private fun shapeOf(
         spec: JobSpec,
-        zoneRule: Placement.ZoneRule,
+        zoneRule: ZoneRule,
     ) = TaskShape(
         spec.resources,
         spec.types,
--- a/src/main/kotlin/micatally/scheduling/MachineSelector.kt
+++ b/src/main/kotlin/micatally/scheduling/MachineSelector.kt
@@ -64,7 +64,7 @@
         for (candidate in candidates) {
             val machine = candidate.machine
             if (!zoneRule.allows(machine.zone)) continue
-            val score = candidate.score + Placement.zoneScore(spec, zoneRule.attemptsByZone[machine.zone] ?: 0)
+            val score = candidate.score + MachineScore.ofZone(spec, zoneRule.attemptsIn(machine.zone))
             if (score < bestScore || score == bestScore && machine.name < best!!.machine.name) {
                 best = candidate
                 bestScore = score
@@ -89,7 +89,7 @@
         fun updateScore(): Boolean {
             val free = machineType.resources - machine.used
             if (!spec.resources.fitsIn(free) || isReserved(free)) return false
-            score = Placement.score(spec, machine, machineType, free)
+            score = MachineScore.of(spec, machine, machineType, free)
             if (!takesTurns) score += view.turnOf(machine) * TURN_WEIGHT
             return true
         }
@@ -98,7 +98,7 @@
             reservingRequests.any { view.mayUse(it, machine) && Resources(it.cores, it.gpus, it.memoryGb).fitsIn(free) }
 
         fun toGangCandidate(): GangCandidate<Machine> {
-            val imagePullS = Placement.imagePullS(spec, machine, machineType)
+            val imagePullS = MachineScore.imagePullS(spec, machine, machineType)
             val capacity = spec.resources.countIn(machineType.resources - machine.used)
             return GangCandidate(
                 machine,
--- a/src/main/kotlin/micatally/scheduling/Placement.kt
+++ b/src/main/kotlin/micatally/scheduling/Placement.kt
@@ -5,26 +5,35 @@
 import micatally.wire.JobSpec
 import micatally.wire.MachineType
 import micatally.wire.ResourceRequest
-import micatally.wire.Resources
 import micatally.worker.Machine
 
-/** Where a task may go, and where it goes best. Decisions only; no I/O and no clock of its own. */
+/** Where the tasks of a job may go. Pure decisions: no I/O, no clock and no state. [MachineScore] says where they go best. */
 object Placement {
+    /** Whether machines of this type may take a task of the job and are large enough for it. */
     fun mayUseType(
         spec: JobSpec,
         machineType: MachineType,
-    ) = (spec.types == null || machineType.label in spec.types) && spec.resources.fitsIn(machineType.resources)
+    ): Boolean {
+        val isAllowed = spec.types == null || machineType.label in spec.types
+        return isAllowed && spec.resources.fitsIn(machineType.resources)
+    }
+
+    /** Whether the job allows the type of the machine and, if it is a spot instance, allows those. */
+    fun mayUse(
+        spec: JobSpec,
+        machine: Machine,
+    ): Boolean = (!machine.spot || spec.spot) && (spec.types == null || machine.type in spec.types)
 
-    /** Whether any machine type could ever take one task of the job. */
+    /** Whether there is any machine type, in a zone the job allows, that could take one of its tasks. */
     fun isPossible(
         spec: JobSpec,
         machineTypes: Collection<MachineType>,
-    ) = machineTypes.any { mayUseType(spec, it) && (spec.zone == null || spec.zone in it.zones) }
+    ): Boolean = machineTypes.any { mayUseType(spec, it) && (spec.zone == null || spec.zone in it.zones) }
 
-    /** At most half of the tasks, rounded up, in one zone. */
-    fun zoneCap(spec: JobSpec) = if (spec.scatter) (spec.taskCount + 1) / 2 else spec.taskCount
+    /** How many tasks of the job one zone may have: half of them, rounded up, if they are to be scattered. */
+    fun zoneCap(spec: JobSpec): Int = if (spec.scatter) (spec.taskCount + 1) / 2 else spec.taskCount
 
-    /** Whether as many tasks as the job has may be in the zones that are allowed to it at the same time. */
+    /** Whether [zones] zones are enough for all tasks of the job at the same time. */
     fun fitsZones(
         spec: JobSpec,
         zones: Int,
@@ -33,7 +42,11 @@
         return zoneCap(spec).toLong() * allowed >= spec.taskCount
     }
 
-    /** The zones in which a further task of the job may start, given its live attempts; null: any. */
+    /**
+     * The zones in which a further task of the job may start, given its live attempts.
+     *
+     * @param without an attempt that does not count, because it will have ended before the further task starts
+     */
     fun zoneRule(
         job: Job,
         spec: JobSpec,
@@ -41,27 +54,12 @@
     ): ZoneRule {
         val attemptsByZone = HashMap<String, Int>()
         for (attempt in job.attempts.values) {
-            if (attempt !==
-                without
-            ) {
-                attemptsByZone.merge(attempt.machine.zone, 1, Int::plus)
-            }
+            if (attempt !== without) attemptsByZone.merge(attempt.machine.zone, 1, Int::plus)
         }
         return ZoneRule(spec, attemptsByZone)
     }
 
-    class ZoneRule(
-        private val spec: JobSpec,
-        val attemptsByZone: Map<String, Int>,
-    ) {
-        fun allows(zone: String): Boolean {
-            if (spec.zone != null && spec.zone != zone) return false
-            if (spec.together && attemptsByZone.isNotEmpty() && zone !in attemptsByZone) return false
-            return !spec.scatter || (attemptsByZone[zone] ?: 0) < zoneCap(spec)
-        }
-    }
-
-    /** What so many tasks of the job ask of the fleet. */
+    /** What [count] tasks of the job need of the fleet, as it is published to the other controllers. */
     fun resourceRequest(
         spec: JobSpec,
         zoneRule: ZoneRule,
@@ -69,98 +67,20 @@
         count: Int,
     ): ResourceRequest {
         val zones = allZones.filter { zoneRule.allows(it) }
-        val zoneRoom =
-            if (spec.scatter) {
-                zones.map {
-                    zoneCap(
-                        spec,
-                    ) - (zoneRule.attemptsByZone[it] ?: 0)
-                }
-            } else {
-                emptyList()
-            }
         return ResourceRequest(
-            spec.resources.cores,
-            spec.resources.gpus,
-            spec.resources.memoryGb,
-            spec.types?.toList() ?: emptyList(),
-            zones,
-            spec.spot,
-            count,
-            spec.priority.ordinal,
-            spec.isService,
-            spec.estimateS,
-            spec.image,
-            zoneRoom,
-            spec.isGang,
+            cores = spec.resources.cores,
+            gpus = spec.resources.gpus,
+            memoryGb = spec.resources.memoryGb,
+            types = spec.types?.toList() ?: emptyList(),
+            zones = zones,
+            spot = spec.spot,
+            count = count,
+            priority = spec.priority.ordinal,
+            service = spec.isService,
+            estimateS = spec.estimateS,
+            image = spec.image,
+            zoneRoom = if (spec.scatter) zones.map { zoneRule.remainingIn(it) } else emptyList(),
+            isGang = spec.isGang,
         )
     }
-
-    fun mayUse(
-        spec: JobSpec,
-        machine: Machine,
-    ) = (!machine.spot || spec.spot) && (spec.types == null || machine.type in spec.types)
-
-    /** How long the image will take, by the type's nominal rate; nothing if the machine has it, and part of it if a
-     * task of this node waits for it there already. */
-    fun imagePullS(
-        spec: JobSpec,
-        machine: Machine,
-        machineType: MachineType,
-    ): Double {
-        if (spec.image in machine.images) return 0.0
-        val fullPullS = spec.imageGb / machineType.pullGbPerS
-        return if (machine.attempts.any {
-                it.job.spec?.image == spec.image
-            }
-        ) {
-            fullPullS * PULL_UNDER_WAY_SHARE
-        } else {
-            fullPullS
-        }
-    }
-
-    private const val PULL_UNDER_WAY_SHARE = 0.5
-
-    /** Lower is better. The image counts most, then the tightest fit, so that whole machines stay free for large
-     * tasks or can be returned. A task without cards avoids eating the cores that a machine's cards will need. */
-    fun score(
-        spec: JobSpec,
-        machine: Machine,
-        machineType: MachineType,
-        free: Resources,
-    ): Double {
-        var score = imagePullS(spec, machine, machineType)
-        val left = free - spec.resources
-        val unusedShare =
-            maxOf(
-                left.gpus / maxOf(machineType.resources.gpus, 1.0),
-                if (machineType.resources.gpus > 0 &&
-                    spec.resources.gpus > 0
-                ) {
-                    0.0
-                } else {
-                    left.cores / machineType.resources.cores
-                },
-            )
-        score += unusedShare * FIT_WEIGHT
-        if (spec.resources.gpus == 0.0 && machineType.resources.gpus > 0) {
-            val coresPerGpu = machineType.resources.cores / machineType.resources.gpus * CORES_KEPT_PER_GPU
-            if (left.cores < left.gpus * coresPerGpu) score += STRANDED_GPUS_PENALTY
-        }
-        if (machine.spot && spec.spot) score -= SPOT_BONUS
-        return score
-    }
-
-    /** What a zone adds to the score of its machines, given how many tasks of the job are in it. */
-    fun zoneScore(
-        spec: JobSpec,
-        attemptsInZone: Int,
-    ) = if (spec.scatter) attemptsInZone * SCATTER_WEIGHT else 0.0
-
-    private const val FIT_WEIGHT = 8.0
-    private const val STRANDED_GPUS_PENALTY = 60.0
-    private const val CORES_KEPT_PER_GPU = 0.7
-    private const val SPOT_BONUS = 4.0
-    private const val SCATTER_WEIGHT = 0.5
 }
--- a/src/main/kotlin/micatally/scheduling/Preemption.kt
+++ b/src/main/kotlin/micatally/scheduling/Preemption.kt
@@ -23,7 +23,7 @@
     companion object {
         fun of(
             spec: JobSpec,
-            zoneRule: Placement.ZoneRule,
+            zoneRule: ZoneRule,
             queue: Int,
         ) = PlacementRequest(
             spec.resources,
@@ -32,8 +32,8 @@
             spec.jobId,
             { machine -> Placement.mayUse(spec, machine) && zoneRule.allows(machine.zone) },
             { machine, machineType, free ->
-                Placement.score(spec, machine, machineType, free) +
-                    Placement.zoneScore(spec, zoneRule.attemptsByZone[machine.zone] ?: 0)
+                MachineScore.of(spec, machine, machineType, free) +
+                    MachineScore.ofZone(spec, zoneRule.attemptsIn(machine.zone))
             },
         )
     }
