--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -33,6 +33,8 @@
 import micatally.membership.SharedKeyCache
 import micatally.peer.Peers
 import micatally.quota.Quota
+import micatally.scheduling.ClusterView
+import micatally.scheduling.PlacementActions
 import micatally.scheduling.PriorityQueues
 import micatally.scheduling.Scheduler
 import micatally.settings.Operator
@@ -134,11 +136,8 @@
         Scheduler(
             scope,
             settings,
-            jobManager,
-            machines,
-            store,
-            quota,
-            dispatcher,
+            ClusterView(settings, machines) { peers.demandOfPeers() },
+            PlacementActions(jobManager, store, quota, dispatcher),
             PriorityQueues(
                 operator.queueBounds.map {
                     it *
@@ -147,6 +146,7 @@
                 },
                 operator.promotionRatio,
             ),
+            { state.waitingWrites == 0 && state.get(Keys.FENCING_TOKEN, Urgency.SUMMARY) is ReadResult.Found },
             cpuUsage,
             nowMs,
         )
@@ -206,9 +206,6 @@
         membership.peersConfirmedAt = { peers.peersConfirmedAt() }
         jobManager.quota = quota
         jobManager.requestCycle = { scheduler.requestCycle() }
-        scheduler.stateAnswers =
-            { state.waitingWrites == 0 && state.get(Keys.FENCING_TOKEN, Urgency.SUMMARY) is ReadResult.Found }
-        scheduler.peerRequests = { peers.demandOfPeers() }
         store.onDurable = { job, written -> jobManager.durable(job, written) }
         store.onDropped = { jobManager.forget(it) }
         store.onRecordFull = { job, attempts -> jobManager.giveUp(job, attempts) }
--- a/src/main/kotlin/micatally/scheduling/ClusterView.kt
+++ b/src/main/kotlin/micatally/scheduling/ClusterView.kt
@@ -11,6 +11,7 @@
 class ClusterView(
     private val settings: Settings,
     val machines: MachineRegistry,
+    private val peerRequests: () -> List<ResourceRequest>,
 ) {
     private val controllerHosts = (settings.peers.map { it.host } + settings.host).sorted()
     private val ownIndex = controllerHosts.indexOf(settings.host)
@@ -44,12 +45,10 @@
     private var machinesWithFreeCores: List<Machine>? = null
     private var machinesWithFreeGpus: List<Machine> = emptyList()
 
-    fun beginCycle(
-        peerRequests: List<ResourceRequest>,
-        now: Long,
-    ) {
-        peerServiceRequests = peerRequests.filter { it.service }
-        peerGangRequests = peerRequests.filter { it.isGang }
+    fun beginCycle(now: Long) {
+        val requests = peerRequests()
+        peerServiceRequests = requests.filter { it.service }
+        peerGangRequests = requests.filter { it.isGang }
         val usable = machines.byName.values.filter { isUsable(it, now) && freeCapacityOf(it).cores > Resources.SLACK }
         machinesWithFreeCores = usable
         machinesWithFreeGpus = usable.filter { freeCapacityOf(it).gpus > Resources.SLACK }
--- a/src/main/kotlin/micatally/scheduling/Preemption.kt
+++ b/src/main/kotlin/micatally/scheduling/Preemption.kt
@@ -7,7 +7,6 @@
 import micatally.wire.JobSpec
 import micatally.wire.MachineType
 import micatally.wire.Resources
-import micatally.worker.CommandDispatcher
 import micatally.worker.Machine
 import org.slf4j.LoggerFactory
 
@@ -44,7 +43,7 @@
     private val settings: Settings,
     private val view: ClusterView,
     private val queues: PriorityQueues,
-    private val dispatcher: CommandDispatcher,
+    private val actions: PlacementActions,
 ) {
     private val log = LoggerFactory.getLogger("micatally.scheduling")
 
@@ -98,7 +97,7 @@
         val machine = best.firstOrNull()?.machine ?: return false
         preempt(best, request, now)
         reservedByMachine.merge(machine.name, request.resources, Resources::plus)
-        dispatcher.requestSync(machine)
+        actions.requestSync(machine)
         return true
     }
 
--- a/src/main/kotlin/micatally/scheduling/ReplicaMigration.kt
+++ b/src/main/kotlin/micatally/scheduling/ReplicaMigration.kt
@@ -18,6 +18,7 @@
     private val settings: Settings,
     private val view: ClusterView,
     private val actions: PlacementActions,
+    private val stateStoreAnswers: suspend () -> Boolean,
     private val nowMs: () -> Long,
 ) {
     private val log = LoggerFactory.getLogger("micatally.scheduling")
@@ -73,7 +74,7 @@
             scope.launch {
                 val isStateStoreResponsive =
                     try {
-                        withTimeoutOrNull(settings.heartbeatIntervalMs / 4) { stateAnswers() } ?: false
+                        withTimeoutOrNull(settings.heartbeatIntervalMs / 4) { stateStoreAnswers() } ?: false
                     } finally {
                         isCheckingStateStore =
                             false
@@ -137,8 +138,6 @@
         actions.requestSync(migration.attempt.machine)
     }
 
-    /** Whether the state service answers now, and no write of this node waits. */
-    var stateAnswers: suspend () -> Boolean = { true }
     private var isCheckingStateStore = false
 
     private class Migration(
--- a/src/main/kotlin/micatally/scheduling/Scheduler.kt
+++ b/src/main/kotlin/micatally/scheduling/Scheduler.kt
@@ -6,28 +6,23 @@
 import micatally.controller.CpuUsage
 import micatally.job.AttemptState
 import micatally.job.Job
-import micatally.job.JobManager
-import micatally.job.JobStore
-import micatally.quota.Quota
 import micatally.settings.Settings
 import micatally.wire.ResourceRequest
-import micatally.worker.CommandDispatcher
-import micatally.worker.MachineRegistry
 
 /**
  * Runs the scheduling cycles of this controller. A cycle visits the jobs with pending tasks in [JobOrder] and places what
  * finds free capacity. Cycles are started by events, have a time budget, and a cycle that exceeds it is continued by the
  * next one after the job where it stopped.
+ *
+ * @param stateStoreAnswers whether the state store answers now and no write of this controller is queued
  */
 class Scheduler(
     private val scope: CoroutineScope,
     settings: Settings,
-    jobManager: JobManager,
-    machines: MachineRegistry,
-    store: JobStore,
-    quota: Quota,
-    dispatcher: CommandDispatcher,
+    private val view: ClusterView,
+    private val actions: PlacementActions,
     queues: PriorityQueues,
+    stateStoreAnswers: suspend () -> Boolean,
     private val cpuUsage: CpuUsage,
     private val nowMs: () -> Long,
 ) {
@@ -40,15 +35,11 @@
     /** The job after which the next cycle continues; null: it starts a new pass over all jobs. */
     private var resumeAfter: String? = null
 
-    /** What other controllers could not place. Each of them can stop only its own tasks, so they stop some for one another. */
-    var peerRequests: () -> List<ResourceRequest> = { emptyList() }
-    private val actions = PlacementActions(jobManager, store, quota, dispatcher)
-    private val view = ClusterView(settings, machines)
     private val order = JobOrder(queues, settings.leaseMs)
     private val misses = CapacityMisses(settings.zones)
     private val requests = PendingRequests()
-    private val preemption = Preemption(settings, view, queues, dispatcher)
-    private val migration = ReplicaMigration(scope, settings, view, actions, nowMs)
+    private val preemption = Preemption(settings, view, queues, actions)
+    private val migration = ReplicaMigration(scope, settings, view, actions, stateStoreAnswers, nowMs)
     private val allOrNothing =
         AllOrNothingPlacement(settings, view, actions) { job, request ->
             requests.add(job, request)
@@ -58,13 +49,6 @@
     private val placement =
         JobPlacement(settings, view, actions, queues, migration, allOrNothing, misses, unplacedTasks)
 
-    /** Whether the state store answers now and no write of this controller is queued. */
-    var stateAnswers: suspend () -> Boolean
-        get() = migration.stateAnswers
-        set(value) {
-            migration.stateAnswers = value
-        }
-
     /** The resource requests of jobs that found no free capacity in the last complete pass, by job id. */
     val pendingRequests: Map<String, ResourceRequest> get() = requests.latest
 
@@ -107,7 +91,7 @@
         val jobs = order.sorted(actions.openJobs().filter { it.pendingCount > 0 })
         val first = resumeIndex(jobs)
         if (first == 0) beginPass()
-        view.beginCycle(peerRequests(), now)
+        view.beginCycle(now)
         resumeAfter = placeJobs(jobs, first, now)
         view.endCycle()
         if (resumeAfter == null) requests.endPass()
