--- a/src/main/kotlin/micatally/scheduling/JobPlacement.kt
+++ b/src/main/kotlin/micatally/scheduling/JobPlacement.kt
@@ -21,13 +21,13 @@
     /**
      * Places what can be placed of the job now.
      *
-     * @param withImage uses only machines that have the job's image
+     * @param imagePreference whether the image may have to be pulled first; ignored for tasks that are placed all at once
      * @return whether everything tried found a machine and more tasks are pending, so that another cycle is worth it
      */
     fun place(
         job: Job,
         now: Long,
-        withImage: Boolean = false,
+        imagePreference: ImagePreference,
     ): Boolean {
         val spec = job.spec ?: return false
         if (!job.wantsTasks || now < job.retryAt) return false
@@ -48,7 +48,7 @@
             allOrNothing.placeWhole(job, spec, pending, now) { job.nextAttempt++ }
             return false
         }
-        return placeEach(job, spec, pending, now, withImage)
+        return placeEach(job, spec, pending, now, imagePreference)
     }
 
     /** The quota is asked last, and only for a shape that is known to find no machine: asking may request more of it. */
@@ -70,9 +70,9 @@
         spec: JobSpec,
         pending: List<Int>,
         now: Long,
-        withImage: Boolean,
+        imagePreference: ImagePreference,
     ): Boolean {
-        val selector = MachineSelector(view, job, spec, now, withImage)
+        val selector = MachineSelector(view, job, spec, now, imagePreference)
         var placed = 0
         var isBlocked = false
         for (taskIndex in pending) {
@@ -82,7 +82,7 @@
             }
             val machine = selector.next()
             if (machine == null) {
-                isBlocked = selector.isDeferred || withImage
+                isBlocked = selector.isDeferred || imagePreference == ImagePreference.ONLY_WITH_IMAGE
                 if (!isBlocked && job.health.machines.isEmpty()) misses.addWithoutCapacity(spec, selector.zoneRule)
                 break
             }
--- a/src/main/kotlin/micatally/scheduling/MachineSelector.kt
+++ b/src/main/kotlin/micatally/scheduling/MachineSelector.kt
@@ -8,11 +8,13 @@
 import micatally.wire.Resources
 import micatally.worker.Machine
 
+/** Whether a task may be placed where its image has to be pulled first. */
+enum class ImagePreference { ANY_MACHINE, ONLY_WITH_IMAGE }
+
 /**
  * The machines that could take tasks of a job, best first. Scores are worked out once: placing one task changes that of
  * its own machine only, and what its zone counts.
  *
- * @param needsImage only machines that have the job's image
  * @param migrating an attempt that will be gone before the task starts elsewhere
  */
 class MachineSelector(
@@ -20,7 +22,7 @@
     private val job: Job,
     private val spec: JobSpec,
     now: Long,
-    needsImage: Boolean = false,
+    private val imagePreference: ImagePreference = ImagePreference.ANY_MACHINE,
     migrating: Attempt? = null,
 ) {
     /** Services and gangs are to start at once; that another owner may choose the same room only counts against it. */
@@ -40,7 +42,7 @@
 
     init {
         for (machine in view.candidatesFor(spec)) {
-            if (!isAllowed(machine, now) || needsImage && spec.image !in machine.images) continue
+            if (!isAllowed(machine, now) || !suitsImagePreference(machine)) continue
             val machineType = view.machines.machineTypes[machine.type] ?: continue
             val candidate = Candidate(machine, machineType)
             if (!candidate.updateScore()) continue
@@ -53,6 +55,9 @@
         now: Long,
     ): Boolean = view.isUsable(machine, now) && Placement.mayUse(spec, machine) && !job.health.avoids(machine.name)
 
+    private fun suitsImagePreference(machine: Machine): Boolean =
+        imagePreference == ImagePreference.ANY_MACHINE || spec.image in machine.images
+
     /** The best machine for one more task; the one given before has been filled meanwhile. */
     fun next(): Machine? {
         lastChoice?.let {
--- a/src/main/kotlin/micatally/scheduling/ReplicaMigration.kt
+++ b/src/main/kotlin/micatally/scheduling/ReplicaMigration.kt
@@ -105,7 +105,14 @@
                 }
                 // It is gone before it starts elsewhere, so its own place does not count against its zone.
                 val target =
-                    MachineSelector(view, attempt.job, spec, now, needsImage = true, migrating = attempt).next()
+                    MachineSelector(
+                        view,
+                        attempt.job,
+                        spec,
+                        now,
+                        imagePreference = ImagePreference.ONLY_WITH_IMAGE,
+                        migrating = attempt,
+                    ).next()
                         ?: continue
                 target.promise(attempt.job.jobId, attempt.taskIndex, spec.resources, now + settings.leaseMs)
                 planned.add(Migration(attempt, target, now))
--- a/src/main/kotlin/micatally/scheduling/Scheduler.kt
+++ b/src/main/kotlin/micatally/scheduling/Scheduler.kt
@@ -73,14 +73,14 @@
     fun placeJob(
         job: Job,
         now: Long,
-    ) = placeJob(job, now, false)
+    ) = placeJob(job, now, ImagePreference.ANY_MACHINE)
 
     private fun placeJob(
         job: Job,
         now: Long,
-        withImage: Boolean,
+        imagePreference: ImagePreference,
     ) {
-        if (placement.place(job, now, withImage)) requestCycle()
+        if (placement.place(job, now, imagePreference)) requestCycle()
     }
 
     private fun runCycle() {
@@ -144,7 +144,7 @@
         if (end - first < 2) return
         for (index in first until end) {
             if (!isSearchedByImage(jobs[index])) continue
-            placeJob(jobs[index], now, true)
+            placeJob(jobs[index], now, ImagePreference.ONLY_WITH_IMAGE)
             if (isOverBudget(now)) return
         }
     }
