--- a/src/main/kotlin/micatally/scheduling/AllOrNothingPlacement.kt
+++ b/src/main/kotlin/micatally/scheduling/AllOrNothingPlacement.kt
@@ -11,40 +11,60 @@
 import micatally.wire.ResourceRequest
 import micatally.worker.Machine
 
-/** Places the tasks of gangs, and of services that must be in one zone, all at once or not at all. */
+/**
+ * Places the tasks of gangs, and of services that must be in one zone, all at once or not at all.
+ *
+ * @param onNoCapacity receives the resource request of a job whose tasks did not all find free capacity
+ */
 class AllOrNothingPlacement(
     private val settings: Settings,
     private val view: ClusterView,
     private val actions: PlacementActions,
     private val onNoCapacity: (Job, ResourceRequest) -> Unit,
 ) {
-    /** A whole run of a gang, or tasks that a run which waits has lost. */
+    /**
+     * Places a new run of a gang, or replacements for tasks that a waiting run has lost.
+     *
+     * @param maxAttempts how many more attempts the job may have
+     */
     fun placeGang(
         job: Job,
         spec: JobSpec,
         gang: Gang,
         maxAttempts: Int,
         now: Long,
-    ): Boolean {
+    ) {
         val missing = job.pending(spec.taskCount)
         val isReplacing = gang.phase == GangPhase.WAITING
         val mayPlace = if (isReplacing) actions.gangs.mayReplace(job, gang, now) else gang.phase == GangPhase.PLACING
-        if (missing.isEmpty() || !mayPlace || missing.size > maxAttempts) return true
-        if (!isReplacing) {
-            return placeWhole(job, spec, missing, now) { job.nextAttempt++.also { gang.beginRun(it) } } !=
-                null
+        if (missing.isEmpty() || !mayPlace || missing.size > maxAttempts) return
+        if (isReplacing) {
+            placeReplacements(job, spec, gang, missing, now)
+        } else {
+            placeWhole(job, spec, missing, now) { job.nextAttempt++.also { gang.beginRun(it) } }
         }
-        val placed = placeWhole(job, spec, missing, now) { gang.number } ?: return false
+    }
+
+    /** Replacements whose image would arrive after the other workers stop waiting are useless: the run is given up. */
+    private fun placeReplacements(
+        job: Job,
+        spec: JobSpec,
+        gang: Gang,
+        missing: List<Int>,
+        now: Long,
+    ) {
+        val assignment = placeWhole(job, spec, missing, now) { gang.number } ?: return
         val waitedMs = gang.waitingSinceMs?.let { now - it } ?: 0L
-        if (waitedMs + placed.imagePullS * 1000 * PULL_TIME_MARGIN >
-            settings.gangWaitMs
-        ) {
-            actions.gangs.giveUp(job, "a replacement needs ${placed.imagePullS} s")
-        }
-        return true
+        val isTooLate = waitedMs + assignment.imagePullS * MS_PER_S * PULL_TIME_MARGIN > settings.gangWaitMs
+        if (isTooLate) actions.gangs.giveUp(job, "a replacement needs ${assignment.imagePullS} s")
     }
 
-    /** All or nothing: every one of these tasks finds room, in one zone where it has to, or none is placed; null: none. */
+    /**
+     * Places all of these tasks, in one zone if the job demands it, or none of them.
+     *
+     * @param attemptNumber gives the number that the attempts share; called only when every task has found a machine
+     * @return the chosen machines; null if none was placed
+     */
     fun placeWhole(
         job: Job,
         spec: JobSpec,
@@ -54,31 +74,34 @@
     ): GangAssignment<Machine>? {
         if (!actions.isWithinQuota(job, tasks.size)) return null
         val zoneRule = Placement.zoneRule(job, spec)
-        val gang = job.gang
-        val candidates =
-            MachineSelector(view, job, spec, now)
-                .gangCandidates()
-                .filter { candidate ->
-                    gang == null || gang.phase != GangPhase.WAITING ||
-                        tasks.none { gang.wasTried(it, candidate.machine.name) }
-                }
-        val zoneRoom = { zone: String ->
-            if (spec.scatter) Placement.zoneCap(spec) - (zoneRule.attemptsByZone[zone] ?: 0) else spec.taskCount
-        }
-        val assignment = GangPlacement.choose(candidates, tasks.size, spec.together, zoneRoom)
+        val candidates = MachineSelector(view, job, spec, now).gangCandidates().filter { mayTake(job.gang, tasks, it) }
+        val assignment = GangPlacement.choose(candidates, tasks.size, spec.together) { zoneRule.remainingIn(it) }
         if (assignment == null) {
             onNoCapacity(job, requestFor(spec, zoneRule, tasks.size, candidates, now))
             return null
         }
-        val attempt = attemptNumber()
+        val number = attemptNumber()
         for ((index, taskIndex) in tasks.withIndex()) {
-            actions.createAttempt(job, taskIndex, assignment.machines[index].machine, attempt)
+            actions.createAttempt(job, taskIndex, assignment.machines[index].machine, number)
         }
         actions.requestWrite(job)
         return assignment
     }
 
-    /** What is to be rented for tasks of one zone: there where most of them fit already, or in turn where none do. */
+    /** A machine ignores a second command for the same task of the same run, so a replacement must go to another one. */
+    private fun mayTake(
+        gang: Gang?,
+        tasks: List<Int>,
+        candidate: GangCandidate<Machine>,
+    ): Boolean {
+        if (gang == null || gang.phase != GangPhase.WAITING) return true
+        return tasks.none { gang.wasTried(it, candidate.machine.name) }
+    }
+
+    /**
+     * The resource request for tasks that must be in one zone names a single zone: the one where most of them fit already, or,
+     * where none fits anywhere, each zone in turn.
+     */
     private fun requestFor(
         spec: JobSpec,
         zoneRule: ZoneRule,
@@ -89,7 +112,8 @@
         val request = Placement.resourceRequest(spec, zoneRule, settings.zones, count)
         if (!spec.together || request.zones.isEmpty()) return request
         val fitting = candidates.groupBy { it.zone }.mapValues { (_, list) -> list.sumOf { minOf(it.capacity, count) } }
-        val turn = (now / (view.machines.bootMs(null) * BOOTS_PER_ZONE) % request.zones.size).toInt()
+        val turnMs = view.machines.bootMs(null) * BOOTS_PER_ZONE
+        val turn = (now / turnMs % request.zones.size).toInt()
         val fullest = request.zones.maxBy { fitting[it] ?: 0 }
         val zone = if ((fitting[fullest] ?: 0) > 0) fullest else request.zones[turn]
         val missing = maxOf(1, count - (fitting[zone] ?: 0))
@@ -97,10 +121,12 @@
     }
 
     private companion object {
-        /** Rates differ by a third, and images fetched at the same time share them. */
+        const val MS_PER_S = 1000
+
+        /** Pull rates differ by a third, and images that are pulled at the same time share the rate. */
         const val PULL_TIME_MARGIN = 2
 
-        /** So many boots long machines for a gang that must be in one zone are looked for in the same one. */
+        /** For this many boot times machines are requested in the same zone, for a gang that must be in one zone. */
         const val BOOTS_PER_ZONE = 4
     }
 }
--- a/src/main/kotlin/micatally/scheduling/MachineSelector.kt
+++ b/src/main/kotlin/micatally/scheduling/MachineSelector.kt
@@ -12,10 +12,10 @@
 enum class ImagePreference { ANY_MACHINE, ONLY_WITH_IMAGE }
 
 /**
- * The machines that could take tasks of a job, best first. Scores are worked out once: placing one task changes that of
- * its own machine only, and what its zone counts.
+ * Selects machines for the tasks of one job, best first. Scores are computed once: placing a task changes only the score of
+ * its own machine and the task count of its zone.
  *
- * @param migrating an attempt that will be gone before the task starts elsewhere
+ * @param migrating an attempt that will have ended before the task starts elsewhere
  */
 class MachineSelector(
     private val view: ClusterView,
@@ -25,58 +25,77 @@
     private val imagePreference: ImagePreference = ImagePreference.ANY_MACHINE,
     migrating: Attempt? = null,
 ) {
-    /** Services and gangs are to start at once; that another owner may choose the same room only counts against it. */
+    /** Services and gangs must start at once; that another controller may choose the same machine only worsens the score. */
     private val takesTurns = !spec.isService && !spec.isGang
 
-    /** Room that a more important waiter is short of is not filled again. */
+    /** Capacity in which one of these more important requests fits is left alone. */
     private val reservingRequests = if (spec.isService) emptyList() else view.requestsBefore(spec.priority.ordinal)
 
+    /** The zones in which the next task may start. */
     var zoneRule = Placement.zoneRule(job, spec, migrating)
         private set
     private val candidates = ArrayList<Candidate>()
 
-    /** There is room whose turn is still to come, so that more machines need not be asked for yet. */
+    /** Whether a machine has capacity at which this controller's turn is still to come, so that none need be requested yet. */
     var isDeferred = false
         private set
     private var lastChoice: Candidate? = null
 
     init {
         for (machine in view.candidatesFor(spec)) {
-            if (!isAllowed(machine, now) || !suitsImagePreference(machine)) continue
-            val machineType = view.machines.machineTypes[machine.type] ?: continue
-            val candidate = Candidate(machine, machineType)
-            if (!candidate.updateScore()) continue
-            if (takesTurns && !view.hasTurn(machine, now)) isDeferred = true else candidates.add(candidate)
+            if (isAllowed(machine, now)) addCandidate(machine, now)
         }
     }
 
     private fun isAllowed(
         machine: Machine,
         now: Long,
-    ): Boolean = view.isUsable(machine, now) && Placement.mayUse(spec, machine) && !job.health.avoids(machine.name)
+    ): Boolean {
+        val isAllowed =
+            view.isUsable(machine, now) && Placement.mayUse(spec, machine) && !job.health.avoids(machine.name)
+        return isAllowed && (imagePreference == ImagePreference.ANY_MACHINE || spec.image in machine.images)
+    }
 
-    private fun suitsImagePreference(machine: Machine): Boolean =
-        imagePreference == ImagePreference.ANY_MACHINE || spec.image in machine.images
+    private fun addCandidate(
+        machine: Machine,
+        now: Long,
+    ) {
+        val machineType = view.machines.machineTypes[machine.type] ?: return
+        val candidate = Candidate(machine, machineType)
+        if (!candidate.updateScore()) return
+        if (takesTurns && !view.turns.hasTurn(machine, now)) {
+            isDeferred = true
+        } else {
+            candidates.add(candidate)
+        }
+    }
 
-    /** The best machine for one more task; the one given before has been filled meanwhile. */
+    /** The best machine for one more task, or null. The caller has placed a task on the machine that it got before. */
     fun next(): Machine? {
         lastChoice?.let {
             if (!it.updateScore()) candidates.remove(it)
             zoneRule = Placement.zoneRule(job, spec)
         }
+        val best = bestCandidate()
+        lastChoice = best
+        return best?.machine
+    }
+
+    /** Of machines with the same score the first by name. */
+    private fun bestCandidate(): Candidate? {
         var best: Candidate? = null
         var bestScore = Double.MAX_VALUE
         for (candidate in candidates) {
             val machine = candidate.machine
             if (!zoneRule.allows(machine.zone)) continue
             val score = candidate.score + MachineScore.ofZone(spec, zoneRule.attemptsIn(machine.zone))
-            if (score < bestScore || score == bestScore && machine.name < best!!.machine.name) {
+            val winsTie = score == bestScore && best != null && machine.name < best.machine.name
+            if (score < bestScore || winsTie) {
                 best = candidate
                 bestScore = score
             }
         }
-        lastChoice = best
-        return best?.machine
+        return best
     }
 
     /** All machines, for tasks that are placed at once. */
@@ -90,36 +109,34 @@
         var score = 0.0
             private set
 
-        /** False if there is no room. */
+        /** Computes the score anew; false if the task does not fit or the capacity is reserved. */
         fun updateScore(): Boolean {
             val free = machineType.resources - machine.used
             if (!spec.resources.fitsIn(free) || isReserved(free)) return false
             score = MachineScore.of(spec, machine, machineType, free)
-            if (!takesTurns) score += view.turnOf(machine) * TURN_WEIGHT
+            if (!takesTurns) score += view.turns.turnOf(machine) * TURN_WEIGHT
             return true
         }
 
-        private fun isReserved(free: Resources) =
-            reservingRequests.any { view.mayUse(it, machine) && Resources(it.cores, it.gpus, it.memoryGb).fitsIn(free) }
+        private fun isReserved(free: Resources): Boolean =
+            reservingRequests.any { request ->
+                view.mayUse(request, machine) &&
+                    Resources(request.cores, request.gpus, request.memoryGb).fitsIn(free)
+            }
 
         fun toGangCandidate(): GangCandidate<Machine> {
             val imagePullS = MachineScore.imagePullS(spec, machine, machineType)
             val capacity = spec.resources.countIn(machineType.resources - machine.used)
-            return GangCandidate(
-                machine,
-                machine.zone,
-                capacity,
-                imagePullS,
-                score + imagePullS * (GANG_PULL_WEIGHT - 1),
-            )
+            val cost = score + imagePullS * (GANG_PULL_WEIGHT - 1)
+            return GangCandidate(machine, machine.zone, capacity, imagePullS, cost)
         }
     }
 
     private companion object {
-        /** What a later turn counts against a machine, for tasks that don't wait for theirs. */
+        /** What each turn that other controllers have before this one adds to a machine's score, for tasks that don't wait. */
         const val TURN_WEIGHT = 0.5
 
-        /** A second of fetching counts so much more for a gang, which starts with its slowest machine. */
+        /** A second of image pulling counts this much more for a gang, which starts with its slowest machine. */
         const val GANG_PULL_WEIGHT = 10
     }
 }
--- a/src/main/kotlin/micatally/scheduling/Preemption.kt
+++ b/src/main/kotlin/micatally/scheduling/Preemption.kt
@@ -4,103 +4,109 @@
 import micatally.job.AttemptState
 import micatally.job.StopReason
 import micatally.settings.Settings
-import micatally.wire.JobSpec
 import micatally.wire.MachineType
+import micatally.wire.ResourceRequest
 import micatally.wire.Resources
 import micatally.worker.Machine
 import org.slf4j.LoggerFactory
 
-/** A waiting task that fits nowhere, of this owner or of another one. */
-class PlacementRequest(
-    val resources: Resources,
-    val priority: Int,
-    val queue: Int,
-    val name: String,
-    val fits: (Machine) -> Boolean,
-    val score: (Machine, MachineType, Resources) -> Double,
-) {
-    companion object {
-        fun of(
-            spec: JobSpec,
-            zoneRule: ZoneRule,
-            queue: Int,
-        ) = PlacementRequest(
-            spec.resources,
-            spec.priority.ordinal,
-            queue,
-            spec.jobId,
-            { machine -> Placement.mayUse(spec, machine) && zoneRule.allows(machine.zone) },
-            { machine, machineType, free ->
-                MachineScore.of(spec, machine, machineType, free) +
-                    MachineScore.ofZone(spec, zoneRule.attemptsIn(machine.zone))
-            },
-        )
-    }
-}
-
-/** Stops array tasks to make room for more important work. Gangs are neither stopped for others, nor are others for them. */
+/**
+ * Preempts array tasks to free capacity for more important work. Gangs are never preempted, and nothing is preempted for
+ * them.
+ */
 class Preemption(
     private val settings: Settings,
     private val view: ClusterView,
     private val queues: PriorityQueues,
     private val actions: PlacementActions,
 ) {
+    /** The tasks to preempt on one machine, and the capacity that is free there once they are gone. */
+    private class VictimPlan(
+        val machine: Machine,
+        val victims: List<Attempt>,
+        val freeAfter: Resources,
+    )
+
+    /** Tells requests of peers apart: which of them this controller has preempted tasks for, and when. */
+    private data class PeerServiceKey(
+        val image: String,
+        val gpus: Double,
+        val cores: Double,
+    )
+
     private val log = LoggerFactory.getLogger("micatally.scheduling")
 
-    /** Room that stops under way will leave, as far as it is meant for a waiter already; worked out anew each round. */
+    /** Capacity that tasks which are stopping will leave and that is meant for a pending task, by machine name. */
     private val reservedByMachine = HashMap<String, Resources>()
-    private val preemptedForPeersAt = HashMap<String, Long>()
+    private val preemptedForPeersAt = HashMap<PeerServiceKey, Long>()
 
-    fun beginCycle() = reservedByMachine.clear()
+    /** Drops all reservations: each pass over the jobs makes them anew. */
+    fun beginPass() = reservedByMachine.clear()
 
-    /** The design's stop: an array task past its queue's bound may be stopped once for a waiter two queues higher that
-     * fits nowhere. Of the machines where that helps, the one is taken that the waiter would like best. True if there
-     * is room under way now. */
+    /**
+     * Frees capacity for one pending task that fits nowhere. An array task that has passed its queue's bound may be preempted,
+     * once, for a task waiting two queues higher. Of the machines where this helps, the one that suits the pending task best
+     * is chosen.
+     *
+     * @return whether enough capacity is now being freed on some machine; it is reserved for the task until the next pass
+     */
     fun freeCapacityFor(
         request: PlacementRequest,
         now: Long,
     ): Boolean {
-        var best: List<Attempt> = emptyList()
+        var best: VictimPlan? = null
         var bestScore = Double.MAX_VALUE
         for (machine in view.machines.byName.values) {
-            if (!view.isUsable(machine, now) || !request.fits(machine)) continue
+            if (!view.isUsable(machine, now) || !request.mayUse(machine)) continue
             val machineType = view.machines.machineTypes[machine.type] ?: continue
-            var free = machineType.resources - machine.used - (reservedByMachine[machine.name] ?: Resources.NONE)
-            // Room that is on its way already.
-            for (attempt in machine.attempts) {
-                if (attempt.stop !=
-                    null
-                ) {
-                    free = free + (attempt.job.spec?.resources ?: Resources.NONE)
-                }
-            }
-            if (request.resources.fitsIn(free)) {
-                reservedByMachine.merge(machine.name, request.resources, Resources::plus)
+            val expectedFree = expectedFreeCapacity(machine, machineType)
+            if (request.resources.fitsIn(expectedFree)) {
+                reserve(machine, request)
                 return true
             }
-            val victims = ArrayList<Attempt>()
-            for (attempt in machine.attempts.filter { mayPreempt(it, request, machineType, now) }.sortedByDescending {
-                it.runningSince
-                    ?: 0L
-            }) {
-                victims.add(attempt)
-                free = free + attempt.job.spec!!.resources
-                if (request.resources.fitsIn(free)) break
-            }
-            if (!request.resources.fitsIn(free) || victims.isEmpty()) continue
-            val score = request.score(machine, machineType, free) + victims.size
+            val plan = planVictims(machine, machineType, expectedFree, request, now) ?: continue
+            val score = request.score(machine, machineType, plan.freeAfter) + plan.victims.size
             if (score < bestScore) {
-                best = victims
+                best = plan
                 bestScore = score
             }
         }
-        val machine = best.firstOrNull()?.machine ?: return false
-        preempt(best, request, now)
-        reservedByMachine.merge(machine.name, request.resources, Resources::plus)
-        actions.requestSync(machine)
+        val plan = best ?: return false
+        preempt(plan.victims, request, now)
+        reserve(plan.machine, request)
+        actions.requestSync(plan.machine)
         return true
     }
 
+    /** The capacity that will be free and not reserved once the tasks that are already stopping are gone. */
+    private fun expectedFreeCapacity(
+        machine: Machine,
+        machineType: MachineType,
+    ): Resources {
+        var free = machineType.resources - machine.used - (reservedByMachine[machine.name] ?: Resources.NONE)
+        for (attempt in machine.attempts) if (attempt.stop != null) free = free + resourcesOf(attempt)
+        return free
+    }
+
+    /** The tasks that started last are preempted first, as they lose least. Null if all of them would not be enough. */
+    private fun planVictims(
+        machine: Machine,
+        machineType: MachineType,
+        expectedFree: Resources,
+        request: PlacementRequest,
+        now: Long,
+    ): VictimPlan? {
+        val preemptible = machine.attempts.filter { mayPreempt(it, request, machineType, now) }
+        var free = expectedFree
+        val victims = ArrayList<Attempt>()
+        for (attempt in preemptible.sortedByDescending { it.runningSince ?: 0L }) {
+            victims.add(attempt)
+            free = free + resourcesOf(attempt)
+            if (request.resources.fitsIn(free)) return VictimPlan(machine, victims, free)
+        }
+        return null
+    }
+
     private fun mayPreempt(
         attempt: Attempt,
         request: PlacementRequest,
@@ -111,13 +117,11 @@
         val isArray = !spec.isService && !spec.isGang
         if (!isArray || attempt.stop != null || attempt.state != AttemptState.RUNNING) return false
         if (attempt.taskIndex in attempt.job.stoppedOnce || spec.priority.ordinal <= request.priority) return false
-        val runS = (now - (attempt.runningSince ?: now)) / 1000.0
-        if (!queues.hasPassedBound(attempt.inherited, runS) ||
-            queues.queueOf(attempt.inherited + runS) < request.queue + 2
-        ) {
-            return false
-        }
-        // A task that never saves loses all it did: beyond what a new machine takes to boot that is not worth it.
+        val runS = (now - (attempt.runningSince ?: now)) / MS_PER_S
+        if (!queues.hasPassedBound(attempt.inherited, runS)) return false
+        if (queues.queueOf(attempt.inherited + runS) < request.queue + QUEUES_ABOVE_VICTIM) return false
+        // A task without checkpoints loses all its progress. Once that is more than the boot time of a new machine,
+        // preempting it is not worth it.
         return spec.checkpointS > 0 || runS <= machineType.readyS
     }
 
@@ -133,47 +137,47 @@
         }
     }
 
-    /** Another owner's service still waits though that owner has stopped what it could: now it is this one's turn. The
-     * turns go round, so that not all make room for the same waiter. */
+    private fun reserve(
+        machine: Machine,
+        request: PlacementRequest,
+    ) {
+        reservedByMachine.merge(machine.name, request.resources, Resources::plus)
+    }
+
+    private fun resourcesOf(attempt: Attempt): Resources = attempt.job.spec?.resources ?: Resources.NONE
+
+    /**
+     * Preempts tasks of this controller for services of others that are still pending though their controllers have preempted
+     * what they could. Controllers take turns, so that they do not all free capacity for the same service.
+     */
     fun freeCapacityForPeers(now: Long) {
-        val turnMs = settings.heartbeatIntervalMs * 2
-        if (!view.isOwnTurn(now, turnMs)) return
+        val turnMs = settings.heartbeatIntervalMs * HEARTBEATS_PER_TURN
+        if (!view.turns.isOwnTurn(now, turnMs)) return
         for (peerRequest in view.peerServiceRequests) {
-            val key = "${peerRequest.image}/${peerRequest.gpus}/${peerRequest.cores}"
-            if (now - (preemptedForPeersAt[key] ?: Long.MIN_VALUE / 2) < turnMs * view.controllerCount) continue
+            val key = PeerServiceKey(peerRequest.image, peerRequest.gpus, peerRequest.cores)
+            val preemptedAt = preemptedForPeersAt[key] ?: NEVER
+            if (now - preemptedAt < turnMs * view.turns.controllerCount) continue
             preemptedForPeersAt[key] = now
-            val resources = Resources(peerRequest.cores, peerRequest.gpus, peerRequest.memoryGb)
-            val request =
-                PlacementRequest(resources, peerRequest.priority, 0, "a peer's ${peerRequest.image}", { machine ->
-                    view.mayUse(
-                        peerRequest,
-                        machine,
-                    )
-                }, { machine, machineType, free ->
-                    (
-                        if (peerRequest.image in
-                            machine.images
-                        ) {
-                            0.0
-                        } else {
-                            30.0
-                        }
-                    ) +
-                        (free - resources).gpus / maxOf(1.0, machineType.resources.gpus)
-                })
-            for (
-            index in 0 until
-                minOf(
-                    peerRequest.count,
-                    MAX_PREEMPTIONS_PER_CYCLE,
-                )
-            ) {
-                if (!freeCapacityFor(request, now)) break
-            }
+            freeCapacityForPeer(peerRequest, now)
+        }
+    }
+
+    private fun freeCapacityForPeer(
+        peerRequest: ResourceRequest,
+        now: Long,
+    ) {
+        val request = PeerPlacementRequest(peerRequest, view)
+        repeat(minOf(peerRequest.count, MAX_PREEMPTIONS_PER_CYCLE)) {
+            if (!freeCapacityFor(request, now)) return
         }
     }
 
     companion object {
+        /** For how many tasks of one request capacity is freed in one cycle. */
         const val MAX_PREEMPTIONS_PER_CYCLE = 8
+        private const val QUEUES_ABOVE_VICTIM = 2
+        private const val HEARTBEATS_PER_TURN = 2
+        private const val MS_PER_S = 1000.0
+        private const val NEVER = Long.MIN_VALUE / 2
     }
 }
--- a/src/main/kotlin/micatally/scheduling/PriorityQueues.kt
+++ b/src/main/kotlin/micatally/scheduling/PriorityQueues.kt
@@ -2,32 +2,33 @@
 
 import micatally.job.Job
 
-/** The design's queues: a job's longest service path, in run seconds, decides where it waits. */
+/**
+ * Multi-level feedback queues. A job's attained service decides in which queue it waits; queue 0 goes first. Each attempt
+ * inherits the attained service that its job had, and adds its own run time; the job's is the highest sum so far.
+ * Jobs that have waited long for little service are promoted (aging).
+ *
+ * @param upperBoundsS the attained service in seconds at which each queue ends, ascending; the last queue has no bound
+ * @param promotionRatio a job is promoted by one queue if it has waited more than this many times its attained service
+ */
 class PriorityQueues(
     private val upperBoundsS: List<Double>,
     private val promotionRatio: Double,
 ) {
-    val count get() = upperBoundsS.size + 1
-
-    fun queueOf(serviceS: Double): Int =
-        upperBoundsS.indexOfFirst { serviceS < it }.let {
-            if (it <
-                0
-            ) {
-                upperBoundsS.size
-            } else {
-                it
-            }
-        }
+    /** The queue for this much attained service, without promotion. */
+    fun queueOf(serviceS: Double): Int {
+        val queue = upperBoundsS.indexOfFirst { serviceS < it }
+        return if (queue < 0) upperBoundsS.size else queue
+    }
 
-    /** Services, being new or replacing what was lost, sit on top. Waiting long for little service lifts one queue. */
+    /** The queue in which the job waits now. Services are always in the first one: they are new or replace what was lost. */
     fun queueOf(job: Job): Int {
         if (job.spec?.isService != false || job.service <= 0.0) return 0
         val queue = queueOf(job.service)
-        return if (queue > 0 && job.waitedMs / 1000.0 / job.service > promotionRatio) queue - 1 else queue
+        val isPromoted = queue > 0 && job.waitedMs / MS_PER_S / job.service > promotionRatio
+        return if (isPromoted) queue - 1 else queue
     }
 
-    /** Past its queue's bound: the inherited service with the run time so far has outgrown the queue it was placed from. */
+    /** Whether a task that began with [inheritedS] has, after running for [runS], outgrown the queue that it was placed from. */
     fun hasPassedBound(
         inheritedS: Double,
         runS: Double,
@@ -35,4 +36,8 @@
         val queue = queueOf(inheritedS)
         return queue < upperBoundsS.size && inheritedS + runS >= upperBoundsS[queue]
     }
+
+    private companion object {
+        const val MS_PER_S = 1000.0
+    }
 }
--- a/src/main/kotlin/micatally/scheduling/Scheduler.kt
+++ b/src/main/kotlin/micatally/scheduling/Scheduler.kt
@@ -109,7 +109,7 @@
     private fun beginPass() {
         requests.beginPass()
         view.clearOwnGangRequests()
-        preemption.beginCycle()
+        preemption.beginPass()
     }
 
     /** Returns the id of the last job visited if the time budget was used up before the end, or else null. */
--- a/src/main/kotlin/micatally/scheduling/UnplacedTasks.kt
+++ b/src/main/kotlin/micatally/scheduling/UnplacedTasks.kt
@@ -57,7 +57,7 @@
         val queue = queues.queueOf(job)
         if (misses.isWithoutVictims(spec, zoneRule, queue)) return
         repeat(minOf(count, Preemption.MAX_PREEMPTIONS_PER_CYCLE)) {
-            if (!preemption.freeCapacityFor(PlacementRequest.of(spec, zoneRule, queue), now)) {
+            if (!preemption.freeCapacityFor(OwnPlacementRequest(spec, zoneRule, queue), now)) {
                 misses.addWithoutVictims(spec, zoneRule, queue)
                 return
             }
