--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -28,6 +28,8 @@
 import micatally.peer.PeerListener
 import micatally.peer.Peers
 import micatally.quota.Quota
+import micatally.scheduling.ClusterView
+import micatally.scheduling.PlacementActions
 import micatally.scheduling.PriorityQueues
 import micatally.scheduling.Scheduler
 import micatally.settings.Operator
@@ -145,12 +147,10 @@
         Scheduler(
             scope,
             settings,
-            jobManager,
-            machines,
-            store,
-            quota,
-            dispatcher,
+            ClusterView(settings, machines) { peers.peerDemand() },
+            PlacementActions(jobManager, store, quota, dispatcher),
             priorityQueues(operator),
+            { state.waitingWrites == 0 && state.get(Keys.FENCING_TOKEN, Urgency.SUMMARY) is ReadResult.Found },
             cpuUsage,
             nowMs,
         )
@@ -239,9 +239,6 @@
         configuration.start { former, next -> configurationApplied(former, next) }
         jobManager.quota = quota
         jobManager.requestCycle = { scheduler.requestCycle() }
-        scheduler.stateAnswers =
-            { state.waitingWrites == 0 && state.get(Keys.FENCING_TOKEN, Urgency.SUMMARY) is ReadResult.Found }
-        scheduler.peerRequests = { peers.peerDemand() }
         store.onDurable = { job, written -> jobManager.durable(job, written) }
         store.onDropped = { jobManager.forget(it) }
         store.onRecordFull = { job, attempts -> jobManager.giveUp(job, attempts) }
