--- a/src/main/kotlin/micatally/fleet/FleetManager.kt
+++ b/src/main/kotlin/micatally/fleet/FleetManager.kt
@@ -65,18 +65,16 @@
     private val prober = MachineProber(scope, http, settings, machines, nowMs)
     private val failureDetector =
         MachineFailureDetector(settings, machines, instances, prober, pendingWorkload::unreachableZones)
+    private val evictionRecords = EvictionRecords(scope, settings, state, sharedKeys)
     private val eviction =
         GracefulEviction(
-            scope,
             settings,
-            state,
-            sharedKeys,
+            operator,
             machines,
             instances,
+            evictionRecords,
             scaleIn,
             pendingWorkload::recentServices,
-            operator,
-            nowMs,
         )
     private val machineTypeCatalog =
         MachineTypeCatalog(settings, state, cloud, machines, { isLeader }, { onMachineTypes() })
@@ -144,7 +142,7 @@
         lastUnplacedAt = termBeganAt
         log.info("fleet leadership acquired, term {}", term)
         instances.clear()
-        eviction.beginTerm()
+        eviction.beginTerm(termBeganAt)
         scaleOut.beginTerm(term)
     }
 
