--- /dev/null
+++ b/src/main/kotlin/micatally/fleet/CloudInventory.kt
@@ -0,0 +1,70 @@
+package micatally.fleet
+
+import kotlinx.coroutines.delay
+import micatally.membership.Keys
+import micatally.membership.SharedKeyCache
+import micatally.settings.Settings
+import micatally.wire.ListedMachine
+import micatally.worker.MachineRegistry
+import org.slf4j.LoggerFactory
+
+/**
+ * Takes in the cloud's list of machines while this process is the fleet manager: it shows machines that nobody has heard from, and
+ * those that failed to start.
+ */
+class CloudInventory(
+    private val settings: Settings,
+    private val cloud: CloudClient,
+    private val leadership: FleetLeadership,
+    private val sharedKeys: SharedKeyCache,
+    private val machines: MachineRegistry,
+    private val instances: ProvisionedInstances,
+    private val scaleIn: ScaleIn,
+    private val nowMs: () -> Long,
+) {
+    private val log = LoggerFactory.getLogger("micatally.fleet")
+    private val unknownStatuses = HashSet<String>()
+
+    /** Reads the list again and again; never returns. */
+    suspend fun follow() {
+        val listingMs = (REQUESTS_PER_LISTING * MS_PER_SECOND / settings.cloudRps).toLong()
+        val pauseMs = maxOf(settings.listLagMs / 2, listingMs)
+        while (true) {
+            delay(pauseMs)
+            if (!leadership.isLeader) continue
+            val termAtRequest = leadership.term
+            val listing = cloud.list() ?: continue
+            if (leadership.term != termAtRequest) continue
+            for (listed in listing) apply(listed, nowMs())
+        }
+    }
+
+    private fun apply(
+        listed: ListedMachine,
+        now: Long,
+    ) {
+        val isDeleted = sharedKeys.has(Keys.DELETED_MACHINE + listed.name) || listed.name in machines.deletedNames
+        if (isDeleted) return
+        when (listed.status) {
+            ListedMachine.FAILED -> scaleIn.request(listed.name)
+            ListedMachine.STARTING -> instances.listed(listed, now)
+            ListedMachine.RUNNING -> {
+                instances.listed(listed, now)
+                machines.known(listed.name, listed.addr, listed.type, listed.zone, listed.spot)
+            }
+            else -> warnOnce(listed)
+        }
+    }
+
+    private fun warnOnce(listed: ListedMachine) {
+        if (!unknownStatuses.add(listed.status)) return
+        log.warn("machine {} has an unknown status in the cloud's list: {}", listed.name, listed.status)
+    }
+
+    private companion object {
+        const val MS_PER_SECOND = 1000
+
+        /** Between two lists the cloud takes at least so many other requests. */
+        const val REQUESTS_PER_LISTING = 3
+    }
+}
--- a/src/main/kotlin/micatally/fleet/FleetManager.kt
+++ b/src/main/kotlin/micatally/fleet/FleetManager.kt
@@ -3,39 +3,31 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import kotlinx.serialization.json.buildJsonObject
-import kotlinx.serialization.json.put
 import micatally.http.HttpCaller
-import micatally.membership.Keys
 import micatally.membership.Membership
-import micatally.membership.SharedKeyCache
 import micatally.settings.Operator
 import micatally.settings.Settings
-import micatally.state.Compare
-import micatally.state.Put
 import micatally.state.StateStoreClient
-import micatally.state.Transaction
-import micatally.state.TransactionResult
-import micatally.state.Urgency
-import micatally.wire.ListedMachine
 import micatally.wire.ResourceRequest
-import micatally.wire.textOrNull
 import micatally.worker.MachineRegistry
 import org.slf4j.LoggerFactory
 
-/** What the fleet manager hears from the rest of the node. */
+/** The rest of the controller as the fleet manager sees it. */
 interface PendingWorkload {
-    /** What finds no room at present, of all owners. */
+    /** Tasks of all job owners that find no free capacity at present. */
     fun unplaced(): List<ResourceRequest>
 
-    /** Services that came lately, to any owner. */
+    /** Services that were submitted lately, to any job owner. */
     fun recentServices(): List<ResourceRequest>
 
-    /** Zones of controllers that can't be heard. */
+    /** Zones of controllers that can't be reached. */
     fun unreachableZones(): Set<String>
 }
 
-/** Whoever holds the fleet key rents, drains and returns machines for all owners. A term is one hold on the key. */
+/**
+ * Provisions, evicts and deletes machines for all job owners. One runs on every controller; only the one that holds the fleet key
+ * acts ([FleetLeadership]).
+ */
 class FleetManager(
     private val scope: CoroutineScope,
     http: HttpCaller,
@@ -49,14 +41,12 @@
     private val nowMs: () -> Long,
 ) {
     private val log = LoggerFactory.getLogger("micatally.fleet")
-    private val sharedKeys: SharedKeyCache = membership.sharedKeys
-    private var term = 0L
-    private var termBeganAt = 0L
+    private val sharedKeys = membership.sharedKeys
 
-    /** When there was demand last. */
+    /** When there were last tasks without free capacity. */
     private var lastUnplacedAt = Long.MIN_VALUE / 2
-    private val unknownStates = HashSet<String>()
 
+    private val leadership = FleetLeadership(settings, state, membership, nowMs) { beginTerm() }
     private val instances = ProvisionedInstances { machines.bootMs(it) }
     private val scaleIn =
         ScaleIn(scope, settings, state, cloud, sharedKeys, { isLeader && membership.leaseHolds() }, nowMs)
@@ -76,112 +66,54 @@
             scaleIn,
             pendingWorkload::recentServices,
         )
+    private val inventory =
+        CloudInventory(settings, cloud, leadership, sharedKeys, machines, instances, scaleIn, nowMs)
     private val machineTypeCatalog =
         MachineTypeCatalog(settings, state, cloud, machines, { isLeader }, { onMachineTypes() })
 
-    /** The machine types have become known. */
+    /** Called when the machine types become known. */
     var onMachineTypes: () -> Unit = {}
 
-    val isLeader get() = term > 0 && sharedKeys.modRevision(Keys.FLEET) == term
+    /** Whether this controller is the fleet manager. */
+    val isLeader get() = leadership.isLeader
 
-    /** Machines whose end an owner needs proven. */
+    /**
+     * Requests the deletion of machines, as termination evidence for the tasks on them. They are kept until the next
+     * review of this controller as the fleet manager.
+     */
     fun requestDeletion(names: List<String>) = scaleIn.request(names)
 
+    /** Drops old deletion records from the state store; to be called from time to time. */
     suspend fun pruneDeletionRecords() = scaleIn.pruneDeletionRecords()
 
+    /** Starts the fleet manager's loops, which run until the scope ends. To be called once. */
     fun start() {
         scope.launch { machineTypeCatalog.follow() }
-        scope.launch { termLoop() }
-        scope.launch { listLoop() }
-        scope.launch {
-            while (true) {
-                delay(settings.heartbeatIntervalMs / REVIEWS_PER_HEARTBEAT)
-                if (isLeader) review()
-            }
-        }
+        scope.launch { leadership.follow() }
+        scope.launch { inventory.follow() }
+        scope.launch { reviewLoop() }
     }
 
-    private suspend fun termLoop() {
+    private suspend fun reviewLoop() {
         while (true) {
-            delay(settings.liveMs / ATTEMPTS_PER_LEASE)
-            val lease = membership.lease
-            if (lease == null || isLeader || sharedKeys.revision < 0) continue
-            // The answer that gave it the key was lost: nobody else can take it while this node lives.
-            val isHeldByThisProcess = sharedKeys.value(Keys.FLEET)?.textOrNull("process") == membership.process
-            if (isHeldByThisProcess) {
-                beginTerm(sharedKeys.modRevision(Keys.FLEET))
-            } else if (!sharedKeys.has(Keys.FLEET)) {
-                acquireFleetKey(lease)
-            }
-        }
-    }
-
-    private suspend fun acquireFleetKey(lease: Long) {
-        val live = Keys.live(settings.host)
-        val leader =
-            buildJsonObject {
-                put("host", settings.host)
-                put("process", membership.process)
-            }
-        val result =
-            state.transact(1, Urgency.SUMMARY) {
-                val conditions = listOf(Compare(Keys.FLEET, 0), Compare(live, sharedKeys.modRevision(live)))
-                Transaction(conditions, listOf(Put(Keys.FLEET, leader, lease)))
-            }
-        if (result !is TransactionResult.Applied) {
-            delay(settings.liveMs / ATTEMPTS_PER_LEASE)
-            return
+            delay(settings.heartbeatIntervalMs / REVIEWS_PER_HEARTBEAT)
+            if (isLeader) review()
         }
-        membership.refresh()
-        beginTerm(result.revision)
     }
 
-    private fun beginTerm(modRevision: Long) {
-        term = modRevision
-        termBeganAt = nowMs()
-        lastUnplacedAt = termBeganAt
-        log.info("fleet leadership acquired, term {}", term)
+    private fun beginTerm() {
+        lastUnplacedAt = leadership.termBeganAt
         instances.clear()
-        eviction.beginTerm(termBeganAt)
-        scaleOut.beginTerm(term)
-    }
-
-    private suspend fun listLoop() {
-        val pauseMs = maxOf(settings.listLagMs / 2, (REQUESTS_PER_LISTING * 1000 / settings.cloudRps).toLong())
-        while (true) {
-            delay(pauseMs)
-            if (!isLeader) continue
-            val termAtRequest = term
-            val listing = cloud.list() ?: continue
-            if (term != termAtRequest) continue
-            for (line in listing) applyListed(line, nowMs())
-        }
-    }
-
-    private fun applyListed(
-        line: ListedMachine,
-        now: Long,
-    ) {
-        if (sharedKeys.has(Keys.DELETED_MACHINE + line.name) || line.name in machines.deletedNames) return
-        when (line.status) {
-            ListedMachine.FAILED -> scaleIn.request(line.name)
-            ListedMachine.STARTING -> instances.listed(line, now)
-            ListedMachine.RUNNING -> {
-                instances.listed(line, now)
-                machines.known(line.name, line.addr, line.type, line.zone, line.spot)
-            }
-            else ->
-                if (unknownStates.add(line.status)) {
-                    log.warn("machine {} has an unknown status in the cloud's list: {}", line.name, line.status)
-                }
-        }
+        eviction.beginTerm(leadership.termBeganAt)
+        scaleOut.beginTerm(leadership.term)
     }
 
     private fun review() {
         val now = nowMs()
-        if (!membership.leaseHolds() || membership.viewAgeMs > settings.leaseMs / 2) return
+        val isViewStale = membership.viewAgeMs > settings.leaseMs / 2
+        if (!membership.leaseHolds() || isViewStale) return
         updateInstances(now)
-        scaleIn.request(failureDetector.findFailed(now, termBeganAt))
+        scaleIn.request(failureDetector.findFailed(now, leadership.termBeganAt))
         val resourceRequests = pendingWorkload.unplaced()
         if (resourceRequests.isNotEmpty()) lastUnplacedAt = now
         deleteLateInstances(now)
@@ -193,20 +125,18 @@
 
     private fun updateInstances(now: Long) {
         for (machine in machines.byName.values) {
-            if (!machine.deleted && machine.incarnation != 0L) {
-                instances.heartbeatReceived(
-                    machine.name,
-                    Offer(machine.type, machine.zone, machine.spot),
-                    machine.firstHeardAt,
-                )
-            }
+            val hasReported = machine.incarnation != 0L
+            if (machine.deleted || !hasReported) continue
+            val offer = Offer(machine.type, machine.zone, machine.spot)
+            instances.heartbeatReceived(machine.name, offer, machine.firstHeardAt)
         }
         instances.removeAll(machines.deletedNames)
         instances.updateBootTimes(now)
     }
 
     private fun deleteLateInstances(now: Long) {
-        for (instance in instances.timedOut(now, now - lastUnplacedAt < settings.leaseMs)) {
+        val isCapacityNeeded = now - lastUnplacedAt < settings.leaseMs
+        for (instance in instances.timedOut(now, isCapacityNeeded)) {
             log.info("machine {} did not boot within {} ms, deleting it", instance.name, instance.ageMs(now))
             scaleIn.request(instance.name)
         }
@@ -214,9 +144,5 @@
 
     private companion object {
         const val REVIEWS_PER_HEARTBEAT = 4
-        const val ATTEMPTS_PER_LEASE = 16
-
-        /** Between two lists the cloud takes at least so many other requests. */
-        const val REQUESTS_PER_LISTING = 3
     }
 }
