--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -16,8 +16,9 @@
 import micatally.config.Configuration
 import micatally.config.ConfigurationService
 import micatally.fleet.CloudClient
+import micatally.fleet.FleetClients
+import micatally.fleet.FleetEnvironment
 import micatally.fleet.FleetManager
-import micatally.fleet.PendingWorkload
 import micatally.http.HttpCaller
 import micatally.http.HttpRequest
 import micatally.http.HttpResponse
@@ -153,7 +154,16 @@
     private val peers = Peers(scope, http, settings, state, membership, machines, jobManager, scheduler, nowMs)
     private val reach = WorkerReach(scope, http, settings, machines, nowMs)
     private val fleetManager =
-        FleetManager(scope, http, settings, state, cloud, membership, machines, fleetDemand(), operator, nowMs)
+        FleetManager(
+            scope,
+            settings,
+            operator,
+            FleetClients(http, state, cloud),
+            membership,
+            machines,
+            fleetEnvironment(),
+            nowMs,
+        )
     private val questionRps = settings.stateLimits.rps * share * QUESTION_SHARE
     private val reads =
         RecordReads(
@@ -187,16 +197,18 @@
             override fun loaded(name: String) = jobManager.shards[name]?.takeIf { it.state == ShardState.ACTIVE }
         }
 
-    private fun fleetDemand() =
-        object : PendingWorkload {
+    private fun fleetEnvironment() =
+        object : FleetEnvironment {
             override fun unplaced() = scheduler.unplaced.values.toList() + peers.demandOfPeers()
 
             override fun recentServices() = peers.recentServices()
 
             override fun unreachableZones() = peers.silentZones()
+
+            override fun machineTypesKnown() = scheduler.requestCycle()
         }
 
-    /** Whether this node rents and returns machines for all. */
+    /** Whether this controller provisions and deletes machines for all. */
     val isFleetManager get() = fleetManager.isLeader
 
     fun start() {
@@ -228,7 +240,6 @@
             jobManager.tasksReported(m, own)
             scheduler.requestCycle()
         }
-        fleetManager.onMachineTypes = { scheduler.requestCycle() }
         peers.onRetire = { fleetManager.requestDeletion(it) }
         peers.onNews = { scheduler.requestCycle() }
         membership.onChange = { keys -> cpuUsage.of(CpuUsage.Kind.SHARED) { sharedChanged(keys) } }
--- a/src/main/kotlin/micatally/fleet/FleetManager.kt
+++ b/src/main/kotlin/micatally/fleet/FleetManager.kt
@@ -13,7 +13,7 @@
 import org.slf4j.LoggerFactory
 
 /** The rest of the controller as the fleet manager sees it. */
-interface PendingWorkload {
+interface FleetEnvironment {
     /** Tasks of all job owners that find no free capacity at present. */
     fun unplaced(): List<ResourceRequest>
 
@@ -22,25 +22,35 @@
 
     /** Zones of controllers that can't be reached. */
     fun unreachableZones(): Set<String>
+
+    /** Called when the machine types become known, on every controller. */
+    fun machineTypesKnown()
 }
 
+/** What the fleet manager calls over the network: the workers, the state store and the cloud. */
+class FleetClients(
+    val http: HttpCaller,
+    val state: StateStoreClient,
+    val cloud: CloudClient,
+)
+
 /**
  * Provisions, evicts and deletes machines for all job owners. One runs on every controller; only the one that holds the fleet key
  * acts ([FleetLeadership]).
  */
 class FleetManager(
     private val scope: CoroutineScope,
-    http: HttpCaller,
     private val settings: Settings,
-    private val state: StateStoreClient,
-    private val cloud: CloudClient,
+    operator: Operator,
+    clients: FleetClients,
     private val membership: Membership,
     private val machines: MachineRegistry,
-    private val pendingWorkload: PendingWorkload,
-    operator: Operator,
+    private val environment: FleetEnvironment,
     private val nowMs: () -> Long,
 ) {
     private val log = LoggerFactory.getLogger("micatally.fleet")
+    private val state = clients.state
+    private val cloud = clients.cloud
     private val sharedKeys = membership.sharedKeys
 
     /** When there were last tasks without free capacity. */
@@ -52,9 +62,9 @@
         ScaleIn(scope, settings, state, cloud, sharedKeys, { isLeader && membership.leaseHolds() }, nowMs)
     private val requests = ProvisioningRequestStore(state, sharedKeys)
     private val scaleOut = ScaleOut(scope, settings, cloud, requests, machines, instances, { isLeader }, nowMs)
-    private val prober = MachineProber(scope, http, settings, machines, nowMs)
+    private val prober = MachineProber(scope, clients.http, settings, machines, nowMs)
     private val failureDetector =
-        MachineFailureDetector(settings, machines, instances, prober, pendingWorkload::unreachableZones)
+        MachineFailureDetector(settings, machines, instances, prober, environment::unreachableZones)
     private val evictionRecords = EvictionRecords(scope, settings, state, sharedKeys)
     private val eviction =
         GracefulEviction(
@@ -64,15 +74,12 @@
             instances,
             evictionRecords,
             scaleIn,
-            pendingWorkload::recentServices,
+            environment::recentServices,
         )
     private val inventory =
         CloudInventory(settings, cloud, leadership, sharedKeys, machines, instances, scaleIn, nowMs)
     private val machineTypeCatalog =
-        MachineTypeCatalog(settings, state, cloud, machines, { isLeader }, { onMachineTypes() })
-
-    /** Called when the machine types become known. */
-    var onMachineTypes: () -> Unit = {}
+        MachineTypeCatalog(settings, state, cloud, machines, { isLeader }, environment::machineTypesKnown)
 
     /** Whether this controller is the fleet manager. */
     val isLeader get() = leadership.isLeader
@@ -114,7 +121,7 @@
         if (!membership.leaseHolds() || isViewStale) return
         updateInstances(now)
         scaleIn.request(failureDetector.findFailed(now, leadership.termBeganAt))
-        val resourceRequests = pendingWorkload.unplaced()
+        val resourceRequests = environment.unplaced()
         if (resourceRequests.isNotEmpty()) lastUnplacedAt = now
         deleteLateInstances(now)
         eviction.review(resourceRequests, now)
