--- a/src/test/kotlin/micatally/sim/OperationsTest.kt
+++ b/src/test/kotlin/micatally/sim/OperationsTest.kt
@@ -109,22 +109,22 @@
             assertTrue(most <= NEEDED_AT_MOST * 2, "$most machines at once")
         }
 
-    /** Guard: a booking stays noted until its machines are up ([micatally.fleet.ScaleOut]). Before, a new fleet manager ordered all that
-     * was on its way once more. */
+    /** Guard: a provisioning request stays stored until its machines are up ([micatally.fleet.ScaleOut]). Before, a new fleet manager
+     * provisioned all machines that were booting once more. */
     @Test
-    fun `a new fleet manager does not rent again what its predecessor has rented`() =
+    fun `a new fleet manager does not provision again what its predecessor has provisioned`() =
         each({
             cloud.bootMs =
                 { (it.readyS * 5000).toLong() }
         }) {
             val jobIds = (1..2).map { submit(it, "daemon", 2, "cores" to 4.0, "loaners" to false) }
-            runUntil(f.lease, "machines are rented") { f.cloud.count() > 0 }
+            runUntil(f.lease, "machines are provisioned") { f.cloud.count() > 0 }
             f.runFor(f.lease / 10)
             val before = f.cloud.count()
             f.crash(leader()!!)
             runUntil(f.lease * 3 / 2, "another node manages the fleet") { leader() != null }
             f.runFor(f.lease / 10)
-            assertEquals(before, f.cloud.count(), "at ${f.now}; notes ${f.state.keysUnder("c/rent/")}")
+            assertEquals(before, f.cloud.count(), "at ${f.now}; stored requests ${f.state.keysUnder("c/rent/")}")
             runUntil(f.lease * 6, "all replicas run") { jobIds.all { tasks(it).size == 2 } }
         }
 
