--- a/src/main/kotlin/micatally/fleet/FleetManager.kt
+++ b/src/main/kotlin/micatally/fleet/FleetManager.kt
@@ -127,7 +127,7 @@
         eviction.review(resourceRequests, now)
         scaleIn.submit()
         scaleOut.deleteSettledRequests()
-        if (resourceRequests.isNotEmpty()) scaleOut.scaleOut(resourceRequests, now)
+        if (resourceRequests.isNotEmpty()) scaleOut.provisionFor(resourceRequests, now)
     }
 
     private fun updateInstances(now: Long) {
--- a/src/main/kotlin/micatally/fleet/ScaleOut.kt
+++ b/src/main/kotlin/micatally/fleet/ScaleOut.kt
@@ -53,7 +53,7 @@
     }
 
     /** Provisions machines for the resource requests, unless earlier provisioning requests are still in progress. */
-    fun scaleOut(
+    fun provisionFor(
         resourceRequests: List<ResourceRequest>,
         now: Long,
     ) {
