--- a/src/main/kotlin/micatally/fleet/ConsolidationPlan.kt
+++ b/src/main/kotlin/micatally/fleet/ConsolidationPlan.kt
@@ -84,13 +84,13 @@
         if (utilization(type, displaced) > MAX_UTILIZATION) return null
         val usesNoGpus = displaced.gpus <= 0.0 && type.resources.gpus > 0
         val mayHost = { other: Machine -> if (usesNoGpus) other.zone == machine.zone else other.type == machine.type }
+        val hosts = inService.filter { it !== machine && it !in selected && mayHost(it) }
         var free = Resources.NONE
         var used = Resources.NONE
-        for (other in inService) {
-            if (other === machine || other in selected || !mayHost(other)) continue
-            val total = (types[other.type] ?: continue).resources
-            free = free + (total - other.used)
-            used = used + other.used
+        for (host in hosts) {
+            val total = (types[host.type] ?: continue).resources
+            free = free + (total - host.used)
+            used = used + host.used
         }
         for (other in evicting + selected) if (mayHost(other)) free = free - other.used
         val reserve = if (usesNoGpus) Resources(used.cores * headroomShare, 0.0, 0.0) else reserve(type, used)
--- a/src/main/kotlin/micatally/fleet/EvictionRecords.kt
+++ b/src/main/kotlin/micatally/fleet/EvictionRecords.kt
@@ -25,6 +25,7 @@
     private val state: StateStoreClient,
     private val sharedKeys: SharedKeyCache,
 ) {
+    private val reconcileIntervalMs = settings.leaseMs / 4
     private var lastReconciledAt = 0L
 
     /** Keys whose records differed from what was decided when they were last compared. */
@@ -55,7 +56,7 @@
         evicting: Set<String>,
         now: Long,
     ) {
-        if (now - lastReconciledAt < settings.leaseMs / 4) return
+        if (now - lastReconciledAt < reconcileIntervalMs) return
         lastReconciledAt = now
         val stored = sharedKeys.under(Keys.DRAIN)
         val storedNames = stored.mapTo(HashSet()) { it.key.removePrefix(Keys.DRAIN) }
--- a/src/main/kotlin/micatally/fleet/GracefulEviction.kt
+++ b/src/main/kotlin/micatally/fleet/GracefulEviction.kt
@@ -23,6 +23,9 @@
     private val recentServices: () -> List<ResourceRequest>,
 ) {
     private val log = LoggerFactory.getLogger("micatally.fleet")
+
+    /** Within so long after its record is stored, all controllers have heard of an eviction. */
+    private val propagationMs = settings.heartbeatIntervalMs + settings.leaseMs / 10
     private val evictions = HashMap<String, Eviction>()
 
     /** Until when machines are exempt from eviction, after one of them was cancelled. */
@@ -92,7 +95,6 @@
         now: Long,
     ) {
         eviction.transitionTo(EvictionState.EMPTY, now)
-        val propagationMs = settings.heartbeatIntervalMs + settings.leaseMs / 10
         val isKnownToAll = now - eviction.stateSince > propagationMs && records.has(machine.name)
         if (isKnownToAll) scaleIn.request(machine.name)
     }
--- a/src/main/kotlin/micatally/fleet/MachineFailureDetector.kt
+++ b/src/main/kotlin/micatally/fleet/MachineFailureDetector.kt
@@ -21,6 +21,14 @@
     private val log = LoggerFactory.getLogger("micatally.fleet")
     private val probeAfterMs = maxOf(settings.heartbeatIntervalMs * 2, settings.leaseMs / 4)
 
+    /** After how long without a heartbeat a machine may be deleted: usually, when it hangs, when a controller was unreachable within
+     * [controllerMemoryMs], and when its zone is cut off by a network partition. */
+    private val unreachableMs = settings.leaseMs
+    private val hungMs = settings.leaseMs * 2
+    private val controllerLostMs = settings.leaseMs * 5 / 2
+    private val partitionMs = settings.leadershipMs + settings.leaseMs * 2
+    private val controllerMemoryMs = settings.leaseMs * 3 / 2
+
     /** When some controller was last unreachable. */
     private var controllerUnreachableAt = Long.MIN_VALUE / 2
 
@@ -76,12 +84,12 @@
         machine: Machine,
         now: Long,
     ): Long {
-        val wasControllerUnreachable = now - controllerUnreachableAt < settings.leaseMs * 3 / 2
-        val usualMs = if (wasControllerUnreachable) settings.leaseMs * 5 / 2 else settings.leaseMs
+        val wasControllerUnreachable = now - controllerUnreachableAt < controllerMemoryMs
+        val usualMs = if (wasControllerUnreachable) controllerLostMs else unreachableMs
         // A machine that accepts connections and does not answer hangs and may go on soon: its tasks are lost by then, but not
         // its images, and fetching those takes longer than the wait.
         val isHung = now - machine.connectedAt < settings.leaseMs / 2
-        return if (isHung) maxOf(usualMs, settings.leaseMs * 2) else usualMs
+        return if (isHung) maxOf(usualMs, hungMs) else usualMs
     }
 
     /**
@@ -136,9 +144,8 @@
         zonesOfUnreachable: Set<String>,
         now: Long,
         termBeganAt: Long,
-    ): List<String> {
-        val partitionMs = settings.leadershipMs + settings.leaseMs * 2
-        return zones.flatMap { (name, zone) ->
+    ): List<String> =
+        zones.flatMap { (name, zone) ->
             // Few machines are weak evidence, but when the zone's controller is unreachable with them, that is a partition too.
             val isEvident = zone.unreachable.size >= MIN_PARTITIONED_MACHINES || name in zonesOfUnreachable
             val isPartitioned = isEvident && zone.unreachable.size >= zone.responsive
@@ -146,7 +153,6 @@
                 .filter { !isPartitioned || now - maxOf(it.heardAt, termBeganAt) > partitionMs }
                 .map { it.name }
         }
-    }
 
     private companion object {
         /** Connections that have to hang in a row. */
--- a/src/main/kotlin/micatally/fleet/MachineProber.kt
+++ b/src/main/kotlin/micatally/fleet/MachineProber.kt
@@ -23,6 +23,9 @@
     private val log = LoggerFactory.getLogger("micatally.fleet")
     private val timeoutMs = settings.leaseMs / TIMEOUTS_PER_LEASE
 
+    /** A connection attempt that takes nearly the whole timeout to fail counts as hung. */
+    private val hungAfterMs = timeoutMs * 9 / 10
+
     /** Names of machines whose probe is not over. */
     private val inProgress = HashSet<String>()
 
@@ -35,7 +38,8 @@
     ) {
         val isBusy = inProgress.size >= settings.maxConcurrentProbes
         val isTooSoon = now - machine.probedAt < timeoutMs
-        if (machine.addr.isEmpty() || isBusy || isTooSoon || !inProgress.add(machine.name)) return
+        if (machine.addr.isEmpty() || isBusy || isTooSoon) return
+        if (!inProgress.add(machine.name)) return
         machine.probedAt = now
         scope.launch {
             try {
@@ -83,8 +87,7 @@
         tookMs: Long,
     ) {
         machine.mute = 0
-        val hasHung = tookMs >= timeoutMs * HUNG_TENTHS / 10
-        if (hasHung) machine.dark++ else machine.dark = 0
+        if (tookMs >= hungAfterMs) machine.dark++ else machine.dark = 0
     }
 
     private companion object {
@@ -93,8 +96,5 @@
 
         /** Probes in a row without an answer after which one of them has made a connection of its own. */
         const val PROBES_TO_NEW_CONNECTION = 2
-
-        /** Tenths of the timeout after which a connection counts as hung. */
-        const val HUNG_TENTHS = 9
     }
 }
--- a/src/main/kotlin/micatally/fleet/ProvisioningRequest.kt
+++ b/src/main/kotlin/micatally/fleet/ProvisioningRequest.kt
@@ -38,6 +38,7 @@
             if (machines.isNotEmpty()) put(MACHINES, JsonArray(machines.map { JsonPrimitive(it) }))
         }
 
+    /** The field names of the stored form, and its reader. */
     companion object {
         private const val TYPE = "rig"
         private const val ZONE = "circuit"
--- a/src/main/kotlin/micatally/fleet/ScaleIn.kt
+++ b/src/main/kotlin/micatally/fleet/ScaleIn.kt
@@ -45,7 +45,8 @@
         requested.add(name)
     }
 
-    /** Starts to delete the requested machines. Those that exceed one request are dropped: the next review asks for them again. */
+    /** Starts to delete the requested machines. Those that exceed one request are dropped: the next review
+     * asks for them again if they are still to go. */
     fun submit() {
         val names =
             requested
