--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -12,8 +12,9 @@
 import micatally.config.Configuration
 import micatally.config.ConfigurationService
 import micatally.fleet.CloudClient
+import micatally.fleet.FleetClients
+import micatally.fleet.FleetEnvironment
 import micatally.fleet.FleetManager
-import micatally.fleet.PendingWorkload
 import micatally.http.HttpCaller
 import micatally.http.HttpRequest
 import micatally.http.HttpResponse
@@ -158,7 +159,16 @@
         Peers(scope, http, settings, state, membership, machines, jobManager, scheduler, peerListener(), nowMs)
     private val reach = WorkerReach(scope, http, settings, machines, nowMs)
     private val fleetManager =
-        FleetManager(scope, http, settings, state, cloud, membership, machines, pendingWorkload(), operator, nowMs)
+        FleetManager(
+            scope,
+            settings,
+            operator,
+            FleetClients(http, state, cloud),
+            membership,
+            machines,
+            fleetEnvironment(),
+            nowMs,
+        )
     private val reads = RecordReads(lookup, budgets.userReads, budgets.maxWaitingUserReads, stateTimeoutMs)
     private val users =
         UserApi(
@@ -214,13 +224,15 @@
             override fun loaded(name: String) = jobManager.shards[name]?.takeIf { it.state == ShardState.ACTIVE }
         }
 
-    private fun pendingWorkload() =
-        object : PendingWorkload {
+    private fun fleetEnvironment() =
+        object : FleetEnvironment {
             override fun unplaced() = scheduler.pendingRequests.values.toList() + peers.peerDemand()
 
             override fun recentServices() = peers.recentServices()
 
             override fun unreachableZones() = peers.contacts.silentZones()
+
+            override fun machineTypesKnown() = scheduler.requestCycle()
         }
 
     private fun peerListener(): PeerListener =
@@ -258,7 +270,6 @@
             jobManager.tasksReported(m, own)
             scheduler.requestCycle()
         }
-        fleetManager.onMachineTypes = { scheduler.requestCycle() }
         membership.start()
         fleetManager.start()
         peers.start()
--- a/src/test/kotlin/micatally/sim/ScaleOutTest.kt
+++ b/src/test/kotlin/micatally/sim/ScaleOutTest.kt
@@ -23,8 +23,8 @@
             assertTrue(most <= NEEDED_AT_MOST * 2, "$most machines at once")
         }
 
-    /** Guard: a booking stays noted until its machines are up ([micatally.fleet.ScaleOut]). Before, a new fleet manager ordered all that
-     * was on its way once more. */
+    /** Guard: a provisioning request stays stored until its machines are up ([micatally.fleet.ScaleOut]). Before, a new fleet manager
+     * provisioned all machines that were booting once more. */
     @Test
     fun `a new fleet manager does not rent again what its predecessor has rented`() =
         each(before = {
