--- a/src/test/kotlin/micatally/sim/AnswerConsistencyTest.kt
+++ b/src/test/kotlin/micatally/sim/AnswerConsistencyTest.kt
@@ -118,11 +118,11 @@
             for (jobId in jobIds) assertTrue(fleet.rules.isFinal(jobId))
         }
 
-    /** Found by the simulation (seed 159): a node that had taken over a shard, and then lost the state service, went on
+    /** Found by the simulation (seed 159): a node that had taken over a shard, and then lost the state store, went on
      * answering from memory after the shard's own host had come back and its user had cancelled the job there. Found at size:
      * such a node, whose workers know a higher token, asked for the shared keys without pause, and users' questions hung. */
     @Test
-    fun `a ledger that was taken over is not answered for from memory`() =
+    fun `a shard that was taken over is not answered for from memory`() =
         withFleet(1) { fleet ->
             val jobId = fleet.submit(0, 1, "daemon", 1)
             fleet.runFor(20_000)
--- a/src/test/kotlin/micatally/sim/ArchiveTest.kt
+++ b/src/test/kotlin/micatally/sim/ArchiveTest.kt
@@ -40,7 +40,7 @@
         fleet.runFor(500)
         fleet.operator = operator(mode)
         fleet.startNode(node)
-        runUntil(fleet.lease * 2, "node $node has its ledger") { isLeaderOf(node, node) }
+        runUntil(fleet.lease * 2, "node $node has its shard") { isLeaderOf(node, node) }
     }
 
     /** Everybody asks about every job at every node, which has nothing of it in memory. */
@@ -175,7 +175,7 @@
     /** Guards: [micatally.job.JobShard.isUnreadable]; other shards' records in [micatally.job.ShardRecords].
      * A record that can't be read used to end the loading with an exception, while the node went on accepting jobs. */
     @Test
-    fun `a controller that can't load its ledger accepts nothing until it can`() {
+    fun `a controller that can't load its shard accepts nothing until it can`() {
         val damaged =
             JsonObject(mapOf("l" to JsonPrimitive("pitbox-0"), "e" to JsonPrimitive("z"), "k" to JsonPrimitive(1)))
         val mended = JsonObject(damaged + ("e" to JsonPrimitive("d")))
@@ -184,7 +184,7 @@
             fleet.crash(0)
             fleet.runFor(500)
             fleet.startNode(0)
-            runUntil(fleet.lease * 2, "node 0 has its ledger") { isLeaderOf(0, 0) }
+            runUntil(fleet.lease * 2, "node 0 has its shard") { isLeaderOf(0, 0) }
             fleet.runFor(300)
             val s = spec("sweep", 1)
             assertEquals(503, fleet.asked(0, "POST", "/work", s.source.bytes()).first)
--- a/src/test/kotlin/micatally/sim/CancellationDeadlineTest.kt
+++ b/src/test/kotlin/micatally/sim/CancellationDeadlineTest.kt
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.MethodSource
 
-/** The state service refuses the leading controller alone, another one confirms cancellations, then the state service is
+/** The state store refuses the leading controller alone, another one confirms cancellations, then the state store is
  * down for all for longer than a cancellation has, while workers keep reporting to the old leader. */
 class CancellationDeadlineTest {
     enum class Variant {
@@ -98,7 +98,7 @@
             cuts.add(cut(CutMode.HOLD) { from, to -> from.name == "n0" && to.name.startsWith("n") })
         }
         if (variant == Variant.TAKEN_OVER_FIRST || variant == Variant.TAKEN_OVER_AND_CUT_FROM_PEERS) {
-            runUntil(fleet.lease * 2, "another node takes the ledger") { others.any { isLeaderOf(it, 0) } }
+            runUntil(fleet.lease * 2, "another node takes the shard") { others.any { isLeaderOf(it, 0) } }
         }
         if (variant == Variant.PEER_RESTARTS_AFTER_CONFIRMING) restartAfterConfirming(fleet.nodes - 1)
         val refusedAt = fleet.now
--- a/src/test/kotlin/micatally/sim/CancellationSafetyTest.kt
+++ b/src/test/kotlin/micatally/sim/CancellationSafetyTest.kt
@@ -25,7 +25,7 @@
                     cancel(jobId, listOf(1, 2))
                 }
             }
-            runUntil(fleet.lease * 2, "the ledger changes hands") { others.any { isLeaderOf(it, 0) } }
+            runUntil(fleet.lease * 2, "the shard changes hands") { others.any { isLeaderOf(it, 0) } }
             fleet.runFor(fleet.lease / 5)
             fleet.startNode(0)
             runUntil(fleet.lease * 2, "and back") { isLeaderOf(0, 0) }
@@ -35,7 +35,7 @@
         }
 
     /** The other side of it: a cancellation is not told while a controller that may answer workers has not heard of it, nor
-     * by a node that reads it from the state service. */
+     * by a node that reads it from the state store. */
     @Test
     fun `a cancellation is told when all controllers know of it, or a lease after it was published`() =
         withFleet(9) { fleet ->
@@ -64,7 +64,7 @@
             assertTrue(fleet.rules.running.isEmpty() || fleet.now - asked >= fleet.settings[0].cancellationDelayMs)
         }
 
-    /** A confirmation counted though the process that gave it had ended before the tasks lay in the state service: the next
+    /** A confirmation counted though the process that gave it had ended before the tasks lay in the state store: the next
      * process of that host, cut off at once, answered the workers without having heard of the cancellation. */
     @Test
     fun `what a process confirmed its successor knows from its start`() =
@@ -106,7 +106,7 @@
             runUntil(fleet.lease, "it runs there") { tasks(jobId).singleOrNull()?.machine == machine }
             cut(CutMode.HOLD) { from, to -> from.name == "n0" && (to.name == "state" || to.name.startsWith("n")) }
             cut(CutMode.HOLD) { from, to -> from.name == machine && to.name in listOf("n1", "n2") }
-            runUntil(fleet.lease * 2, "another one takes the ledger") { others.any { isLeaderOf(it, 0) } }
+            runUntil(fleet.lease * 2, "another one takes the shard") { others.any { isLeaderOf(it, 0) } }
             cancel(jobId, others)
             runUntil(fleet.lease * 2, "it is told") { fleet.rules.isCancelled(jobId) }
             fleet.runFor(fleet.cancelMs)
--- a/src/test/kotlin/micatally/sim/CapacityPressureTest.kt
+++ b/src/test/kotlin/micatally/sim/CapacityPressureTest.kt
@@ -16,7 +16,7 @@
  * against its team until there is evidence of its termination.
  */
 class CapacityPressureTest {
-    /** Guard: attempts that are not proven gone count ([micatally.quota.Quota]), also under the shard's next holder, and what an
+    /** Guard: attempts that are not proven gone count ([micatally.quota.Quota]), also under the shard's next leader, and what an
      * attempt of a lost shard gives back counts nowhere. */
     @Test
     fun `every team is at its limit while jobs are cancelled whose machines hang or are cut off, and the leader changes`() =
@@ -62,7 +62,7 @@
             for (jobId in ends) cancel(jobId, listOf(0, 1, 2))
             fleet.runFor(300)
             fleet.crash(0)
-            runUntil(fleet.lease * 2, "another node takes the ledger") { others.any { isLeaderOf(it, 0) } }
+            runUntil(fleet.lease * 2, "another node takes the shard") { others.any { isLeaderOf(it, 0) } }
             fleet.runFor(fleet.lease / 2)
             fleet.startNode(0)
             fleet.runFor(fleet.lease / 2)
@@ -171,7 +171,7 @@
     /** Found at size: a team limited in cards only never gave an allotment back, because the cores that its tasks used had none;
      * the jobs of the controllers that came last waited to the end of the day. */
     @Test
-    fun `what one ledger no longer uses of a team's limit another one gets`() =
+    fun `what one shard no longer uses of a team's limit another one gets`() =
         withFleet(6) { fleet ->
             fun submit(
                 node: Int,
@@ -201,7 +201,7 @@
     /** An answer that came after the shard was lost gave back its task's share once more: with the shard taken back the team
      * seemed to use less than it did, and more was placed than its limit. */
     @Test
-    fun `what an attempt of a lost ledger gives back counts nowhere`() =
+    fun `what an attempt of a lost shard gives back counts nowhere`() =
         scenario(3, largeDeployment) {
             val jobId = submit(0, "sweep", 4, "loaners" to false, runMs = 3_600_000)
             allRun(listOf(jobId))
--- a/src/test/kotlin/micatally/sim/DelayedWriteTest.kt
+++ b/src/test/kotlin/micatally/sim/DelayedWriteTest.kt
@@ -66,7 +66,7 @@
             fleet.stateFaults.holdWriteOf =
                 { node, body -> if (node == 0 && "\"put\":\"c/live/" in body && held++ == 0) 8000 else null }
             fleet.startNode(0)
-            runUntil(fleet.lease, "it is live and has its ledger") { isLeaderOf(0, 0) }
+            runUntil(fleet.lease, "it is live and has its shard") { isLeaderOf(0, 0) }
             assertTrue(held > 0)
             val until = fleet.now + fleet.lease * 3
             while (fleet.now < until) {
@@ -77,7 +77,7 @@
 
     /** A takeover was conditional on the shard alone: carried out late it took the shard of a host that had come back. */
     @Test
-    fun `a takeover that is carried out late does not take the ledger of a host that is live again`() =
+    fun `a takeover that is carried out late does not take the shard of a host that is live again`() =
         scenario(2, largeDeployment) {
             var held = 0
             fleet.stateFaults.holdWriteOf =
--- a/src/test/kotlin/micatally/sim/FailoverSafetyTest.kt
+++ b/src/test/kotlin/micatally/sim/FailoverSafetyTest.kt
@@ -141,7 +141,7 @@
             fleet.crash(taker)
             fleet.runFor(400)
             fleet.startNode(taker)
-            runUntil(fleet.lease * 3, "what it had taken over has a holder again while its host is away") {
+            runUntil(fleet.lease * 3, "what it had taken over has a leader again while its host is away") {
                 others.any { isLeaderOf(it, 0) }
             }
             cancel(jobIds[0], others)
@@ -196,12 +196,12 @@
         }
 
     /**
-     * Found in the audit of the incident of 2 December: a takeover waits for its turn at the state service. That its holder was
+     * Found in the audit of the incident of 2 December: a takeover waits for its turn at the state store. That its holder was
      * dead was decided on the holder of before; the condition was on the shard's mark of after, which may be that of a
      * controller that has taken the shard meanwhile and lives.
      */
     @Test
-    fun `a takeover that waited does not take the ledger from its next holder`() =
+    fun `a takeover that waited does not take the shard from its next leader`() =
         scenario(1) {
             val shard = fleet.settings[0].host
             val dead =
@@ -209,7 +209,7 @@
                     .membership.sharedKeys
                     .leader(shard)!!
             fleet.crash(0)
-            runUntil(fleet.lease * 3, "another controller has the ledger") { leaderOf(0) != null }
+            runUntil(fleet.lease * 3, "another controller has the shard") { leaderOf(0) != null }
             val next = leaderOf(0)!!
             val slow = others.first { it != next }
             val membership = fleet.live[slow]!!.membership
@@ -218,7 +218,7 @@
                     dead.modRevision
             }
             var taken: Boolean? = null
-            fleet.scope.launch { taken = membership.acquire(shard, "its holder ${dead.host} is dead", dead) }
+            fleet.scope.launch { taken = membership.acquire(shard, "its leader ${dead.host} is dead", dead) }
             runUntil(fleet.lease, "the takeover has ended") { taken != null }
             assertFalse(taken!!)
             assertEquals(next, leaderOf(0))
--- a/src/test/kotlin/micatally/sim/GangTest.kt
+++ b/src/test/kotlin/micatally/sim/GangTest.kt
@@ -282,7 +282,7 @@
                 val jobId = gangIn(phase)
                 val number = gangOf(jobId).gang!!.number
                 fleet.crash(0)
-                runUntil(fleet.lease * 3, "another node takes the ledger and knows the run") {
+                runUntil(fleet.lease * 3, "another node takes the shard and knows the run") {
                     fleet.live.any {
                         it
                             ?.jobManager
--- a/src/test/kotlin/micatally/sim/IdempotentSubmissionTest.kt
+++ b/src/test/kotlin/micatally/sim/IdempotentSubmissionTest.kt
@@ -20,7 +20,7 @@
             allRun(listOf(spec.jobId))
         }
 
-    /** The submission is repeated at node 0, which has its shard and is still loading it, since the state service is slow. */
+    /** The submission is repeated at node 0, which has its shard and is still loading it, since the state store is slow. */
     private fun Scenario.repeatWhileLoading(spec: JobSpec) {
         val shard = fleet.live[0]!!.jobManager.own()!!
         fleet.scope.launch { fleet.users.askNode(0, "POST", "/work", spec.source.bytes()) }
@@ -30,7 +30,7 @@
         fleet.net.slowMs.clear()
     }
 
-    /** Found by the meeting of late writes (seed 3): while a repeated submission waited for the state service at another node,
+    /** Found by the meeting of late writes (seed 3): while a repeated submission waited for the state store at another node,
      * that node took the tasks of the real owner for strays, and ended them. */
     @Test
     fun `a repeated submission that waits to be stored ends nobody's tasks`() =
@@ -52,7 +52,7 @@
     /** A submission that was repeated at its restarted node before that had loaded its jobs hid the record from it: nobody owned
      * the job any more, it was neither run nor could it be cancelled. */
     @Test
-    fun `a submission repeated while a ledger is loaded does not hide the job`() =
+    fun `a submission repeated while a shard is loaded does not hide the job`() =
         scenario(10, largeDeployment) {
             val spec = spec("daemon", 2)
             assertEquals(201, fleet.asked(0, "POST", "/work", spec.source.bytes()).first)
@@ -77,13 +77,13 @@
     /** The same after a shard was lost and taken back by one and the same process: what it had written itself before was taken
      * for the lost answer to the repeat, and the repeat written over it: done tasks and attempts were gone, and ran twice. */
     @Test
-    fun `a submission repeated while a ledger is taken back does not overwrite the job`() =
+    fun `a submission repeated while a shard is taken back does not overwrite the job`() =
         scenario(11, largeDeployment) {
             val spec = inSecondAttempt()
             val before = fleet.rules.starts
             val first = fleet.live[0]!!.jobManager.own()
             fleet.stateFaults.refusedHosts.add("n0")
-            runUntil(fleet.lease * 2, "another one takes the ledger") { others.any { isLeaderOf(it, 0) } }
+            runUntil(fleet.lease * 2, "another one takes the shard") { others.any { isLeaderOf(it, 0) } }
             fleet.stateFaults.refusedHosts.clear()
             fleet.net.slowMs["state"] = 600
             runUntil(fleet.lease * 2, "it is taken back") {
--- a/src/test/kotlin/micatally/sim/PartitionTest.kt
+++ b/src/test/kotlin/micatally/sim/PartitionTest.kt
@@ -26,10 +26,10 @@
             checkRecovery(doomed + kept)
         }
 
-    /** Guard: [micatally.settings.Settings.leadershipMs], [micatally.membership.Membership.mayStart] and the lease at the state service
+    /** Guard: [micatally.settings.Settings.leadershipMs], [micatally.membership.Membership.mayStart] and the lease at the state store
      * ([micatally.membership.Membership.leaseHolds]) bind a leader that hears of nothing. */
     @Test
-    fun `a leader is cut from the state service and the other controllers, and jobs are cancelled through the new one`() =
+    fun `a leader is cut from the state store and the other controllers, and jobs are cancelled through the new one`() =
         forEachSeed(largeDeployment) {
             val zone = zoneOf(0)
             val jobIds =
--- a/src/test/kotlin/micatally/sim/RolloutTest.kt
+++ b/src/test/kotlin/micatally/sim/RolloutTest.kt
@@ -13,7 +13,7 @@
 
 /**
  * Upgrades while the fleet serves. A node in [StateStoreFaults.formerVersionNodes] announces no format, as the previous program; what that one
- * stores and reads is checked by `FormatTest`. Lower limits of the state service come at any moment after the upgrade.
+ * stores and reads is checked by `FormatTest`. Lower limits of the state store come at any moment after the upgrade.
  */
 class RolloutTest {
     private val later = StateLimits(250.0, 60.0, 2 * 1024, 6)
@@ -76,7 +76,7 @@
             runUntil(60_000, "it is done") { fleet.rules.completed[s.jobId]?.size == 3 }
         }
 
-    /** shards go from old to new and back while jobs are cancelled, the state service is out and a process ends midway. */
+    /** shards go from old to new and back while jobs are cancelled, the state store is out and a process ends midway. */
     @Test
     fun `jobs live through an upgrade with takeovers, an outage and a process that comes back old`() =
         rollout(4) {
@@ -85,7 +85,7 @@
             allRun(services + doomed)
             fleet.crash(0)
             fleet.stateFaults.formerVersionNodes.remove(0)
-            runUntil(fleet.lease * 3, "an old node takes the ledger") { others.any { isLeaderOf(it, 0) } }
+            runUntil(fleet.lease * 3, "an old node takes the shard") { others.any { isLeaderOf(it, 0) } }
             fleet.startNode(0)
             runUntil(fleet.lease * 3, "the new one has it back") { isLeaderOf(0, 0) }
             cancel(doomed[0], listOf(0, 1, 2))
@@ -167,7 +167,7 @@
         )
         val running = tasks(jobId).toSet()
         fleet.crash(0)
-        runUntil(fleet.lease * 3, "another node takes the ledger") { others.any { isLeaderOf(it, 0) } }
+        runUntil(fleet.lease * 3, "another node takes the shard") { others.any { isLeaderOf(it, 0) } }
         fleet.runFor(fleet.lease)
         assertTrue(tasks(jobId).containsAll(running), "what runs goes on")
         fleet.startNode(0)
@@ -201,7 +201,7 @@
             fleet.runFor(fleet.lease * 2)
             val jobIds = (0..4).map { submit(it, "sweep", 4, runMs = 2000) }
             runUntil(fleet.lease * 5, "all are done") { jobIds.all { fleet.rules.completed[it]?.size == 4 } }
-            assertTrue((0..4).all { isLeaderOf(it, it) }, "no node lost its ledger")
+            assertTrue((0..4).all { isLeaderOf(it, it) }, "no node lost its shard")
         }
 
     /** Guard: the write rate to come is kept to from the start, and a refusal empties the budget ([micatally.state.RateBudget]). */
@@ -217,6 +217,6 @@
             cancel(doomed, listOf(0, 2))
             runUntil(fleet.lease, "it is cancelled") { fleet.rules.isCancelled(doomed) }
             runUntil(120_000, "all are done") { jobIds.all { fleet.rules.completed[it]?.size == 6 } }
-            assertTrue((0..2).all { isLeaderOf(it, it) }, "no node lost its ledger")
+            assertTrue((0..2).all { isLeaderOf(it, it) }, "no node lost its shard")
         }
 }
--- a/src/test/kotlin/micatally/sim/StateStoreLimitsTest.kt
+++ b/src/test/kotlin/micatally/sim/StateStoreLimitsTest.kt
@@ -8,7 +8,7 @@
 class StateStoreLimitsTest {
     /** Found at size: a summary of hundreds of machines was larger than a value may be, and was never published again. */
     @Test
-    fun `summaries of many machines fit the state service's values`() =
+    fun `summaries of many machines fit the state store's values`() =
         withFleet(5) { fleet ->
             for (n in 0 until 500) {
                 val machine = fleet.live[0]!!.machines.known("m-%06d".format(n), "10.0.0.1:9", "g8", "a", false)
--- a/src/test/kotlin/micatally/sim/StateStoreOutageTest.kt
+++ b/src/test/kotlin/micatally/sim/StateStoreOutageTest.kt
@@ -9,9 +9,9 @@
  */
 class StateStoreOutageTest {
     /** Found on a rough day: in an outage longer than a node's right, every node stopped answering and the whole fleet lost
-     * its leases, though no cancellation can be recorded while the state service is out and the nodes heard each other. */
+     * its leases, though no cancellation can be recorded while the state store is out and the nodes heard each other. */
     @Test
-    fun `tasks outlive a long outage of the state service while the controllers hear each other`() =
+    fun `tasks outlive a long outage of the state store while the controllers hear each other`() =
         withFleet(2) { fleet ->
             val jobId = fleet.submit(0, 1, "daemon", 2)
             fleet.runFor(20_000)
@@ -24,7 +24,7 @@
             assertEquals(2, fleet.rules.starts)
         }
 
-    /** Found on a day apart: users were sent for half a minute to a node that the state service refused alone. */
+    /** Found on a day apart: users were sent for half a minute to a node that the state store refused alone. */
     @Test
     fun `a node refused alone is not healthy, in an outage for all every node is`() =
         withFleet(7) { fleet ->
@@ -38,9 +38,9 @@
             assertEquals(listOf(200, 200, 200), (0..2).map { fleet.asked(it, "GET", "/healthz").first })
         }
 
-    /** The other side of it: a node that hears neither the state service nor a peer must stop answering in time. */
+    /** The other side of it: a node that hears neither the state store nor a peer must stop answering in time. */
     @Test
-    fun `a node alone without the state service stops answering workers`() =
+    fun `a node alone without the state store stops answering workers`() =
         withFleet(3) { fleet ->
             fleet.runFor(3000)
             fleet.crash(1)
@@ -52,7 +52,7 @@
 
     /** Guard: as in the gap; and what can't be decided is answered 503 at once. */
     @Test
-    fun `the state service is slow, refuses the leader alone and then everybody, while users cancel and ask`() =
+    fun `the state store is slow, refuses the leader alone and then everybody, while users cancel and ask`() =
         forEachSeed(largeDeployment) {
             val jobIds = (0..2).flatMap { listOf(submit(it, "daemon", 2), submitLongArray(it, 3)) }
             allRun(jobIds)
--- a/src/test/kotlin/micatally/sim/WorkerReachabilityTest.kt
+++ b/src/test/kotlin/micatally/sim/WorkerReachabilityTest.kt
@@ -74,7 +74,7 @@
                 runUntil(fleet.lease * 2, "its jobs can be cancelled") { fleet.rules.isCancelled(before[0]) }
                 fleet.runFor(fleet.lease * 4)
                 heal(cut)
-                runUntil(fleet.lease * 2, "it has its ledger again") {
+                runUntil(fleet.lease * 2, "it has its shard again") {
                     isLeaderOf(0, 0) &&
                         fleet.asked(0, "GET", "/healthz").first == 200
                 }
