--- a/src/test/kotlin/micatally/sim/AnswerConsistencyTest.kt
+++ b/src/test/kotlin/micatally/sim/AnswerConsistencyTest.kt
@@ -11,7 +11,10 @@
  * its answer is lost or its shard has moved to another controller.
  */
 class AnswerConsistencyTest {
-    /** Guard: the final state of a job is not told from memory while its write is under way ([micatally.job.Job.endUnderWay]). */
+    /**
+     * Guard: the final state of a job is not answered from memory while its write is under way
+     * ([micatally.job.Job.endUnderWay]).
+     */
     @Test
     fun `users ask at all nodes right after a job was accepted, ended or cancelled, and some cancel at once`() =
         forEachSeed {
@@ -46,7 +49,10 @@
             )
         }
 
-    /** Guard: [micatally.job.Job.endUnderWay] again, here with the one answer lost that tells the owner of the end. */
+    /**
+     * Guard: [micatally.job.Job.endUnderWay] again, here when the one answer is lost that would confirm the end to the
+     * shard leader.
+     */
     @Test
     fun `a transaction is carried out and its answer lost while other nodes read what it wrote`() =
         forEachSeed {
@@ -83,7 +89,10 @@
             assertTrue(fleet.rules.isCancelled(gone))
         }
 
-    /** Guard: the state DONE is final and `withdraw` leaves it; what is told waits for the store ([micatally.api.UserApi]). */
+    /**
+     * Guard: the state DONE is final and a cancellation leaves it as it is; an answer to a user waits for the state
+     * store ([micatally.api.UserApi]).
+     */
     @Test
     fun `a cancellation, a question or a repeat meets the end of a job's last task`() =
         forEachSeed {
@@ -118,9 +127,13 @@
             for (jobId in jobIds) assertTrue(fleet.rules.isFinal(jobId))
         }
 
-    /** Found by the simulation (seed 159): a node that had taken over a shard, and then lost the state store, went on
-     * answering from memory after the shard's own host had come back and its user had cancelled the job there. Found at size:
-     * such a node, whose workers know a higher token, asked for the shared keys without pause, and users' questions hung. */
+    /**
+     * Found by the simulation (seed 159): a node that had taken over a shard and then lost the state store went on
+     * answering from memory after the shard's own host had come back and the user had cancelled the job there. Found
+     * under load: such a node, whose workers know a higher fencing token, asked for the shared keys without pause, and
+     * users' requests hung. Guard: a node answers for jobs of a shard that it has taken over only after it has asked
+     * the state store.
+     */
     @Test
     fun `a shard that was taken over is not answered for from memory`() =
         withFleet(1) { fleet ->
--- a/src/test/kotlin/micatally/sim/CancellationDeadlineTest.kt
+++ b/src/test/kotlin/micatally/sim/CancellationDeadlineTest.kt
@@ -7,8 +7,10 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.MethodSource
 
-/** The state store refuses the leading controller alone, another one confirms cancellations, then the state store is
- * down for all for longer than a cancellation has, while workers keep reporting to the old leader. */
+/**
+ * The state store refuses the leader alone, another controller confirms cancellations, then the state store is down for
+ * all for longer than the delay of a cancellation, while workers send their heartbeats to the old leader.
+ */
 class CancellationDeadlineTest {
     enum class Variant {
         REFUSED,
@@ -36,12 +38,15 @@
                     }.map { arrayOf<Any>(deployment, it) }
             }
 
-        /** More luck with -Dgap.seeds=20. */
+        /** How many seeds each variant plays; more with `-Dgap.seeds=20`. */
         val seeds = (System.getProperty("gap.seeds") ?: "1").toInt()
     }
 
-    /** Guards: [micatally.settings.Settings.leadershipMs] (right, lease and slack fit in a cancellation), the list of a cancelled job's
-     * tasks written with its record, [micatally.worker.CancelledTasks] asked in report answers and by the order channel. */
+    /**
+     * Guards: [micatally.settings.Settings.leadershipMs] (leadership, lease and slack fit into the delay of a
+     * cancellation), the list of a cancelled job's tasks written with its record, and
+     * [micatally.worker.CancelledTasks], checked in heartbeat answers and in commands.
+     */
     @ParameterizedTest
     @MethodSource("all")
     fun `tasks are gone in time though the old leader goes on answering`(
@@ -150,7 +155,7 @@
         assertEquals(0, fleet.rules.runsSentAfterCancel, "no start is sent after a confirmation")
     }
 
-    /** The node confirms the tasks of a cancelled job and is another process a moment later. */
+    /** The node acknowledges the tasks of a cancelled job and is restarted a moment later. */
     private fun Scenario.restartAfterConfirming(node: Int) {
         val host = fleet.net.hosts.getValue("n$node")
         val plain = host.handler!!
--- a/src/test/kotlin/micatally/sim/CancellationSafetyTest.kt
+++ b/src/test/kotlin/micatally/sim/CancellationSafetyTest.kt
@@ -12,7 +12,10 @@
  * processes ended or changed places meanwhile.
  */
 class CancellationSafetyTest {
-    /** Guard: every write is conditional on the mark of the shard's acquisition; a cancelled job's tasks are written with its record. */
+    /**
+     * Guard: every write is conditional on the `modRevision` of the shard's acquisition; a cancelled job's tasks are
+     * written in the same transaction as its record.
+     */
     @Test
     fun `jobs are cancelled in the seconds in which one controller's work changes hands`() =
         forEachSeed(largeDeployment) {
@@ -34,8 +37,10 @@
             checkRecovery(jobIds)
         }
 
-    /** The other side of it: a cancellation is not told while a controller that may answer workers has not heard of it, nor
-     * by a node that reads it from the state store. */
+    /**
+     * The other side of a zone that outlives its cut. Guard: a cancellation is not confirmed to its user while a
+     * controller that may answer workers has not received it, nor by a node that reads it from the state store.
+     */
     @Test
     fun `a cancellation is told when all controllers know of it, or a lease after it was published`() =
         withFleet(9) { fleet ->
@@ -64,8 +69,12 @@
             assertTrue(fleet.rules.running.isEmpty() || fleet.now - asked >= fleet.settings[0].cancellationDelayMs)
         }
 
-    /** A confirmation counted though the process that gave it had ended before the tasks lay in the state store: the next
-     * process of that host, cut off at once, answered the workers without having heard of the cancellation. */
+    /**
+     * An acknowledgement counted though the process that gave it had ended before the tasks were in the state store:
+     * the next process of that host, cut off at once, answered the workers without having received the cancellation.
+     * Guard: the cancellation and the list of its tasks are one transaction; an acknowledgement counts only after it,
+     * and every later contact with the state store brings the list.
+     */
     @Test
     fun `what a process confirmed its successor knows from its start`() =
         scenario(5, largeDeployment) {
@@ -91,7 +100,10 @@
             assertTrue(tasks(jobId).isEmpty())
         }
 
-    /** A node that had not heard that its shard was another one's went on sending starts of jobs cancelled there. */
+    /**
+     * A node that had not learnt that its shard had another leader went on sending starts of jobs that were cancelled
+     * there. Guard: [micatally.membership.Membership.mayStart].
+     */
     @Test
     fun `a leader that hears of nothing sends no start after a cancellation was told`() =
         scenario(6, largeDeployment) {
--- a/src/test/kotlin/micatally/sim/CapacityPressureTest.kt
+++ b/src/test/kotlin/micatally/sim/CapacityPressureTest.kt
@@ -16,8 +16,11 @@
  * against its team until there is evidence of its termination.
  */
 class CapacityPressureTest {
-    /** Guard: attempts that are not proven gone count ([micatally.quota.Quota]), also under the shard's next leader, and what an
-     * attempt of a lost shard gives back counts nowhere. */
+    /**
+     * Guard: an attempt counts against its team's quota until there is evidence of its termination
+     * ([micatally.quota.Quota]), also under the shard's next leader; resources that an attempt of a lost shard
+     * releases are not released a second time.
+     */
     @Test
     fun `every team is at its limit while jobs are cancelled whose machines hang or are cut off, and the leader changes`() =
         forEachSeed(largeDeployment) {
@@ -77,7 +80,10 @@
             assertEquals(84, more.sumOf { tasks(it).size }, "what was cancelled makes room for the rest")
         }
 
-    /** Guard: submissions beyond a second's writes are refused at once; a cancellation and its tasks are one transaction. */
+    /**
+     * Guard: submissions beyond the state store's write rate are refused at once; a cancellation and the list of its
+     * tasks are one transaction.
+     */
     @Test
     fun `one-task jobs come four a second, a quarter of them cancelled`() =
         forEachSeed {
@@ -121,7 +127,7 @@
             assertTrue(all.count { fleet.rules.isCancelled(it.jobId) } > 20)
         }
 
-    /** Guard: as for every team's limit; a cancellation frees room only with a proof. */
+    /** Guard: as for every team's quota; a cancellation frees quota only with termination evidence. */
     @Test
     fun `a team is at its limit when the leader changes, some machines can't be asked, and a cancellation falls into that`() =
         forEachSeed(largeDeployment) {
@@ -149,7 +155,10 @@
             checkRecovery(old)
         }
 
-    /** Guard: placement from the top queue down, by priority; requests that wait too long are refused with `Retry-After`. */
+    /**
+     * Guard: placement goes from the top queue down, by priority; requests that would wait too long are refused with
+     * `Retry-After`.
+     */
     @Test
     fun `there is more work than room, urgent and not, over slow links`() =
         forEachSeed {
@@ -168,8 +177,11 @@
             checkRecovery(urgent)
         }
 
-    /** Found at size: a team limited in cards only never gave an allotment back, because the cores that its tasks used had none;
-     * the jobs of the controllers that came last waited to the end of the day. */
+    /**
+     * Found under load: a shard of a team whose quota is in GPUs only never gave an allotment back, because no quota
+     * was set for the cores that its tasks used; the jobs of the controllers that came last waited to the end of the
+     * day. Guard: a resource without a quota does not hold an allotment back.
+     */
     @Test
     fun `what one shard no longer uses of a team's limit another one gets`() =
         withFleet(6) { fleet ->
@@ -198,8 +210,11 @@
             }
         }
 
-    /** An answer that came after the shard was lost gave back its task's share once more: with the shard taken back the team
-     * seemed to use less than it did, and more was placed than its limit. */
+    /**
+     * An answer that came after the shard was lost released its task's resources once more: with the shard acquired
+     * again the team seemed to use less than it did, and was placed above its quota. Guard: [micatally.quota.Quota]
+     * counts nothing that an attempt of a lost shard releases.
+     */
     @Test
     fun `what an attempt of a lost shard gives back counts nowhere`() =
         scenario(3, largeDeployment) {
--- a/src/test/kotlin/micatally/sim/DelayedWriteTest.kt
+++ b/src/test/kotlin/micatally/sim/DelayedWriteTest.kt
@@ -13,7 +13,10 @@
  * so none takes effect once its decision is out of date.
  */
 class DelayedWriteTest {
-    /** Guard: each transaction is conditional on what it changes, the live key included ([micatally.membership.Membership]). */
+    /**
+     * Guard: each transaction is conditional on what it changes, the live key included
+     * ([micatally.membership.Membership]).
+     */
     @Test
     fun `transactions without an answer are carried out late, after newer ones of the same controller`() =
         forEachSeed(largeDeployment) {
@@ -55,8 +58,11 @@
             for (jobId in more) assertTrue(fleet.rules.isFinal(jobId), "$jobId has ended")
         }
 
-    /** The live key was written without a condition: carried out late it was tied to a lease that nobody renewed any more. The
-     * key went, peers took the shard, and its host went on answering from memory. */
+    /**
+     * The live key was written without a condition: carried out late, it was tied to a lease that nobody renewed any
+     * more. The key expired, other controllers took the shard, and its host went on answering from memory. Guard: its
+     * write is conditional, and a node checks that its live key is its own.
+     */
     @Test
     fun `a live key that is written late does not end the life of its host`() =
         scenario(1, largeDeployment) {
@@ -75,7 +81,10 @@
             }
         }
 
-    /** A takeover was conditional on the shard alone: carried out late it took the shard of a host that had come back. */
+    /**
+     * A takeover was conditional on the shard alone: carried out late, it took the shard of a host that had come back.
+     * Guard: a takeover is conditional on what it was decided on, the live key included.
+     */
     @Test
     fun `a takeover that is carried out late does not take the shard of a host that is live again`() =
         scenario(2, largeDeployment) {
@@ -97,7 +106,10 @@
             assertEquals(0, leaderOf(0))
         }
 
-    /** The answer that gave a node the fleet's key was lost: the key stayed its own, and nobody rented or returned machines. */
+    /**
+     * The answer that granted a node the fleet manager's key was lost: the key stayed its own, and nobody scaled the
+     * fleet out or in. Guard: a node that finds its own key adopts it.
+     */
     @Test
     fun `whoever has the fleet's key without having heard of it keeps the fleet`() =
         scenario(4) {
@@ -112,7 +124,10 @@
             assertTrue(lost > 0)
         }
 
-    /** A drain that was written late, after it had been called off, kept a machine without work for good. */
+    /**
+     * A drain that was written late, after it had been called off, kept a machine without work for good. Guard: the
+     * fleet manager removes drains that it has not decided.
+     */
     @Test
     fun `a drain that nobody decided is taken off`() =
         scenario(7) {
--- a/src/test/kotlin/micatally/sim/FailoverSafetyTest.kt
+++ b/src/test/kotlin/micatally/sim/FailoverSafetyTest.kt
@@ -13,8 +13,11 @@
  * The rules are checked after every step of [SimFleet]; each test also asserts that its trouble did come about.
  */
 class FailoverSafetyTest {
-    /** Guard: an intent is durable before its run leaves, on the condition of the shard; the successor asks the machine with
-     * its own token first ([micatally.worker.CommandDispatcher]). */
+    /**
+     * Guard: an intent is durable before its start command leaves, on the condition that the shard is still led in the
+     * same term; the successor asks the machine with its own fencing token first
+     * ([micatally.worker.CommandDispatcher]).
+     */
     @Test
     fun `new machines get work at once while writes lag, and the leader ends`() =
         forEachSeed(largeDeployment) {
@@ -54,7 +57,10 @@
             }
         }
 
-    /** Guard: only a proof ends an attempt ([micatally.job.JobManager.gone]): a machine that can't be asked keeps its tasks. */
+    /**
+     * Guard: only termination evidence ends an attempt ([micatally.job.JobManager.gone]): a machine that cannot be
+     * asked keeps its tasks.
+     */
     @Test
     fun `a leader ends while machines with long tasks can't be reached or don't hear the new leader`() =
         forEachSeed(largeDeployment) {
@@ -81,7 +87,10 @@
             for (jobId in jobIds) assertEquals(3, tasks(jobId).size, "$jobId runs on or again")
         }
 
-    /** Guard: a newer session is a proof, the end of a lease alone is not; the successor asks before it places. */
+    /**
+     * Guard: a newer incarnation is termination evidence, a lease expiry alone is not; the successor asks the machines
+     * before it places tasks.
+     */
     @Test
     fun `all controllers are away for longer than a lease`() =
         forEachSeed(largeDeployment) {
@@ -109,7 +118,9 @@
             checkRecovery(jobIds)
         }
 
-    /** Guard: which tasks are done is written with the record, and the last one only then makes the job done. */
+    /**
+     * Guard: which tasks are done is written with the job's record, and only then does the last one make the job done.
+     */
     @Test
     fun `jobs of two or three tasks end far apart across a change of leader`() =
         forEachSeed(largeDeployment) {
@@ -128,8 +139,10 @@
             for (jobId in jobIds) assertTrue(fleet.rules.isDone(jobId), "$jobId is done")
         }
 
-    /** Guard: a holder is a process, not a host: what a host had taken over before it ended is taken over in its turn
-     * ([micatally.membership.Membership] `isOrphan`). */
+    /**
+     * Guard: a shard leader is a process, not a host: the shards that a host had taken over before its process ended
+     * are taken over in their turn ([micatally.membership.Membership] `isOrphan`).
+     */
     @Test
     fun `controllers hand over and back, all end, and one returns within a second`() =
         forEachSeed(largeDeployment) {
@@ -168,7 +181,7 @@
             checkRecovery(jobIds)
         }
 
-    /** Guard: the fencing token in each acquisition, and as token in each command. */
+    /** Guard: the fencing token, in each acquisition of a shard and in each command. */
     @Test
     fun `leaders change ten times in two minutes, also inside an outage`() =
         forEachSeed(largeDeployment) {
@@ -196,9 +209,10 @@
         }
 
     /**
-     * Found in the audit of the incident of 2 December: a takeover waits for its turn at the state store. That its holder was
-     * dead was decided on the holder of before; the condition was on the shard's mark of after, which may be that of a
-     * controller that has taken the shard meanwhile and lives.
+     * Found in the audit of the incident of 2 December: a takeover waits for its turn at the state store. That the
+     * leader was dead had been decided for the earlier leader; the write's condition was the shard's `modRevision` of
+     * the later one, a live controller that had taken the shard meanwhile. Guard: the condition is the `modRevision`
+     * that the decision was based on.
      */
     @Test
     fun `a takeover that waited does not take the shard from its next leader`() =
--- a/src/test/kotlin/micatally/sim/FaultIsolationTest.kt
+++ b/src/test/kotlin/micatally/sim/FaultIsolationTest.kt
@@ -33,8 +33,11 @@
             spec.jobId
         }
 
-    /** Guard: a job that fails everywhere accuses no machine ([micatally.job.FaultJudgement]); it is tried with one task at a time, and
-     * waits longer after each failure ([micatally.job.JobHealth]). Before, any machine without a success was left alone after one failure. */
+    /**
+     * Guard: a job that fails everywhere accuses no machine ([micatally.job.FaultJudgement]); it is tried with one
+     * task at a time and waits longer after each failure ([micatally.job.JobHealth]). Before, any machine without a
+     * success was excluded after one failure.
+     */
     @Test
     fun `jobs with a mistake take no machine out of service and little of the fleet`() =
         forEachSeed {
@@ -61,7 +64,10 @@
             checkRecovery(good)
         }
 
-    /** Guard: two jobs, or one that runs elsewhere, exclude a machine ([micatally.worker.MachineHealth]), whatever broken jobs do meanwhile. */
+    /**
+     * Guard: two failing jobs, or one that runs elsewhere, exclude a machine ([micatally.worker.MachineHealth]),
+     * whatever faulty jobs do meanwhile.
+     */
     @Test
     fun `a faulty machine is found while jobs with a mistake run`() =
         forEachSeed {
--- a/src/test/kotlin/micatally/sim/IdempotentSubmissionTest.kt
+++ b/src/test/kotlin/micatally/sim/IdempotentSubmissionTest.kt
@@ -30,8 +30,11 @@
         fleet.net.slowMs.clear()
     }
 
-    /** Found by the meeting of late writes (seed 3): while a repeated submission waited for the state store at another node,
-     * that node took the tasks of the real owner for strays, and ended them. */
+    /**
+     * Found by the scenario of late writes (seed 3): while a repeated submission waited for the state store at another
+     * node, that node took the tasks of the job's real leader for strays, and ended them. Guard: a job whose record is
+     * not stored yet owns no tasks.
+     */
     @Test
     fun `a repeated submission that waits to be stored ends nobody's tasks`() =
         scenario(8, largeDeployment) {
@@ -49,8 +52,11 @@
             assertTrue(fleet.rules.running.containsAll(before))
         }
 
-    /** A submission that was repeated at its restarted node before that had loaded its jobs hid the record from it: nobody owned
-     * the job any more, it was neither run nor could it be cancelled. */
+    /**
+     * A submission that was repeated at its restarted node before that had loaded its jobs hid the record: nobody led
+     * the job any more, it was neither run nor could it be cancelled. Guard: the load replaces a job that is not
+     * stored yet.
+     */
     @Test
     fun `a submission repeated while a shard is loaded does not hide the job`() =
         scenario(10, largeDeployment) {
@@ -74,8 +80,11 @@
             runUntil(fleet.lease, "it can be cancelled") { fleet.rules.isCancelled(spec.jobId) }
         }
 
-    /** The same after a shard was lost and taken back by one and the same process: what it had written itself before was taken
-     * for the lost answer to the repeat, and the repeat written over it: done tasks and attempts were gone, and ran twice. */
+    /**
+     * The same after one process had lost a shard and acquired it again: its own earlier write was taken for the lost
+     * answer to the repeat, and the repeat was written over it: completed tasks and attempts were gone, and ran twice.
+     * Guard: a record says in which term (process and fencing token) it was written.
+     */
     @Test
     fun `a submission repeated while a shard is taken back does not overwrite the job`() =
         scenario(11, largeDeployment) {
--- a/src/test/kotlin/micatally/sim/MachineLossTest.kt
+++ b/src/test/kotlin/micatally/sim/MachineLossTest.kt
@@ -16,7 +16,10 @@
  * evidence that the old attempt has ended.
  */
 class MachineLossTest {
-    /** Guard: zones and rules of placement hold for each start, whatever was lost before ([micatally.scheduling.Placement]). */
+    /**
+     * Guard: zones and placement constraints hold for each start, whatever was lost before
+     * ([micatally.scheduling.Placement]).
+     */
     @Test
     fun `jobs bound to one zone lose machines`() =
         forEachSeed {
@@ -64,7 +67,10 @@
             }
         }
 
-    /** Found on a day of losses: replicas of machines that had stopped stayed away for a lease before their machines were deleted. */
+    /**
+     * Found on a day of machine losses: replicas of machines that had stopped were missing for a whole lease before
+     * their machines were deleted. Guard: the fleet manager asks silent machines itself.
+     */
     @Test
     fun `a machine without power is deleted before its lease would end, one that hangs is not`() =
         withFleet(10) { fleet ->
@@ -96,8 +102,10 @@
             assertTrue(fleet.live.none { it!!.machines.of(hung.name)?.deleted == true })
         }
 
-    /** A task that went from its machine by nobody's known doing was waited for to the end of the day: reports that lack it
-     * prove nothing, and the machine was not asked. */
+    /**
+     * A task that vanished from its machine for no known reason was waited for to the end of the day: heartbeats that
+     * lack it are no evidence, and the machine was not asked. Guard: a machine that lacks a task is asked for it.
+     */
     @Test
     fun `a machine that lacks a task is asked, and the task starts again`() =
         scenario(9, largeDeployment) {
--- a/src/test/kotlin/micatally/sim/PartitionTest.kt
+++ b/src/test/kotlin/micatally/sim/PartitionTest.kt
@@ -6,7 +6,10 @@
 
 /** Zones, leaders and workers are cut off from parts of the fleet for longer than a lease. */
 class PartitionTest {
-    /** Guard: [micatally.settings.Settings.leadershipMs] against the cancellation, and [micatally.settings.Settings.cancellationDelayMs] for the tasks. */
+    /**
+     * Guard: [micatally.settings.Settings.leadershipMs] is shorter than the delay of a cancellation, and
+     * [micatally.settings.Settings.cancellationDelayMs] is longer than the workers' leases.
+     */
     @Test
     fun `a zone with workers and a controller is cut off for longer than a lease`() =
         forEachSeed(largeDeployment) {
@@ -26,8 +29,10 @@
             checkRecovery(doomed + kept)
         }
 
-    /** Guard: [micatally.settings.Settings.leadershipMs], [micatally.membership.Membership.mayStart] and the lease at the state store
-     * ([micatally.membership.Membership.leaseHolds]) bind a leader that hears of nothing. */
+    /**
+     * Guard: [micatally.settings.Settings.leadershipMs], [micatally.membership.Membership.mayStart] and the lease at
+     * the state store ([micatally.membership.Membership.leaseHolds]) bind a leader that receives nothing.
+     */
     @Test
     fun `a leader is cut from the state store and the other controllers, and jobs are cancelled through the new one`() =
         forEachSeed(largeDeployment) {
@@ -65,7 +70,10 @@
             checkRecovery(jobIds)
         }
 
-    /** Guard: direct orders reach what reports don't; the end of a lease is not a proof by itself. */
+    /**
+     * Guard: direct commands reach machines whose heartbeats arrive nowhere; a lease expiry by itself is no
+     * termination evidence.
+     */
     @Test
     fun `workers can't open connections to any controller while direct commands reach them`() =
         forEachSeed(largeDeployment) {
@@ -100,8 +108,12 @@
             checkRecovery(jobIds)
         }
 
-    /** Found on the days of the fleets: a zone was cut off for longer than a lease, and all its tasks were lost a few seconds
-     * before the cut ended, though its controller heard the workers all the time. */
+    /**
+     * Found in simulated days of whole fleets: a zone was cut off for longer than a lease, and all its tasks were lost
+     * a few seconds before the cut ended, though its controller received the workers' heartbeats all the time. Guard:
+     * a cancellation is confirmed when all controllers know of it or a lease after it was published, and a controller
+     * may answer its workers longer by that lease.
+     */
     @Test
     fun `tasks in a zone that is cut off outlive the cut while its controller answers`() =
         withFleet(8) { fleet ->
--- a/src/test/kotlin/micatally/sim/RandomFaultsTest.kt
+++ b/src/test/kotlin/micatally/sim/RandomFaultsTest.kt
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.MethodSource
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Days with seeded luck: troubles of all kinds, alone and together, with the rules looked at after every step. */
+/** Random faults of all kinds, alone and together, in simulated days; the rules are checked after every step. */
 class RandomFaultsTest {
     companion object {
         private val FEW_CHANGES = StateLimits(150.0, 15.0, 8 * 1024, 12)
@@ -23,6 +23,10 @@
             }
     }
 
+    /**
+     * Guard: all rules of [micatally.emulator.RuleChecker] under random faults of all kinds; every accepted job ends
+     * or stays known.
+     */
     @ParameterizedTest
     @MethodSource("seeds")
     fun `no rule breaks, and every accepted job ends or stays known`(seed: Int) {
--- a/src/test/kotlin/micatally/sim/RequestLoadTest.kt
+++ b/src/test/kotlin/micatally/sim/RequestLoadTest.kt
@@ -8,8 +8,10 @@
 
 /** Many requests or many tasks at once: submissions and starts keep their time, and writes stay few. */
 class RequestLoadTest {
-    /** Guard: reads for users' questions keep to a share of a node's requests ([micatally.api.RecordReads]); else submissions and starts
-     * wait behind thousands of questions about jobs that nobody submitted. */
+    /**
+     * Guard: reads for users' requests keep to a share of a node's requests ([micatally.api.RecordReads]); else
+     * submissions and starts wait behind thousands of requests about jobs that nobody submitted.
+     */
     @Test
     fun `submissions and starts keep their time in a storm of questions`() =
         forEachSeed {
@@ -42,8 +44,10 @@
             assertTrue(answered > 0 && refused > 0, "$answered answered, $refused refused")
         }
 
-    /** Guard: counts of finished tasks are written together ([micatally.job.JobStore]), and done tasks stand in the record, so that an end of
-     * the owner repeats only what was done in the last moments. */
+    /**
+     * Guard: counts of completed tasks are written together ([micatally.job.JobStore]), and completed tasks are part
+     * of the record, so that the end of the shard leader repeats only what was completed in the last moments.
+     */
     @Test
     fun `a huge array takes few writes, and its owner's end repeats little of it`() =
         forEachSeed {
--- a/src/test/kotlin/micatally/sim/RuleCheckerTest.kt
+++ b/src/test/kotlin/micatally/sim/RuleCheckerTest.kt
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** The checker itself: each violation is made once and must be seen. */
+/** The checker that the simulation relies on. */
 class RuleCheckerTest {
     private fun rules() =
         RuleChecker(mapOf("vision" to Team("vision", 0.0, 6.0, 0.0, 0.0)), 1000).also {
@@ -36,6 +36,7 @@
         }.message!!.startsWith(rule),
     )
 
+    /** Guard: every rule of [RuleChecker] is made to fail once and is seen; the allowed cases beside it pass. */
     @Test
     fun `each violation is caught`() {
         rules().let { r ->
--- a/src/test/kotlin/micatally/sim/ScaleOutTest.kt
+++ b/src/test/kotlin/micatally/sim/ScaleOutTest.kt
@@ -6,8 +6,10 @@
 
 /** Machines that come up late are waited for and are not rented a second time. */
 class ScaleOutTest {
-    /** Guard: late machines are waited for while all are late ([micatally.fleet.BootTimes]). Before, each was given up after four nominal
-     * boots and ordered anew, so that none ever came. */
+    /**
+     * Guard: late machines are waited for while all are late ([micatally.fleet.BootTimes]). Before, each was given up
+     * after four nominal boot times and ordered anew, so that none ever came up.
+     */
     @Test
     fun `machines that take seven times as long come up, and little more than needed is rented`() =
         forEachSeed(before = {
@@ -23,8 +25,10 @@
             assertTrue(most <= NEEDED_AT_MOST * 2, "$most machines at once")
         }
 
-    /** Guard: a booking stays noted until its machines are up ([micatally.fleet.ScaleOut]). Before, a new fleet manager ordered all that
-     * was on its way once more. */
+    /**
+     * Guard: a rental stays recorded until its machines are up ([micatally.fleet.ScaleOut]). Before, a new fleet
+     * manager ordered once more all that was on its way.
+     */
     @Test
     fun `a new fleet manager does not rent again what its predecessor has rented`() =
         forEachSeed(before = {
--- a/src/test/kotlin/micatally/sim/Scenario.kt
+++ b/src/test/kotlin/micatally/sim/Scenario.kt
@@ -12,7 +12,10 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 
-/** What the tests of meetings share: a fleet that is up, jobs made to measure, and users who insist. */
+/**
+ * Plays [test] on a fleet of [nodes] controllers that has run for a third of a lease. [before] prepares the fleet before
+ * its controllers start. A failure names the seed.
+ */
 internal fun scenario(
     seed: Int,
     timing: Timing = Timing.PLAIN,
@@ -37,6 +40,7 @@
 internal val SimFleet.lease get() = settings[0].leaseMs
 internal val SimFleet.cancelMs get() = settings[0].cancelMs
 
+/** What the scenarios share: a fleet that is up, jobs made to measure, users who repeat their requests, and partitions. */
 internal class Scenario(
     val fleet: SimFleet,
 ) {
@@ -67,7 +71,7 @@
             ).also { fleet.rules.submitted(it) }
     }
 
-    /** Submitted at this node, which accepts it at once. */
+    /** Submits a job at this node, which has to accept it at once; returns its id. */
     fun submit(
         node: Int,
         format: String,
@@ -87,6 +91,7 @@
 
     fun worker(name: String): WorkerEmulator = fleet.cloud.workers.first { it.name == name }
 
+    /** Runs the fleet until [done] holds; fails after [maxMs] milliseconds. */
     fun runUntil(
         maxMs: Long,
         what: String,
@@ -99,7 +104,7 @@
         }
     }
 
-    /** Until all tasks of these jobs run. */
+    /** Runs the fleet until all tasks of these jobs run. */
     fun allRun(jobIds: Collection<String>) =
         runUntil(fleet.lease * 4 + 20_000, "all tasks run") {
             jobIds.all { jobId ->
@@ -110,7 +115,7 @@
             }
         }
 
-    /** A user who asks these nodes, again and again, until one confirms. */
+    /** Launches a user who cancels the job at random ones of these nodes, again and again, until one confirms. */
     fun cancel(
         jobId: String,
         nodes: List<Int>,
@@ -129,7 +134,7 @@
         }
     }
 
-    /** A user who polls at any node to the end, about as often as users do. */
+    /** Launches a user who polls the job at random nodes to the end of the test, about as often as users do. */
     fun poll(jobId: String) =
         fleet.scope.launch {
             while (true) {
@@ -142,6 +147,7 @@
             }
         }
 
+    /** Cuts the connections for which [between] holds, until [heal]. */
     fun cut(
         mode: CutMode,
         between: (SimNet.Host, SimNet.Host) -> Boolean,
@@ -149,17 +155,20 @@
         fleet.net.cuts.add(it)
     }
 
+    /** Ends the partition: messages that it held arrive now. */
     fun heal(partition: SimNet.Cut) {
         fleet.net.cuts.remove(partition)
         partition.over.complete(Unit)
     }
 
+    /** The node whose membership holds this host's shard. */
     fun leaderOf(shard: Int) =
         (0 until fleet.nodes).firstOrNull { i ->
             fleet.live[i]?.membership?.holds("pitbox-$shard") ==
                 true
         }
 
+    /** Whether the node itself counts as the leader of this host's shard. */
     fun isLeaderOf(
         node: Int,
         shard: Int,
@@ -174,7 +183,11 @@
             .getValue("n$node")
             .zone
 
-    /** Once all troubles are over: every job ends or stays known, cancelled ones leave nothing, the rest is served. */
+    /**
+     * To be called once all troubles are over: runs the fleet for [ms] milliseconds and checks that every accepted job
+     * ends or stays known, that no job waits beside free capacity, that cancelled jobs have no task left and that
+     * services run with all their tasks.
+     */
     fun checkRecovery(
         jobIds: Collection<String>,
         ms: Long = 80_000,
@@ -228,10 +241,10 @@
     for (seed in scenarioSeeds) scenario(seed, timing, nodes, before = before, test = test)
 }
 
-/** The times of a large deployment. */
+/** The times of a deployment at its full size. */
 internal val largeDeployment = Timing.DEPLOYMENTS.getValue("addis at size")
 
-/** A job array whose tasks outlive the test. */
+/** Submits a job array whose tasks outlive the test. */
 internal fun Scenario.submitLongArray(
     node: Int,
     taskCount: Int,
--- a/src/test/kotlin/micatally/sim/StaleMessageTest.kt
+++ b/src/test/kotlin/micatally/sim/StaleMessageTest.kt
@@ -9,7 +9,10 @@
  * undo nothing and start nothing.
  */
 class StaleMessageTest {
-    /** Guard: reports that lack a task prove nothing ([micatally.job.JobManager.gone]), and only a newer (session, tick) counts. */
+    /**
+     * Guard: a heartbeat that lacks a task is no termination evidence ([micatally.job.JobManager.gone]), and only a
+     * newer (incarnation, sequence number) counts.
+     */
     @Test
     fun `an old report reaches every controller just as a new leader begins`() =
         forEachSeed(largeDeployment) {
@@ -30,8 +33,10 @@
             checkRecovery(jobIds)
         }
 
-    /** Guard: the token and the session that each command carries, and runs without an answer are remembered
-     * ([micatally.worker.Machine.unansweredRuns]). */
+    /**
+     * Guard: each command carries the fencing token and the machine's incarnation, and start commands without an
+     * answer are remembered ([micatally.worker.Machine.unansweredRuns]).
+     */
     @Test
     fun `a command or its answer is held up for seconds, and the machine then goes on`() =
         forEachSeed(largeDeployment) {
@@ -68,7 +73,10 @@
             assertEquals(0, fleet.rules.runsSentAfterCancel)
         }
 
-    /** Guard: a report is as old as its (session, tick); what a new leader has done since is not undone by it. */
+    /**
+     * Guard: a heartbeat is as old as its (incarnation, sequence number); it does not undo what a new leader has done
+     * since.
+     */
     @Test
     fun `a report is held back until a new leader has acted, and then arrives there`() =
         forEachSeed(largeDeployment) {
@@ -98,7 +106,7 @@
             checkRecovery(jobIds)
         }
 
-    /** Guard: (session, tick) orders reports; tasks are named by job, number and attempt. */
+    /** Guard: (incarnation, sequence number) orders heartbeats; tasks are identified by job, index and attempt. */
     @Test
     fun `old reports arrive after newer ones, also from an earlier session or attempt`() =
         forEachSeed(largeDeployment) {
--- a/src/test/kotlin/micatally/sim/StateStoreLimitsTest.kt
+++ b/src/test/kotlin/micatally/sim/StateStoreLimitsTest.kt
@@ -6,7 +6,10 @@
 
 /** Stored values keep to the size limits of the state store. */
 class StateStoreLimitsTest {
-    /** Found at size: a summary of hundreds of machines was larger than a value may be, and was never published again. */
+    /**
+     * Found under load: a capacity summary of hundreds of machines was larger than a value may be, and was never
+     * published again. Guard: a summary is split over several values.
+     */
     @Test
     fun `summaries of many machines fit the state store's values`() =
         withFleet(5) { fleet ->
--- a/src/test/kotlin/micatally/sim/StateStoreOutageTest.kt
+++ b/src/test/kotlin/micatally/sim/StateStoreOutageTest.kt
@@ -8,8 +8,11 @@
  * The state store is slow, down, or refuses single controllers: tasks outlive it, and a controller alone stops acting in time.
  */
 class StateStoreOutageTest {
-    /** Found on a rough day: in an outage longer than a node's right, every node stopped answering and the whole fleet lost
-     * its leases, though no cancellation can be recorded while the state store is out and the nodes heard each other. */
+    /**
+     * Found on a day with many faults: in an outage longer than a node's leadership lasts every node stopped
+     * answering, and the whole fleet lost its leases, though no cancellation can be recorded during an outage of the
+     * state store and the nodes heard from each other. Guard: nodes that hear from each other keep answering workers.
+     */
     @Test
     fun `tasks outlive a long outage of the state store while the controllers hear each other`() =
         withFleet(2) { fleet ->
@@ -24,7 +27,10 @@
             assertEquals(2, fleet.rules.starts)
         }
 
-    /** Found on a day apart: users were sent for half a minute to a node that the state store refused alone. */
+    /**
+     * Found in a repeated day: users were sent for half a minute to a node that the state store refused alone. Guard:
+     * such a node is not healthy, but in an outage for all every node is.
+     */
     @Test
     fun `a node refused alone is not healthy, in an outage for all every node is`() =
         withFleet(7) { fleet ->
@@ -38,7 +44,10 @@
             assertEquals(listOf(200, 200, 200), (0..2).map { fleet.asked(it, "GET", "/healthz").first })
         }
 
-    /** The other side of it: a node that hears neither the state store nor a peer must stop answering in time. */
+    /**
+     * The other side of the long outage. Guard: a node that reaches neither the state store nor another controller
+     * stops answering in time.
+     */
     @Test
     fun `a node alone without the state store stops answering workers`() =
         withFleet(3) { fleet ->
@@ -50,7 +59,7 @@
             assertEquals(micatally.membership.LeadershipState.EXPIRED, fleet.live[0]!!.membership.leadership)
         }
 
-    /** Guard: as in the gap; and what can't be decided is answered 503 at once. */
+    /** Guard: as in [CancellationDeadlineTest]; and a request that cannot be decided is answered 503 at once. */
     @Test
     fun `the state store is slow, refuses the leader alone and then everybody, while users cancel and ask`() =
         forEachSeed(largeDeployment) {
--- a/src/test/kotlin/micatally/sim/WorkerReachabilityTest.kt
+++ b/src/test/kotlin/micatally/sim/WorkerReachabilityTest.kt
@@ -6,8 +6,10 @@
 
 /** A controller that its workers cannot reach sends them to another one, and leaves its shard to one that can reach them. */
 class WorkerReachabilityTest {
-    /** Found in an incident: a controller that its workers could not reach still talked to the others, which sent each worker back to
-     * it until its lease was over. Guard: [micatally.api.WorkerRedirects]. */
+    /**
+     * Found in an incident: a controller that its workers could not reach still exchanged messages with the others,
+     * which sent each worker back to it until its lease had expired. Guard: [micatally.api.WorkerRedirects].
+     */
     @Test
     fun `workers that can't reach their zone's controller keep their tasks`() {
         for (mode in CutMode.entries) {
@@ -32,8 +34,10 @@
         }
     }
 
-    /** Guard: a controller that can talk to no worker says that it is not healthy, accepts nothing, and leaves its shard to one that
-     * can ([micatally.worker.WorkerReach], [micatally.membership.Membership.shouldStepDown]). */
+    /**
+     * Guard: a controller that reaches no worker reports that it is not healthy, accepts nothing, and leaves its shard
+     * to one that does ([micatally.worker.WorkerReach], [micatally.membership.Membership.shouldStepDown]).
+     */
     @Test
     fun `the jobs of a controller that is cut from the workers go on at another one, and short cuts move nothing`() {
         for (mode in CutMode.entries) {
