--- a/src/test/kotlin/micatally/sim/CapacityPressureTest.kt
+++ b/src/test/kotlin/micatally/sim/CapacityPressureTest.kt
@@ -16,6 +16,15 @@
  * against its team until there is evidence of its termination.
  */
 class CapacityPressureTest {
+    /** At each node a long job array of each team, together far above the quotas of both. */
+    private fun Scenario.submitForBothTeams() =
+        (0..2).flatMap { node ->
+            listOf(
+                submitLongArray(node, 20, "loaners" to false),
+                submitLongArray(node, 8, "crew" to "text", "loaners" to false),
+            )
+        }
+
     /**
      * Guard: an attempt counts against its team's quota until there is evidence of its termination
      * ([micatally.quota.Quota]), also under the shard's next leader; resources that an attempt of a lost shard
@@ -24,31 +33,9 @@
     @Test
     fun `every team is at its limit while jobs are cancelled whose machines hang or are cut off, and the leader changes`() =
         forEachSeed(largeDeployment) {
-            val old =
-                (0..2).flatMap { node ->
-                    listOf(
-                        submitLongArray(node, 20, "loaners" to false),
-                        submitLongArray(
-                            node,
-                            8,
-                            "crew" to "text",
-                            "loaners" to false,
-                        ),
-                    )
-                }
+            val old = submitForBothTeams()
             runUntil(fleet.lease * 8, "the teams are at their limits") { fleet.rules.running.size == 60 + 24 }
-            val more =
-                (0..2).flatMap { node ->
-                    listOf(
-                        submitLongArray(node, 20, "loaners" to false),
-                        submitLongArray(
-                            node,
-                            8,
-                            "crew" to "text",
-                            "loaners" to false,
-                        ),
-                    )
-                }
+            val more = submitForBothTeams()
             fleet.runFor(2000)
             val ends = old.filter { jobId -> tasks(jobId).isNotEmpty() }
             val machines =
--- a/src/test/kotlin/micatally/sim/FailoverSafetyTest.kt
+++ b/src/test/kotlin/micatally/sim/FailoverSafetyTest.kt
@@ -106,15 +106,7 @@
                 fleet.runFor(300)
             }
             fleet.runFor(fleet.lease * 5)
-            for (jobId in jobIds.drop(2)) {
-                assertEquals(
-                    fleet.rules.specs
-                        .getValue(jobId)
-                        .taskCount,
-                    tasks(jobId).size,
-                    jobId,
-                )
-            }
+            assertAllTasksRun(jobIds.drop(2))
             checkRecovery(jobIds)
         }
 
@@ -169,15 +161,7 @@
             fleet.startNode(0)
             fleet.startNode(2)
             fleet.runFor(fleet.lease * 4)
-            for (jobId in jobIds.drop(1)) {
-                assertEquals(
-                    fleet.rules.specs
-                        .getValue(jobId)
-                        .taskCount,
-                    tasks(jobId).size,
-                    jobId,
-                )
-            }
+            assertAllTasksRun(jobIds.drop(1))
             checkRecovery(jobIds)
         }
 
--- a/src/test/kotlin/micatally/sim/MachineLossTest.kt
+++ b/src/test/kotlin/micatally/sim/MachineLossTest.kt
@@ -56,15 +56,7 @@
                 "tasks were lost",
             )
             fleet.runFor(60_000)
-            for (jobId in jobIds) {
-                assertEquals(
-                    fleet.rules.specs
-                        .getValue(jobId)
-                        .taskCount,
-                    tasks(jobId).size,
-                    "$jobId runs again",
-                )
-            }
+            assertAllTasksRun(jobIds)
         }
 
     /**
--- a/src/test/kotlin/micatally/sim/PartitionTest.kt
+++ b/src/test/kotlin/micatally/sim/PartitionTest.kt
@@ -96,15 +96,7 @@
             fleet.runFor(fleet.lease)
             fleet.net.mute.clear()
             fleet.runFor(fleet.lease * 5)
-            for (jobId in jobIds.drop(1)) {
-                assertEquals(
-                    fleet.rules.specs
-                        .getValue(jobId)
-                        .taskCount,
-                    tasks(jobId).size,
-                    jobId,
-                )
-            }
+            assertAllTasksRun(jobIds.drop(1))
             checkRecovery(jobIds)
         }
 
--- a/src/test/kotlin/micatally/sim/Scenario.kt
+++ b/src/test/kotlin/micatally/sim/Scenario.kt
@@ -115,6 +115,17 @@
             }
         }
 
+    /** Fails unless all tasks of these jobs run now. */
+    fun assertAllTasksRun(jobIds: Collection<String>) {
+        for (jobId in jobIds) {
+            val taskCount =
+                fleet.rules.specs
+                    .getValue(jobId)
+                    .taskCount
+            assertEquals(taskCount, tasks(jobId).size, "all tasks of $jobId run")
+        }
+    }
+
     /** Launches a user who cancels the job at random ones of these nodes, again and again, until one confirms. */
     fun cancel(
         jobId: String,
--- a/src/test/kotlin/micatally/sim/StaleMessageTest.kt
+++ b/src/test/kotlin/micatally/sim/StaleMessageTest.kt
@@ -61,15 +61,7 @@
             fleet.net.heldAnswersMs.clear()
             fleet.runFor(fleet.lease * 4)
             assertTrue(fleet.rules.isCancelled(jobIds[0]) && tasks(jobIds[0]).isEmpty())
-            for (jobId in jobIds.drop(1)) {
-                assertEquals(
-                    fleet.rules.specs
-                        .getValue(jobId)
-                        .taskCount,
-                    tasks(jobId).size,
-                    jobId,
-                )
-            }
+            assertAllTasksRun(jobIds.drop(1))
             assertEquals(0, fleet.rules.runsSentAfterCancel)
         }
 
@@ -132,15 +124,7 @@
             fleet.net.deliverKept(listOf("n0", "n1", "n2"))
             cancel(jobIds[1], listOf(0, 1, 2))
             fleet.runFor(fleet.lease * 4)
-            for (jobId in jobIds.drop(2)) {
-                assertEquals(
-                    fleet.rules.specs
-                        .getValue(jobId)
-                        .taskCount,
-                    tasks(jobId).size,
-                    jobId,
-                )
-            }
+            assertAllTasksRun(jobIds.drop(2))
             checkRecovery(jobIds)
         }
 }
