--- a/src/main/kotlin/micatally/job/JobManager.kt
+++ b/src/main/kotlin/micatally/job/JobManager.kt
@@ -91,7 +91,7 @@
 
     /** A job that is not stored yet may turn out to be another owner's, whose tasks are then no strays: it was submitted there
      * before, and repeated here. */
-    override fun mine(jobId: String) =
+    override fun isLedHere(jobId: String) =
         shards.values.any { l ->
             l.state == ShardState.ACTIVE &&
                 l.jobs[jobId]?.let { it.durableState != JobState.NEW } == true
@@ -491,7 +491,7 @@
             }
         }
         for (m in machines.byName.values) {
-            if (m.deleted || m.attempts.isEmpty() && m.tasks.none { it.ended && mine(it.jobId) }) continue
+            if (m.deleted || m.attempts.isEmpty() && m.tasks.none { it.ended && isLedHere(it.jobId) }) continue
             if (m.isSyncing) continue
             if (m.attempts.any {
                     it.stop != null || it.state == AttemptState.RECORDED ||
@@ -499,7 +499,7 @@
                         m.confirmedToken < it.job.shard.leader.fencingToken
                 } ||
                 m.needsStatus ||
-                m.tasks.any { it.ended && mine(it.jobId) }
+                m.tasks.any { it.ended && isLedHere(it.jobId) }
             ) {
                 dispatcher.requestSync(m)
             }
--- a/src/main/kotlin/micatally/worker/CommandDispatcher.kt
+++ b/src/main/kotlin/micatally/worker/CommandDispatcher.kt
@@ -21,25 +21,6 @@
 import micatally.wire.parseObject
 import org.slf4j.LoggerFactory
 
-/** What the order channel needs to know of the jobs of this node. */
-interface AttemptDirectory {
-    /** The job's live attempt at this task, or null; [mine] tells whether the job is in an active shard of this node. */
-    fun mine(jobId: String): Boolean
-
-    fun attempt(
-        jobId: String,
-        taskIndex: Int,
-    ): Attempt?
-
-    /** Whether nothing of the job may be started now, not even again, since its team's limit was lowered. */
-    fun isSuspended(jobId: String): Boolean
-
-    fun terminate(
-        attempt: Attempt,
-        end: AttemptTermination,
-    )
-}
-
 /** Brings each machine to what this node wants of it. What to send is worked out anew from the attempts each time,
  * one request a machine at a time, so repeating is the normal case and nothing is lost with an answer. */
 class CommandDispatcher(
@@ -137,7 +118,7 @@
             }
         }
         for (t in m.tasks) {
-            if (!attemptDirectory.mine(t.jobId)) continue
+            if (!attemptDirectory.isLedHere(t.jobId)) continue
             val a = attemptDirectory.attempt(t.jobId, t.taskIndex)
             if (a != null && a.number == t.attempt && a.machine === m) continue
             if (!t.ended) {
@@ -335,7 +316,7 @@
                 m.isSyncRequested = true
             }
         }
-        if (m.tasks.any { it.ended && attemptDirectory.mine(it.jobId) }) m.isSyncRequested = true
+        if (m.tasks.any { it.ended && attemptDirectory.isLedHere(it.jobId) }) m.isSyncRequested = true
         if (m.isSyncRequested && build(m) == null) m.isSyncRequested = false
     }
 
