--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -220,7 +220,7 @@
         machines.onNewIncarnation = { jobManager.newIncarnation(it) }
         machines.onMissedChange = { m ->
             if (m.attempts.isNotEmpty()) {
-                m.needsStatus = true
+                m.channel.needsStatus = true
                 dispatcher.requestSync(m)
             }
         }
@@ -285,7 +285,7 @@
     private fun isReachable(
         m: Machine,
         now: Long,
-    ) = !m.deleted && m.failuresInRow == 0 && now >= m.unreachableUntil &&
+    ) = !m.deleted && m.channel.failuresInRow == 0 && now >= m.channel.unreachableUntilMs &&
         now - m.heardAt < settings.heartbeatIntervalMs * 2
 
     private suspend fun housekeeping() {
--- a/src/main/kotlin/micatally/job/JobManager.kt
+++ b/src/main/kotlin/micatally/job/JobManager.kt
@@ -324,7 +324,7 @@
 
     fun deleted(m: Machine) {
         m.deleted = true
-        m.unansweredRuns.clear()
+        m.channel.forgetUnansweredRuns()
         for (a in m.attempts.toList()) {
             terminate(a, AttemptTermination(TerminationEvidence.MACHINE_DELETED, "machine gone"))
         }
@@ -355,7 +355,7 @@
                     }
             }
         ) {
-            m.needsStatus = true
+            m.channel.needsStatus = true
             requestSync = true
         }
         if (requestSync) dispatcher.requestSync(m)
@@ -390,7 +390,7 @@
                 if (t.done) {
                     terminate(a, AttemptTermination(TerminationEvidence.COMPLETED, "done", ExitReason.DONE))
                 } else if (!own) {
-                    a.machine.needsStatus = true
+                    a.machine.channel.needsStatus = true
                 }
                 return t.done || !own
             }
@@ -492,13 +492,13 @@
         }
         for (m in machines.byName.values) {
             if (m.deleted || m.attempts.isEmpty() && m.tasks.none { it.ended && isLedHere(it.jobId) }) continue
-            if (m.isSyncing) continue
+            if (m.channel.isSyncing) continue
             if (m.attempts.any {
                     it.stop != null || it.state == AttemptState.RECORDED ||
                         it.state == AttemptState.DISPATCHED ||
-                        m.confirmedToken < it.job.shard.leader.fencingToken
+                        m.channel.confirmedToken < it.job.shard.leader.fencingToken
                 } ||
-                m.needsStatus ||
+                m.channel.needsStatus ||
                 m.tasks.any { it.ended && isLedHere(it.jobId) }
             ) {
                 dispatcher.requestSync(m)
--- a/src/main/kotlin/micatally/scheduling/ClusterView.kt
+++ b/src/main/kotlin/micatally/scheduling/ClusterView.kt
@@ -73,7 +73,7 @@
     ): Boolean {
         val isInService = !m.deleted && !m.draining && !m.hasSpotNotice && m.incarnation > 0 && m.addr.isNotEmpty()
         val isHeard = now - m.heardAt < settings.leaseMs / 2 + settings.heartbeatIntervalMs
-        return isInService && isHeard && now >= m.unreachableUntil && now >= m.fullUntil &&
+        return isInService && isHeard && now >= m.channel.unreachableUntilMs && now >= m.fullUntil &&
             now >= m.health.excludedUntil
     }
 
--- a/src/main/kotlin/micatally/worker/CommandDispatcher.kt
+++ b/src/main/kotlin/micatally/worker/CommandDispatcher.kt
@@ -43,15 +43,15 @@
     var needsHigherFencingToken = false
 
     fun requestSync(m: Machine) {
-        m.isSyncRequested = true
-        if (m.isSyncing && gate.waitingCount > 0) gate.promote(m.name, urgencyOf(m))
-        if (m.isSyncing || m.deleted) return
-        m.isSyncing = true
+        m.channel.isSyncRequested = true
+        if (m.channel.isSyncing && gate.waitingCount > 0) gate.promote(m.name, urgencyOf(m))
+        if (m.channel.isSyncing || m.deleted) return
+        m.channel.isSyncing = true
         scope.launch {
             try {
                 sync(m)
             } finally {
-                m.isSyncing = false
+                m.channel.isSyncing = false
             }
         }
     }
@@ -66,7 +66,7 @@
         val now = nowMs()
         val token = membership.sharedKeys.fencingToken
         val commands = ArrayList<Command>()
-        var ask = m.needsStatus
+        var ask = m.channel.needsStatus
         val covered = ArrayList<Attempt>()
         val listed = m.tasks.associateBy { AttemptId(it.jobId, it.taskIndex, it.attempt) }
         for (a in m.attempts.toList()) {
@@ -76,7 +76,7 @@
             val entry = listed[id]
             // Another node holds the shard by now, and this one has confirmed the cancellation to it.
             if (a.stop == null && cancelledTasks.has(m.name, id)) a.stop(StopReason.CANCELLED, now)
-            val reconciled = m.confirmedToken >= a.job.shard.leader.fencingToken
+            val reconciled = m.channel.confirmedToken >= a.job.shard.leader.fencingToken
             val stop = a.stop
             if (stop != null) {
                 if (a.state ==
@@ -126,9 +126,8 @@
                 continue
             }
             // A clear makes the worker forget, and a copy of the run that comes after it would start the task again.
-            val unansweredRuns = m.unansweredRuns[AttemptId(t.jobId, t.taskIndex, t.attempt)]
-            if (unansweredRuns == null || unansweredRuns < m.confirmedToken) {
-                if (m.confirmedToken >=
+            if (!m.channel.mayRunArriveLate(AttemptId(t.jobId, t.taskIndex, t.attempt))) {
+                if (m.channel.confirmedToken >=
                     1
                 ) {
                     commands.add(Command(CommandType.CLEAR, t.jobId, t.taskIndex, t.attempt))
@@ -142,7 +141,7 @@
         if (commands.isEmpty() && !ask) return null
         if (commands.size > MAX_COMMANDS) {
             val sent = commands.take(MAX_COMMANDS)
-            m.isSyncRequested = true
+            m.channel.isSyncRequested = true
             return Batch(
                 token,
                 sent,
@@ -187,16 +186,18 @@
     private fun saveS(attempt: Attempt) = attempt.job.spec?.saveS ?: 0.0
 
     private suspend fun sync(m: Machine) {
-        while (m.isSyncRequested && !m.deleted) {
+        while (m.channel.isSyncRequested && !m.deleted) {
             val isReached = gate.withSlot(m.name, urgencyOf(m)) { send(m) }
             if (isReached) continue
-            m.needsStatus = true
-            m.isSyncRequested = true
-            m.failuresInRow++
-            val pause = minOf(settings.heartbeatIntervalMs * m.failuresInRow / 4, settings.heartbeatIntervalMs * 2)
-            m.unreachableUntil = nowMs() + pause + settings.heartbeatIntervalMs
-            if (m.failuresInRow == 1 || m.failuresInRow % 10 == 0) {
-                log.info("no answer from {}: {} in a row", m.name, m.failuresInRow)
+            m.channel.recordFailure()
+            val pause =
+                minOf(
+                    settings.heartbeatIntervalMs * m.channel.failuresInRow / 4,
+                    settings.heartbeatIntervalMs * 2,
+                )
+            m.channel.markUnreachableUntil(nowMs() + pause + settings.heartbeatIntervalMs)
+            if (m.channel.failuresInRow == 1 || m.channel.failuresInRow % 10 == 0) {
+                log.info("no answer from {}: {} in a row", m.name, m.channel.failuresInRow)
             }
             delay(pause)
         }
@@ -204,7 +205,7 @@
 
     private fun urgencyOf(m: Machine): CommandUrgency =
         when {
-            m.failuresInRow > 0 -> CommandUrgency.REPEAT
+            m.channel.failuresInRow > 0 -> CommandUrgency.REPEAT
             m.attempts.any { it.stop != null } -> CommandUrgency.STOP
             m.attempts.any { it.state == AttemptState.RECORDED } -> CommandUrgency.START
             else -> CommandUrgency.ASK
@@ -212,13 +213,13 @@
 
     /** What is wanted is worked out when the request leaves. False if the machine gave no usable answer. */
     private suspend fun send(m: Machine): Boolean {
-        m.isSyncRequested = false
+        m.channel.isSyncRequested = false
         if (m.deleted) return true
         // Without the lease a node can't tell whether its shards are still its own; the token guards, this saves work.
         val b = build(m) ?: return true
         val incarnation = m.incarnation
         markSent(m, b.commands)
-        m.needsStatus = false
+        m.channel.needsStatus = false
         val out =
             http.call(
                 m.addr,
@@ -228,14 +229,13 @@
                 answerMs,
             )
         if (out is Outcome.Answer && (out.status == 200 || out.status == 409)) {
-            m.failuresInRow = 0
-            m.unreachableUntil = 0
+            m.channel.recordResponse()
             answered(m, b, out.status, incarnation, Heartbeat.parse(parseObject(out.body)))
             return true
         }
         if (out is Outcome.Silence || out is Outcome.TooLarge) {
             for (c in b.commands.filter { it.type == CommandType.RUN }) {
-                m.unansweredRuns[AttemptId(c.jobId, c.taskIndex, c.attempt)] = b.token
+                m.channel.addUnansweredRun(AttemptId(c.jobId, c.taskIndex, c.attempt), b.token)
             }
         }
         return false
@@ -269,18 +269,17 @@
         if (status == 409) {
             machines.apply(r, true)
             if (r.incarnation == incarnation) {
-                m.needsStatus = true
+                m.channel.needsStatus = true
                 if (r.token > b.token) {
-                    m.isSyncRequested = false
-                    membership.catchUp(m.retry { requestSync(m) })
+                    m.channel.isSyncRequested = false
+                    membership.catchUp(m.channel.retry { requestSync(m) })
                 } else {
-                    m.isSyncRequested = true
+                    m.channel.isSyncRequested = true
                 }
             }
             return
         }
-        m.confirmedToken = maxOf(m.confirmedToken, b.token)
-        m.unansweredRuns.values.removeIf { it < m.confirmedToken }
+        m.channel.confirmToken(b.token)
         machines.apply(r, true)
         val listed = r.tasks.associateBy { AttemptId(it.jobId, it.taskIndex, it.attempt) }
         for (a in b.covered) {
@@ -290,11 +289,9 @@
             // Its place in the list is known from our own request, made after the intent. A run whose answer was lost
             // may still come, though, until the machine has seen a higher token than it carries.
             if (e == null) {
-                if (id in
-                    m.unansweredRuns
-                ) {
+                if (m.channel.hasUnansweredRun(id)) {
                     needsHigherFencingToken = true
-                    m.needsStatus = true
+                    m.channel.needsStatus = true
                 } else {
                     killedAt.remove(a)
                     attemptDirectory.terminate(
@@ -313,11 +310,11 @@
                         e.saved,
                     ),
                 )
-                m.isSyncRequested = true
+                m.channel.isSyncRequested = true
             }
         }
-        if (m.tasks.any { it.ended && attemptDirectory.isLedHere(it.jobId) }) m.isSyncRequested = true
-        if (m.isSyncRequested && build(m) == null) m.isSyncRequested = false
+        if (m.tasks.any { it.ended && attemptDirectory.isLedHere(it.jobId) }) m.channel.isSyncRequested = true
+        if (m.channel.isSyncRequested && build(m) == null) m.channel.isSyncRequested = false
     }
 
     private companion object {
--- a/src/main/kotlin/micatally/worker/Machine.kt
+++ b/src/main/kotlin/micatally/worker/Machine.kt
@@ -114,22 +114,8 @@
     /** When it was last seen with a task, a reservation or a reason to stay. */
     var busyAt = 0L
 
-    // The order channel.
-    var isSyncing = false
-    var isSyncRequested = false
-    var failuresInRow = 0
-    var unreachableUntil = 0L
-
-    /** The highest token with which it answered one of our orders. */
-    var confirmedToken = 0L
-
-    /** Runs whose answer never came, with the token that they carried. */
-    val unansweredRuns = HashMap<AttemptId, Long>()
-    var needsStatus = false
-    private var again: (() -> Unit)? = null
-
-    /** One and the same for each machine, so that it is waited for once. */
-    fun retry(make: () -> Unit): () -> Unit = again ?: make.also { again = it }
+    /** The state of this controller's command requests to the machine. */
+    val channel = CommandChannel()
 
     val hasSpotNotice get() = spotNoticeAt != null
 
--- a/src/main/kotlin/micatally/worker/MachineRegistry.kt
+++ b/src/main/kotlin/micatally/worker/MachineRegistry.kt
@@ -117,7 +117,7 @@
         m.heardAt = maxOf(m.heardAt, nowMs() - ageMs)
         m.spotNoticeAt = if (spotNoticeS == null) null else nowMs() + (spotNoticeS * 1000).toLong()
         if (newIncarnation) {
-            m.unansweredRuns.clear()
+            m.channel.forgetUnansweredRuns()
             m.freedAt = nowMs()
             m.freedBy = Machine.NOBODY
             onNewIncarnation(m)
--- a/src/test/kotlin/micatally/sim/GangTest.kt
+++ b/src/test/kotlin/micatally/sim/GangTest.kt
@@ -220,14 +220,14 @@
             val (first, second) = tasks(jobId).map { it.machine }
             f.net.deaf.add(second)
             f.live[0]!!.machines.of(second)!!.let {
-                it.needsStatus = true
+                it.channel.needsStatus = true
                 f.live[0]!!.jobManager.requestSync(it)
             }
             runUntil(f.lease, "it is known to be out of reach") {
                 f.live[0]!!
                     .machines
                     .of(second)!!
-                    .failuresInRow > 0
+                    .channel.failuresInRow > 0
             }
             worker(first).spotNoticeS = 8.0
             f.runFor(3000)
--- a/src/test/kotlin/micatally/sim/MeetingsTest.kt
+++ b/src/test/kotlin/micatally/sim/MeetingsTest.kt
@@ -454,7 +454,7 @@
         }
 
     /** Guard: the token and the session that each command carries, and runs without an answer are remembered
-     * ([micatally.worker.Machine.unansweredRuns]). */
+     * ([micatally.worker.CommandChannel.addUnansweredRun]). */
     @Test
     fun `a command or its answer is held up for seconds, and the machine then goes on`() =
         each(big) {
