--- a/src/main/kotlin/micatally/worker/CommandDispatcher.kt
+++ b/src/main/kotlin/micatally/worker/CommandDispatcher.kt
@@ -5,12 +5,7 @@
 import kotlinx.coroutines.launch
 import micatally.http.HttpCaller
 import micatally.http.Outcome
-import micatally.job.Attempt
 import micatally.job.AttemptState
-import micatally.job.AttemptTermination
-import micatally.job.ShardState
-import micatally.job.StopReason
-import micatally.job.TerminationEvidence
 import micatally.membership.Membership
 import micatally.settings.Settings
 import micatally.wire.Command
@@ -21,303 +16,190 @@
 import micatally.wire.parseObject
 import org.slf4j.LoggerFactory
 
-/** Brings each machine to what this node wants of it. What to send is worked out anew from the attempts each time,
- * one request a machine at a time, so repeating is the normal case and nothing is lost with an answer. */
+/**
+ * Sends commands to the machines until each runs what this controller wants it to run. [CommandPlanner] decides what to send,
+ * [CommandResponseHandler] what follows from the response.
+ *
+ * At most one request to a machine is under way, and [CommandGate] bounds the requests to all of them. A machine that gives no usable
+ * response is asked again after a pause that grows with the failures in a row. Used from the event loop only.
+ */
 class CommandDispatcher(
     private val scope: CoroutineScope,
     private val http: HttpCaller,
     private val settings: Settings,
-    private val membership: Membership,
-    private val machines: MachineRegistry,
+    membership: Membership,
+    machines: MachineRegistry,
     private val attemptDirectory: AttemptDirectory,
-    private val cancelledTasks: CancelledTasks,
+    cancelledTasks: CancelledTasks,
     private val nowMs: () -> Long,
 ) {
     private val log = LoggerFactory.getLogger("micatally.worker")
-    private val answerMs = settings.leaseMs * 4 / 10
-    private val killEveryMs = settings.heartbeatIntervalMs
-    private val killedAt = HashMap<Attempt, Long>()
+    private val responseTimeoutMs = settings.leaseMs * 4 / 10
     private val gate = CommandGate(settings.maxConcurrentCommands)
 
-    /** Set when a run may still be under way that only a higher token can stop. */
+    /**
+     * Whether a run command may still arrive at its machine that only a higher fencing token can rule out. Reset by whoever raises the
+     * token.
+     */
     var needsHigherFencingToken = false
 
-    fun requestSync(m: Machine) {
-        m.channel.isSyncRequested = true
-        if (m.channel.isSyncing && gate.waitingCount > 0) gate.promote(m.name, urgencyOf(m))
-        if (m.channel.isSyncing || m.deleted) return
-        m.channel.isSyncing = true
+    private val planner =
+        CommandPlanner(
+            settings.heartbeatIntervalMs,
+            membership,
+            attemptDirectory,
+            cancelledTasks,
+            ::requireHigherFencingToken,
+            nowMs,
+        )
+    private val responseHandler =
+        CommandResponseHandler(
+            membership,
+            machines,
+            attemptDirectory,
+            planner,
+            ::requireHigherFencingToken,
+            ::requestSync,
+        )
+
+    private fun requireHigherFencingToken() {
+        needsHigherFencingToken = true
+    }
+
+    /** Has the machine brought to what this controller wants of it. Returns at once; repeated calls share the next request. */
+    fun requestSync(machine: Machine) {
+        val channel = machine.channel
+        channel.isSyncRequested = true
+        if (channel.isSyncing && gate.waitingCount > 0) gate.promote(machine.name, urgencyOf(machine))
+        if (channel.isSyncing || machine.deleted) return
+        channel.isSyncing = true
         scope.launch {
             try {
-                sync(m)
+                sync(machine)
             } finally {
-                m.channel.isSyncing = false
+                channel.isSyncing = false
             }
         }
     }
 
-    private class Batch(
-        val token: Long,
-        val commands: List<Command>,
-        val covered: List<Attempt>,
-    )
-
-    private fun build(m: Machine): Batch? {
-        val now = nowMs()
-        val token = membership.sharedKeys.fencingToken
-        val commands = ArrayList<Command>()
-        var ask = m.channel.needsStatus
-        val covered = ArrayList<Attempt>()
-        val listed = m.tasks.associateBy { AttemptId(it.jobId, it.taskIndex, it.attempt) }
-        for (a in m.attempts.toList()) {
-            if (!a.maySend || a.job.shard.state != ShardState.ACTIVE) continue
-            if (a.incarnation != m.incarnation) continue
-            val id = AttemptId(a.job.jobId, a.taskIndex, a.number)
-            val entry = listed[id]
-            // Another node holds the shard by now, and this one has confirmed the cancellation to it.
-            if (a.stop == null && cancelledTasks.has(m.name, id)) a.stop(StopReason.CANCELLED, now)
-            val reconciled = m.channel.confirmedToken >= a.job.shard.leader.fencingToken
-            val stop = a.stop
-            if (stop != null) {
-                if (a.state ==
-                    AttemptState.RECORDED
-                ) {
-                    attemptDirectory.terminate(a, AttemptTermination(TerminationEvidence.NEVER_SENT, stop.name))
-                    continue
-                }
-                covered.add(a)
-                if (entry?.ended == true) {
-                    ask = true
-                    continue
-                }
-                val last = killedAt[a]
-                if (last == null ||
-                    now - last >= killEveryMs
-                ) {
-                    commands.add(Command(CommandType.KILL, a.job.jobId, a.taskIndex, a.number, graceS(a, stop)))
-                }
-            } else if (a.state == AttemptState.RECORDED) {
-                if (!membership.mayStart) continue
-                if (!reconciledOrOwn(a, reconciled)) {
-                    ask = true
-                    continue
-                }
-                commands.add(Command(CommandType.RUN, a.job.jobId, a.taskIndex, a.number))
-                covered.add(a)
-            } else if (a.state == AttemptState.DISPATCHED && entry == null) {
-                covered.add(a)
-                // Taken over: whether it ever left is not known, so the machine is asked before anything else.
-                if (a.sentAt == null || attemptDirectory.isSuspended(a.job.jobId)) {
-                    ask = true
-                } else if (membership.mayStart) {
-                    commands.add(Command(CommandType.RUN, a.job.jobId, a.taskIndex, a.number))
-                }
-            } else {
-                covered.add(a)
-                if (!reconciled) ask = true
-            }
-        }
-        for (t in m.tasks) {
-            if (!attemptDirectory.isLedHere(t.jobId)) continue
-            val a = attemptDirectory.attempt(t.jobId, t.taskIndex)
-            if (a != null && a.number == t.attempt && a.machine === m) continue
-            if (!t.ended) {
-                commands.add(Command(CommandType.KILL, t.jobId, t.taskIndex, t.attempt, 0.0))
-                continue
-            }
-            // A clear makes the worker forget, and a copy of the run that comes after it would start the task again.
-            if (!m.channel.mayRunArriveLate(AttemptId(t.jobId, t.taskIndex, t.attempt))) {
-                if (m.channel.confirmedToken >=
-                    1
-                ) {
-                    commands.add(Command(CommandType.CLEAR, t.jobId, t.taskIndex, t.attempt))
-                } else {
-                    ask = true
-                }
-            } else {
-                needsHigherFencingToken = true
-            }
-        }
-        if (commands.isEmpty() && !ask) return null
-        if (commands.size > MAX_COMMANDS) {
-            val sent = commands.take(MAX_COMMANDS)
-            m.channel.isSyncRequested = true
-            return Batch(
-                token,
-                sent,
-                covered.filter { a ->
-                    a.state != AttemptState.RECORDED ||
-                        sent.any {
-                            it.type == CommandType.RUN && it.jobId == a.job.jobId && it.taskIndex == a.taskIndex &&
-                                it.attempt == a.number
-                        }
-                },
-            )
+    private suspend fun sync(machine: Machine) {
+        val channel = machine.channel
+        while (channel.isSyncRequested && !machine.deleted) {
+            val isReached = gate.withSlot(machine.name, urgencyOf(machine)) { send(machine) }
+            if (isReached) continue
+            channel.recordFailure()
+            val pauseMs = pauseAfter(channel.failuresInRow)
+            channel.markUnreachableUntil(nowMs() + pauseMs + settings.heartbeatIntervalMs)
+            logFailure(machine)
+            delay(pauseMs)
         }
-        return Batch(token, commands, covered)
     }
 
-    /** An attempt made by this process needs no reconciling: no earlier holder can have sent it. */
-    private fun reconciledOrOwn(
-        a: Attempt,
-        reconciled: Boolean,
-    ) = reconciled || a.sentAt == null
-
-    /** A gang's task that was replaced has the same number on two machines. */
-    private fun attemptOf(
-        m: Machine,
-        c: Command,
-    ) = attemptDirectory.attempt(c.jobId, c.taskIndex)?.takeIf {
-        it.number == c.attempt &&
-            it.machine === m
-    }
-
-    /** Time to save, where there is something to be saved; a save that is under way is never cut short by accident. */
-    private fun graceS(
-        attempt: Attempt,
-        reason: StopReason,
-    ): Double =
-        when (reason) {
-            StopReason.CANCELLED, StopReason.STRAY -> 0.0
-            StopReason.GANG_ENDED -> if (attempt.state == AttemptState.SAVING) saveS(attempt) else 0.0
-            StopReason.DRAIN, StopReason.PREEMPTED -> saveS(attempt)
-        }
-
-    private fun saveS(attempt: Attempt) = attempt.job.spec?.saveS ?: 0.0
+    private fun pauseAfter(failuresInRow: Int): Long =
+        minOf(
+            settings.heartbeatIntervalMs * failuresInRow / PAUSES_PER_HEARTBEAT,
+            settings.heartbeatIntervalMs * LONGEST_PAUSE_HEARTBEATS,
+        )
 
-    private suspend fun sync(m: Machine) {
-        while (m.channel.isSyncRequested && !m.deleted) {
-            val isReached = gate.withSlot(m.name, urgencyOf(m)) { send(m) }
-            if (isReached) continue
-            m.channel.recordFailure()
-            val pause =
-                minOf(
-                    settings.heartbeatIntervalMs * m.channel.failuresInRow / 4,
-                    settings.heartbeatIntervalMs * 2,
-                )
-            m.channel.markUnreachableUntil(nowMs() + pause + settings.heartbeatIntervalMs)
-            if (m.channel.failuresInRow == 1 || m.channel.failuresInRow % 10 == 0) {
-                log.info("no answer from {}: {} in a row", m.name, m.channel.failuresInRow)
-            }
-            delay(pause)
+    private fun logFailure(machine: Machine) {
+        val failuresInRow = machine.channel.failuresInRow
+        if (failuresInRow == 1 || failuresInRow % FAILURES_PER_LOG_LINE == 0) {
+            log.info("machine {} does not respond to commands: {} failures in a row", machine.name, failuresInRow)
         }
     }
 
-    private fun urgencyOf(m: Machine): CommandUrgency =
+    private fun urgencyOf(machine: Machine): CommandUrgency =
         when {
-            m.channel.failuresInRow > 0 -> CommandUrgency.REPEAT
-            m.attempts.any { it.stop != null } -> CommandUrgency.STOP
-            m.attempts.any { it.state == AttemptState.RECORDED } -> CommandUrgency.START
+            machine.channel.failuresInRow > 0 -> CommandUrgency.REPEAT
+            machine.attempts.any { it.stop != null } -> CommandUrgency.STOP
+            machine.attempts.any { it.state == AttemptState.RECORDED } -> CommandUrgency.START
             else -> CommandUrgency.ASK
         }
 
-    /** What is wanted is worked out when the request leaves. False if the machine gave no usable answer. */
-    private suspend fun send(m: Machine): Boolean {
-        m.channel.isSyncRequested = false
-        if (m.deleted) return true
-        // Without the lease a node can't tell whether its shards are still its own; the token guards, this saves work.
-        val b = build(m) ?: return true
-        val incarnation = m.incarnation
-        markSent(m, b.commands)
-        m.channel.needsStatus = false
-        val out =
-            http.call(
-                m.addr,
-                "POST",
-                "/orders",
-                commandRequest(b.token, incarnation, b.commands).bytes(),
-                answerMs,
-            )
-        if (out is Outcome.Answer && (out.status == 200 || out.status == 409)) {
-            m.channel.recordResponse()
-            answered(m, b, out.status, incarnation, Heartbeat.parse(parseObject(out.body)))
+    /**
+     * Sends the next request, if there is any. It is decided only now, when the request leaves.
+     *
+     * Whether this controller still holds its lease is not asked: a machine rejects commands under a former fencing token.
+     *
+     * @return false if the machine gave no usable response
+     */
+    private suspend fun send(machine: Machine): Boolean {
+        machine.channel.isSyncRequested = false
+        if (machine.deleted) return true
+        val batch = planner.plan(machine) ?: return true
+        markSent(machine, batch.commands)
+        machine.channel.needsStatus = false
+        val body = commandRequest(batch.fencingToken, batch.incarnation, batch.commands).bytes()
+        val outcome = http.call(machine.addr, "POST", COMMANDS_PATH, body, responseTimeoutMs)
+        if (outcome is Outcome.Answer && isUsable(outcome)) {
+            handle(outcome, machine, batch)
             return true
         }
-        if (out is Outcome.Silence || out is Outcome.TooLarge) {
-            for (c in b.commands.filter { it.type == CommandType.RUN }) {
-                m.channel.addUnansweredRun(AttemptId(c.jobId, c.taskIndex, c.attempt), b.token)
-            }
-        }
+        val mayHaveArrived = outcome is Outcome.Silence || outcome is Outcome.TooLarge
+        if (mayHaveArrived) recordUnansweredRuns(machine, batch)
         return false
     }
 
+    private fun isUsable(response: Outcome.Answer) = response.status == ACCEPTED || response.status == REJECTED
+
+    private fun handle(
+        response: Outcome.Answer,
+        machine: Machine,
+        batch: CommandBatch,
+    ) {
+        machine.channel.recordResponse()
+        val heartbeat = Heartbeat.parse(parseObject(response.body))
+        if (response.status == REJECTED) {
+            responseHandler.rejected(machine, batch, heartbeat)
+        } else {
+            responseHandler.accepted(machine, batch, heartbeat)
+        }
+    }
+
+    private fun recordUnansweredRuns(
+        machine: Machine,
+        batch: CommandBatch,
+    ) {
+        for (command in batch.commands) {
+            if (command.type != CommandType.RUN) continue
+            machine.channel.addUnansweredRun(AttemptId.of(command), batch.fencingToken)
+        }
+    }
+
     private fun markSent(
-        m: Machine,
+        machine: Machine,
         commands: List<Command>,
     ) {
         val now = nowMs()
-        for (c in commands) {
-            val attempt = attemptOf(m, c) ?: continue
-            when (c.type) {
+        for (command in commands) {
+            val attempt = attemptOf(command, machine) ?: continue
+            when (command.type) {
                 CommandType.RUN -> {
                     attempt.sentAt = now
                     attempt.transitionTo(AttemptState.DISPATCHED, now)
                 }
-                CommandType.KILL -> killedAt[attempt] = now
+                CommandType.KILL -> planner.recordKill(attempt, now)
                 CommandType.CLEAR -> {}
             }
         }
     }
 
-    private fun answered(
-        m: Machine,
-        b: Batch,
-        status: Int,
-        incarnation: Long,
-        r: Heartbeat,
-    ) {
-        if (status == 409) {
-            machines.apply(r, true)
-            if (r.incarnation == incarnation) {
-                m.channel.needsStatus = true
-                if (r.token > b.token) {
-                    m.channel.isSyncRequested = false
-                    membership.catchUp(m.channel.retry { requestSync(m) })
-                } else {
-                    m.channel.isSyncRequested = true
-                }
-            }
-            return
-        }
-        m.channel.confirmToken(b.token)
-        machines.apply(r, true)
-        val listed = r.tasks.associateBy { AttemptId(it.jobId, it.taskIndex, it.attempt) }
-        for (a in b.covered) {
-            if (!a.live || a.state < AttemptState.DISPATCHED || a.incarnation != incarnation) continue
-            val id = AttemptId(a.job.jobId, a.taskIndex, a.number)
-            val e = listed[id]
-            // Its place in the list is known from our own request, made after the intent. A run whose answer was lost
-            // may still come, though, until the machine has seen a higher token than it carries.
-            if (e == null) {
-                if (m.channel.hasUnansweredRun(id)) {
-                    needsHigherFencingToken = true
-                    m.channel.needsStatus = true
-                } else {
-                    killedAt.remove(a)
-                    attemptDirectory.terminate(
-                        a,
-                        AttemptTermination(TerminationEvidence.DIRECT_RESPONSE, "not on the machine"),
-                    )
-                }
-            } else if (e.ended) {
-                killedAt.remove(a)
-                attemptDirectory.terminate(
-                    a,
-                    AttemptTermination(
-                        if (e.done) TerminationEvidence.COMPLETED else TerminationEvidence.DIRECT_RESPONSE,
-                        e.why ?: "",
-                        e.reason,
-                        e.saved,
-                    ),
-                )
-                m.channel.isSyncRequested = true
-            }
-        }
-        if (m.tasks.any { it.ended && attemptDirectory.isLedHere(it.jobId) }) m.channel.isSyncRequested = true
-        if (m.channel.isSyncRequested && build(m) == null) m.channel.isSyncRequested = false
-    }
+    /** The current attempt that the command is for; a replaced task of a gang has the same attempt number on two machines. */
+    private fun attemptOf(
+        command: Command,
+        machine: Machine,
+    ) = attemptDirectory
+        .attempt(command.jobId, command.taskIndex)
+        ?.takeIf { it.number == command.attempt && it.machine === machine }
 
     private companion object {
-        const val MAX_COMMANDS = 200
+        const val COMMANDS_PATH = "/orders"
+        const val ACCEPTED = 200
+        const val REJECTED = 409
+
+        /** The pause after the first failure is this part of the heartbeat interval, and grows by as much with each further one. */
+        const val PAUSES_PER_HEARTBEAT = 4
+        const val LONGEST_PAUSE_HEARTBEATS = 2
+        const val FAILURES_PER_LOG_LINE = 10
     }
 }
--- a/src/main/kotlin/micatally/worker/Machine.kt
+++ b/src/main/kotlin/micatally/worker/Machine.kt
@@ -4,13 +4,6 @@
 import micatally.wire.ListedTask
 import micatally.wire.Resources
 
-/** One attempt's name on a machine. */
-data class AttemptId(
-    val jobId: String,
-    val taskIndex: Int,
-    val attempt: Long,
-)
-
 /** A worker as this node knows it, from reports, from answers to its own orders and from other nodes. */
 class Machine(
     val name: String,
