--- a/src/main/kotlin/micatally/api/WorkerApi.kt
+++ b/src/main/kotlin/micatally/api/WorkerApi.kt
@@ -19,6 +19,7 @@
 import micatally.worker.AttemptId
 import micatally.worker.CancelledTasks
 import micatally.worker.MachineRegistry
+import micatally.worker.StatusSource
 
 /** Workers' reports. A 200 keeps a worker's tasks alive, so it is given only while this node is entitled to. */
 class WorkerApi(
@@ -43,8 +44,8 @@
             }
         val m = machines.of(report.machine)
         val before = m?.tasks
-        val news = machines.apply(report, false)
-        val known = machines.known(report.machine, report.addr, report.type, report.zone, report.spot)
+        val news = machines.apply(report, StatusSource.HEARTBEAT)
+        val known = machines.findOrAdd(report.machine, report.addr, report.type, report.zone, report.spot)
         if (news && (before == null || differs(before, report))) peers.tell(known)
         // The node does not know the fencing token that the worker knows: it may have been replaced without having heard.
         if (report.token > membership.sharedKeys.fencingToken) {
--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -46,7 +46,9 @@
 import micatally.wire.PeerJobRequest
 import micatally.worker.CommandDispatcher
 import micatally.worker.Machine
+import micatally.worker.MachineListener
 import micatally.worker.MachineRegistry
+import micatally.worker.StatusSource
 import micatally.worker.WorkerReach
 import org.slf4j.LoggerFactory
 import kotlin.random.Random
@@ -94,7 +96,7 @@
         )
     val membership =
         Membership(scope, settings, state, SharedKeyCache(), random, nowMs, operator.archiveMode == ArchiveMode.ON)
-    val machines = MachineRegistry(nowMs)
+    val machines = MachineRegistry(machineListener(), nowMs)
     private val wantedFormat =
         if (operator.storesTeams) FormatVersion.STORED_TEAMS else FormatVersion.PACKED_RECORDS
     private val upgrade = Upgrade(scope, settings, state, membership.sharedKeys, wantedFormat) { uniform() }
@@ -187,6 +189,27 @@
             override fun loaded(name: String) = jobManager.shards[name]?.takeIf { it.state == ShardState.ACTIVE }
         }
 
+    private fun machineListener(): MachineListener =
+        object : MachineListener {
+            override fun machineAdded(machine: Machine) = peers.machineAdded(machine)
+
+            override fun incarnationChanged(machine: Machine) = jobManager.newIncarnation(machine)
+
+            override fun tasksReported(
+                machine: Machine,
+                source: StatusSource,
+            ) {
+                jobManager.tasksReported(machine, source == StatusSource.COMMAND_RESPONSE)
+                scheduler.requestCycle()
+            }
+
+            override fun statusMissed(machine: Machine) {
+                if (machine.attempts.isEmpty()) return
+                machine.channel.needsStatus = true
+                dispatcher.requestSync(machine)
+            }
+        }
+
     private fun fleetDemand() =
         object : PendingWorkload {
             override fun unplaced() = scheduler.unplaced.values.toList() + peers.demandOfPeers()
@@ -217,17 +240,6 @@
             jobManager.loseShard(l)
             scope.launch { membership.refresh() }
         }
-        machines.onNewIncarnation = { jobManager.newIncarnation(it) }
-        machines.onMissedChange = { m ->
-            if (m.attempts.isNotEmpty()) {
-                m.channel.needsStatus = true
-                dispatcher.requestSync(m)
-            }
-        }
-        machines.onTasksReported = { m, own ->
-            jobManager.tasksReported(m, own)
-            scheduler.requestCycle()
-        }
         fleetManager.onMachineTypes = { scheduler.requestCycle() }
         peers.onRetire = { fleetManager.retire(it) }
         peers.onNews = { scheduler.requestCycle() }
--- a/src/main/kotlin/micatally/fleet/FleetManager.kt
+++ b/src/main/kotlin/micatally/fleet/FleetManager.kt
@@ -167,7 +167,7 @@
             ListedMachine.STARTING -> instances.listed(line, now)
             ListedMachine.RUNNING -> {
                 instances.listed(line, now)
-                machines.known(line.name, line.addr, line.type, line.zone, line.spot)
+                machines.findOrAdd(line.name, line.addr, line.type, line.zone, line.spot)
             }
             else ->
                 if (unknownStates.add(line.status)) {
--- a/src/main/kotlin/micatally/fleet/MachineFailureDetector.kt
+++ b/src/main/kotlin/micatally/fleet/MachineFailureDetector.kt
@@ -10,6 +10,7 @@
 import micatally.wire.parseObject
 import micatally.worker.Machine
 import micatally.worker.MachineRegistry
+import micatally.worker.StatusSource
 import org.slf4j.LoggerFactory
 
 /**
@@ -162,7 +163,7 @@
                 if (out.status == 200) {
                     m.mute = 0
                     m.dark = 0
-                    machines.apply(Heartbeat.parse(parseObject(out.body)), false)
+                    machines.apply(Heartbeat.parse(parseObject(out.body)), StatusSource.HEARTBEAT)
                 }
             // The first one may have gone into a connection from before; the second has made one.
             Outcome.Silence, Outcome.TooLarge -> {
--- a/src/main/kotlin/micatally/job/ShardLoader.kt
+++ b/src/main/kotlin/micatally/job/ShardLoader.kt
@@ -113,7 +113,7 @@
         job: Job,
         placed: JobRecord.Placed,
     ) {
-        val machine = machines.known(placed.machine, placed.addr, placed.type, placed.zone, placed.spot)
+        val machine = machines.findOrAdd(placed.machine, placed.addr, placed.type, placed.zone, placed.spot)
         if (machine.incarnation == 0L) machine.incarnation = placed.incarnation
         val attempt =
             Attempt(
--- a/src/main/kotlin/micatally/peer/Peers.kt
+++ b/src/main/kotlin/micatally/peer/Peers.kt
@@ -151,6 +151,9 @@
 
     fun demandOfPeers(): List<ResourceRequest> = summaries.demand
 
+    /** A machine has become known: what the peers hold on it counts from now on. */
+    fun machineAdded(machine: Machine) = summaries.machineFound(machine)
+
     /** The shared keys have changed. */
     fun sharedChanged() = summaries.sharedChanged()
 
@@ -164,7 +167,6 @@
     }
 
     fun start() {
-        machines.onNew = { summaries.machineFound(it) }
         scope.launch {
             while (true) {
                 delay(tellMs)
@@ -198,7 +200,7 @@
             .filter {
                 !it.deleted &&
                     nowMs() - it.heardHereAt < settings.leaseMs / 2
-            }.map { machines.note(it, false) }
+            }.map { machines.acknowledgementOf(it) }
 
     private suspend fun talk(l: Line) {
         // Taken out before the message leaves: what changes while it is under way has to be told again.
@@ -209,7 +211,7 @@
         val sentNumber = own.number
         val news =
             PeerDelta(
-                told.mapNotNull { machines.of(it) }.map { machines.note(it, true) },
+                told.mapNotNull { machines.of(it) }.map { machines.statusOf(it) },
                 if (l.toldSummary != sentNumber) own.since(l.toldSummary) else null,
                 retire,
                 heard,
@@ -246,9 +248,9 @@
             }
         }
         var new = news.summary != null
-        for (n in news.notes) if (machines.apply(n)) new = true
+        for (n in news.notes) if (machines.applyForwarded(n)) new = true
         for (n in news.heard) {
-            machines.heard(n)
+            machines.applyAcknowledgement(n)
             machines.of(n.machine)?.heardBy(news.host, nowMs() - n.ageMs)
         }
         val joined = news.summary?.let { summaries.take(it) } ?: true
@@ -278,7 +280,12 @@
                     ProtoBuf.decodeFromByteArray<CapacitySummary>(bytes),
                 )
             } else {
-                for (n in ProtoBuf.decodeFromByteArray<HeartbeatAcknowledgements>(bytes).notes) machines.heard(n)
+                for (n in ProtoBuf
+                    .decodeFromByteArray<HeartbeatAcknowledgements>(
+                        bytes,
+                    ).notes) {
+                    machines.applyAcknowledgement(n)
+                }
             }
         }
     }
--- a/src/main/kotlin/micatally/worker/CommandResponseHandler.kt
+++ b/src/main/kotlin/micatally/worker/CommandResponseHandler.kt
@@ -29,7 +29,7 @@
         batch: CommandBatch,
         heartbeat: Heartbeat,
     ) {
-        machines.apply(heartbeat, true)
+        machines.apply(heartbeat, StatusSource.COMMAND_RESPONSE)
         if (heartbeat.incarnation != batch.incarnation) return
         val channel = machine.channel
         channel.needsStatus = true
@@ -49,7 +49,7 @@
     ) {
         val channel = machine.channel
         channel.confirmToken(batch.fencingToken)
-        machines.apply(heartbeat, true)
+        machines.apply(heartbeat, StatusSource.COMMAND_RESPONSE)
         val listedTasks = heartbeat.tasks.associateBy { AttemptId.of(it) }
         for (attempt in batch.coveredAttempts) {
             val isConclusive =
--- a/src/main/kotlin/micatally/worker/MachineRegistry.kt
+++ b/src/main/kotlin/micatally/worker/MachineRegistry.kt
@@ -6,171 +6,195 @@
 import micatally.wire.MachineType
 import micatally.wire.TaskStatus
 
-/** All machines that this node knows of, by name. Knowledge is only as new as the newest (session, tick). */
+/**
+ * All machines that this controller knows of, by name. A status is applied only if its incarnation and sequence number are newer than
+ * those of every status before; what changes goes on to [listener]. Used from the event loop only.
+ */
 class MachineRegistry(
+    private val listener: MachineListener,
     private val nowMs: () -> Long,
 ) {
     val byName = HashMap<String, Machine>()
     var machineTypes: Map<String, MachineType> = emptyMap()
 
-    /** Names of machines that a delete is known to have ended: late reports must not bring them back. */
+    /** Names of machines that are known to be deleted in the cloud: late heartbeats must not bring them back. */
     val deletedNames = HashSet<String>()
 
-    /** When a worker's own words reached this node last, by zone: other nodes may hear a zone that this one is cut off from. */
+    /**
+     * When a message of a worker itself reached this controller last, by zone. Not what other controllers forward: they may hear a zone
+     * from which this one is cut off.
+     */
     private val reachedAt = HashMap<String, Long>()
 
-    /** The same for all zones together; from the start on, so that a new process doubts nothing at once. */
+    /** The same for all zones together. Begins with the start of the process, so that a new one has no doubts at once. */
     var lastReachedAt = nowMs()
         private set
 
-    fun reachedAt(zone: String) = reachedAt[zone] ?: (Long.MIN_VALUE / 2)
-
-    /** Its tasks have changed and this node has missed it. */
-    var onMissedChange: (Machine) -> Unit = {}
-    var onNew: (Machine) -> Unit = {}
-    var onNewIncarnation: (Machine) -> Unit = {}
-    var onTasksReported: (Machine, Boolean) -> Unit = { _, _ -> }
+    /** When a message of a worker of the zone reached this controller last; long ago if none ever did. */
+    fun reachedAt(zone: String) = reachedAt[zone] ?: LONG_AGO
 
     fun of(name: String) = byName[name]
 
-    fun known(
+    /** Returns the machine of this name, which is added if it is not known. What is not known of it yet is filled in. */
+    fun findOrAdd(
         name: String,
         addr: String,
         type: String,
         zone: String,
         spot: Boolean,
-    ): Machine =
-        byName
-            .getOrPut(name) {
-                Machine(name, addr, type, zone, spot).also {
-                    it.deleted = name in deletedNames
-                    it.busyAt =
-                        nowMs()
-                    onNew(it)
-                }
-            }.also { it.describe(addr, type, zone, spot) }
-
-    /** A report from the worker itself; [ownAnswer] when it is the answer to an order of ours. True if it was news. */
+    ): Machine {
+        val machine = byName.getOrPut(name) { add(Machine(name, addr, type, zone, spot)) }
+        machine.describe(addr, type, zone, spot)
+        return machine
+    }
+
+    private fun add(machine: Machine): Machine {
+        machine.deleted = machine.name in deletedNames
+        machine.busyAt = nowMs()
+        listener.machineAdded(machine)
+        return machine
+    }
+
+    /**
+     * Applies a message of the machine itself.
+     *
+     * @return whether it was newer than all before; copies of old heartbeats arrive late and show nothing
+     */
     fun apply(
-        r: Heartbeat,
-        ownAnswer: Boolean,
+        heartbeat: Heartbeat,
+        source: StatusSource,
     ): Boolean {
-        val m = known(r.machine, r.addr, r.type, r.zone, r.spot)
-        // Copies of old reports come late and show nothing.
-        return apply(m, r.incarnation, r.sequence, r.spotNoticeS, r.tasks, ownAnswer, 0).also { if (it) reached(m) }
+        val machine =
+            findOrAdd(heartbeat.machine, heartbeat.addr, heartbeat.type, heartbeat.zone, heartbeat.spot)
+        val update =
+            StatusUpdate(heartbeat.incarnation, heartbeat.sequence, heartbeat.spotNoticeS, heartbeat.tasks, ageMs = 0)
+        val isNewer = apply(machine, update, source)
+        if (isNewer) recordReached(machine)
+        return isNewer
     }
 
-    private fun reached(m: Machine) {
+    private fun recordReached(machine: Machine) {
         lastReachedAt = nowMs()
-        reachedAt[m.zone] = lastReachedAt
+        reachedAt[machine.zone] = lastReachedAt
     }
 
-    fun apply(n: MachineStatus): Boolean {
-        val m = known(n.machine, n.addr, n.type, n.zone, n.spot)
-        val tasks =
-            n.tasks.map {
-                ListedTask(
-                    it.jobId,
-                    it.taskIndex,
-                    it.attempt,
-                    it.status,
-                    it.why.ifEmpty { null },
-                    it.saved,
-                )
-            }
-        return apply(
-            m,
-            n.incarnation,
-            n.sequence,
-            if (n.spotNoticeS <
-                0
-            ) {
-                null
-            } else {
-                n.spotNoticeS
-            },
-            tasks,
-            false,
-            n.ageMs,
-        )
+    /**
+     * Applies a status that another controller has forwarded.
+     *
+     * @return whether it was newer than all before
+     */
+    fun applyForwarded(status: MachineStatus): Boolean {
+        val machine = findOrAdd(status.machine, status.addr, status.type, status.zone, status.spot)
+        val spotNoticeS = status.spotNoticeS.takeUnless { it < 0 }
+        val update =
+            StatusUpdate(status.incarnation, status.sequence, spotNoticeS, listedTasks(status), status.ageMs)
+        return apply(machine, update, StatusSource.PEER)
+    }
+
+    private fun listedTasks(status: MachineStatus) =
+        status.tasks.map {
+            ListedTask(it.jobId, it.taskIndex, it.attempt, it.status, it.why.ifEmpty { null }, it.saved)
+        }
+
+    /** What a status says, whoever sent it. [ageMs] is how long ago the sender received it from the machine. */
+    private class StatusUpdate(
+        val incarnation: Long,
+        val sequence: Long,
+        val spotNoticeS: Double?,
+        val tasks: List<ListedTask>,
+        val ageMs: Long,
+    ) {
+        fun isNewerThan(machine: Machine): Boolean {
+            if (incarnation != machine.incarnation) return incarnation > machine.incarnation
+            return sequence > machine.sequence
+        }
     }
 
     private fun apply(
-        m: Machine,
-        incarnation: Long,
-        sequence: Long,
-        spotNoticeS: Double?,
-        tasks: List<ListedTask>,
-        own: Boolean,
-        ageMs: Long,
+        machine: Machine,
+        update: StatusUpdate,
+        source: StatusSource,
     ): Boolean {
-        if (incarnation < m.incarnation || (incarnation == m.incarnation && sequence <= m.sequence)) return false
-        val newIncarnation = incarnation > m.incarnation
-        m.incarnation = incarnation
-        m.sequence = sequence
-        val changed = newIncarnation || tasks != m.tasks
-        if (changed) {
-            m.tasks = tasks
-            m.changedAtSequence = sequence
+        if (!update.isNewerThan(machine)) return false
+        val isNewIncarnation = update.incarnation > machine.incarnation
+        val hasChanged = isNewIncarnation || update.tasks != machine.tasks
+        machine.incarnation = update.incarnation
+        machine.sequence = update.sequence
+        if (hasChanged) {
+            machine.tasks = update.tasks
+            machine.changedAtSequence = update.sequence
         }
-        // Copies of reports come late; only one that is newer than all before shows life, and the age is its sender's.
-        m.heardAt = maxOf(m.heardAt, nowMs() - ageMs)
-        m.spotNoticeAt = if (spotNoticeS == null) null else nowMs() + (spotNoticeS * 1000).toLong()
-        if (newIncarnation) {
-            m.channel.forgetUnansweredRuns()
-            m.freedAt = nowMs()
-            m.freedBy = Machine.NOBODY
-            onNewIncarnation(m)
-        }
-        // Most reports say what the one before said.
-        if (changed || own) onTasksReported(m, own)
+        // A forwarded status shows life as of the time at which its sender received it.
+        machine.heardAt = maxOf(machine.heardAt, nowMs() - update.ageMs)
+        machine.spotNoticeAt = update.spotNoticeS?.let { nowMs() + (it * MS_PER_S).toLong() }
+        if (isNewIncarnation) beginIncarnation(machine)
+        // Most heartbeats repeat the one before.
+        if (hasChanged || source == StatusSource.COMMAND_RESPONSE) listener.tasksReported(machine, source)
         return true
     }
 
-    /** Another node hears this machine, without its task list being known here; it may say that there is a newer one. */
-    fun heard(n: MachineStatus) {
-        val m = known(n.machine, n.addr, n.type, n.zone, n.spot)
-        m.heardAt = maxOf(m.heardAt, nowMs() - n.ageMs)
-        if (n.incarnation > m.incarnation || n.incarnation == m.incarnation && n.changedAtSequence > m.sequence) {
-            onMissedChange(m)
-        }
+    private fun beginIncarnation(machine: Machine) {
+        machine.channel.forgetUnansweredRuns()
+        machine.freedAt = nowMs()
+        machine.freedBy = Machine.NOBODY
+        listener.incarnationChanged(machine)
     }
 
-    fun note(
-        m: Machine,
-        withTasks: Boolean,
+    /** Another controller hears the machine. Its task list doesn't come with it, but it may show that there is a newer one. */
+    fun applyAcknowledgement(status: MachineStatus) {
+        val machine = findOrAdd(status.machine, status.addr, status.type, status.zone, status.spot)
+        machine.heardAt = maxOf(machine.heardAt, nowMs() - status.ageMs)
+        val isMissed =
+            status.incarnation > machine.incarnation ||
+                status.incarnation == machine.incarnation && status.changedAtSequence > machine.sequence
+        if (isMissed) listener.statusMissed(machine)
+    }
+
+    /** The machine's status with its task list, to be forwarded to other controllers. */
+    fun statusOf(machine: Machine) = status(machine, machine.tasks.map { taskStatus(it) })
+
+    /** The machine's status without its task list: that this controller hears it, and when its tasks last changed. */
+    fun acknowledgementOf(machine: Machine) = status(machine, emptyList())
+
+    private fun taskStatus(task: ListedTask) =
+        TaskStatus(task.jobId, task.taskIndex, task.attempt, task.status, task.why ?: "", task.saved)
+
+    private fun status(
+        machine: Machine,
+        tasks: List<TaskStatus>,
     ) = MachineStatus(
-        m.name,
-        m.addr,
-        m.type,
-        m.zone,
-        m.spot,
-        m.incarnation,
-        m.sequence,
-        m.spotNoticeAt?.let { maxOf(0L, it - nowMs()) / 1000.0 } ?: -1.0,
-        if (withTasks) {
-            m.tasks.map {
-                TaskStatus(it.jobId, it.taskIndex, it.attempt, it.status, it.why ?: "", it.saved)
-            }
-        } else {
-            emptyList()
-        },
-        maxOf(0L, nowMs() - m.heardAt),
-        m.changedAtSequence,
+        machine.name,
+        machine.addr,
+        machine.type,
+        machine.zone,
+        machine.spot,
+        machine.incarnation,
+        machine.sequence,
+        machine.spotNoticeAt?.let { maxOf(0L, it - nowMs()) / MS_PER_S } ?: NO_SPOT_NOTICE,
+        tasks,
+        maxOf(0L, nowMs() - machine.heardAt),
+        machine.changedAtSequence,
     )
 
-    /** How long a machine type takes to boot, the longest if no type is named: how far ahead the fleet has to look, and how
-     * long it may dwell. */
-    fun bootMs(type: String?): Long =
-        ((machineTypes[type]?.readyS ?: machineTypes.values.maxOfOrNull { it.readyS } ?: 0.0) * 1000)
-            .toLong()
-            .coerceAtLeast(
-                MIN_BOOT_MS,
-            )
+    /**
+     * How long a machine of the type takes to boot, or of the slowest type if none or an unknown one is named. This is how far ahead
+     * scaling has to look, and how long it may hesitate.
+     */
+    fun bootMs(type: String?): Long {
+        val slowestS = machineTypes.values.maxOfOrNull { it.readyS } ?: 0.0
+        val readyS = machineTypes[type]?.readyS ?: slowestS
+        return (readyS * MS_PER_S).toLong().coerceAtLeast(MIN_BOOT_MS)
+    }
 
-    fun total(m: Machine) = machineTypes[m.type]?.resources
+    /** The machine's whole capacity; null as long as its type is not known. */
+    fun total(machine: Machine) = machineTypes[machine.type]?.resources
 
     private companion object {
         const val MIN_BOOT_MS = 5000L
+        const val MS_PER_S = 1000.0
+        const val LONG_AGO = Long.MIN_VALUE / 2
+
+        /** Stands in messages between controllers for a machine that is not about to be reclaimed. */
+        const val NO_SPOT_NOTICE = -1.0
     }
 }
--- a/src/main/kotlin/micatally/worker/WorkerReach.kt
+++ b/src/main/kotlin/micatally/worker/WorkerReach.kt
@@ -118,7 +118,7 @@
         val out = http.call(m.addr, "GET", "/show", null, askMs)
         if (out !is Outcome.Answer || out.status != 200) return false
         try {
-            machines.apply(Heartbeat.parse(parseObject(out.body)), false)
+            machines.apply(Heartbeat.parse(parseObject(out.body)), StatusSource.HEARTBEAT)
         } catch (e: MalformedMessage) {
             log.info("machine {} answers what is no report: {}", m.name, e.message)
         }
--- a/src/test/kotlin/micatally/sim/FoundTest.kt
+++ b/src/test/kotlin/micatally/sim/FoundTest.kt
@@ -134,7 +134,7 @@
     fun `summaries of many machines fit the state service's values`() =
         fleet(5) { f ->
             for (n in 0 until 500) {
-                val m = f.live[0]!!.machines.known("m-%06d".format(n), "10.0.0.1:9", "g8", "a", false)
+                val m = f.live[0]!!.machines.findOrAdd("m-%06d".format(n), "10.0.0.1:9", "g8", "a", false)
                 m.promise("j-1", n, micatally.wire.Resources(1.0, 0.0, 1.0), Long.MAX_VALUE)
             }
             f.runFor(15_000)
@@ -145,7 +145,7 @@
                     1.0,
                     f.live[1]!!
                         .machines
-                        .known("m-%06d".format(n), "10.0.0.1:9", "g8", "a", false)
+                        .findOrAdd("m-%06d".format(n), "10.0.0.1:9", "g8", "a", false)
                         .used.cores,
                 )
             }
--- a/src/test/kotlin/micatally/sim/GangTest.kt
+++ b/src/test/kotlin/micatally/sim/GangTest.kt
@@ -9,6 +9,7 @@
 import micatally.wire.Heartbeat
 import micatally.wire.ListedTask
 import micatally.wire.bytes
+import micatally.worker.StatusSource
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -390,7 +391,7 @@
             val listed = m.tasks + ListedTask(jobId, pending, 500, ListedTask.ENDED, ExitReason.DONE.word, false)
             machines.apply(
                 Heartbeat(m.name, m.addr, m.type, m.zone, m.spot, m.incarnation, m.sequence + 1, 0, null, listed),
-                false,
+                StatusSource.HEARTBEAT,
             )
             assertTrue(job.done[pending])
             assertTrue(job.attempts.values.all { it.stop == null }, "${job.attempts.values.map { it.stop }}")
