--- a/src/main/kotlin/micatally/api/WorkerApi.kt
+++ b/src/main/kotlin/micatally/api/WorkerApi.kt
@@ -1,7 +1,5 @@
 package micatally.api
 
-import kotlinx.serialization.json.buildJsonObject
-import kotlinx.serialization.json.put
 import micatally.http.HttpRequest
 import micatally.http.HttpResponse
 import micatally.http.errorResponse
@@ -12,16 +10,21 @@
 import micatally.wire.Command
 import micatally.wire.CommandType
 import micatally.wire.Heartbeat
+import micatally.wire.ListedTask
 import micatally.wire.MalformedMessage
 import micatally.wire.bytes
 import micatally.wire.heartbeatResponse
 import micatally.wire.parseObject
+import micatally.wire.redirectBody
 import micatally.worker.AttemptId
 import micatally.worker.CancelledTasks
 import micatally.worker.MachineRegistry
 import micatally.worker.StatusSource
 
-/** Workers' reports. A 200 keeps a worker's tasks alive, so it is given only while this node is entitled to. */
+/**
+ * Workers' heartbeats. A 200 renews the worker's lease and so keeps its tasks alive; it is given only while this controller may act, and
+ * so would hear of a cancellation in time.
+ */
 class WorkerApi(
     private val settings: Settings,
     private val membership: Membership,
@@ -32,71 +35,73 @@
 ) {
     private val redirects = WorkerRedirects(settings, machines, nowMs) { peers.bestFor(it) }
 
+    /**
+     * Applies the heartbeat, whatever the answer to it: it is news about the machine in any case.
+     *
+     * Answers 200 with the tasks to be killed, 421 with the controller to report to instead, or 400.
+     */
     fun report(request: HttpRequest): HttpResponse {
-        val report =
+        val heartbeat =
             try {
                 Heartbeat.parse(parseObject(request.body))
             } catch (e: MalformedMessage) {
-                return errorResponse(
-                    400,
-                    e.message ?: "",
-                )
+                return errorResponse(BAD_REQUEST, e.message ?: "")
             }
-        val m = machines.of(report.machine)
-        val before = m?.tasks
-        val news = machines.apply(report, StatusSource.HEARTBEAT)
-        val known = machines.findOrAdd(report.machine, report.addr, report.type, report.zone, report.spot)
-        if (news && (before == null || differs(before, report))) peers.tell(known)
-        // The node does not know the fencing token that the worker knows: it may have been replaced without having heard.
-        if (report.token > membership.sharedKeys.fencingToken) {
-            membership.catchUp(NOTHING_MORE)
-            return refuse()
+        val tasksBefore = machines.of(heartbeat.machine)?.tasks
+        val isNewer = machines.apply(heartbeat, StatusSource.HEARTBEAT)
+        val machine =
+            machines.findOrAdd(heartbeat.machine, heartbeat.addr, heartbeat.type, heartbeat.zone, heartbeat.spot)
+        if (isNewer && isWorthForwarding(heartbeat, tasksBefore)) peers.tell(machine)
+        if (!mayRenewLease(heartbeat) || machine.deleted) return redirectTo(peers.leadingPeer())
+        redirects.targetFor(machine, heartbeat)?.let { return redirectTo(it) }
+        machine.heardHereAt = nowMs()
+        val response = heartbeatResponse(membership.sharedKeys.fencingToken, killsFor(heartbeat))
+        return HttpResponse(OK, response.bytes())
+    }
+
+    private fun mayRenewLease(heartbeat: Heartbeat): Boolean {
+        // This controller does not know a fencing token that the worker knows: it may have been replaced without having heard.
+        if (heartbeat.token > membership.sharedKeys.fencingToken) {
+            membership.catchUp(NO_CONTINUATION)
+            return false
         }
-        if (membership.checkLeadership() != LeadershipState.LEADING) return refuse()
-        // Others reach the state service and this node does not: they know of cancellations that it can't hear of.
-        if (isAloneWithoutState()) return refuse()
-        if (known.deleted) return refuse()
-        redirects
-            .targetFor(
-                known,
-                report,
-            )?.let { return HttpResponse(421, buildJsonObject { put("marshal", it) }.bytes()) }
-        known.heardHereAt = nowMs()
-        return HttpResponse(200, heartbeatResponse(membership.sharedKeys.fencingToken, killsFor(report)).bytes())
+        if (membership.checkLeadership() != LeadershipState.LEADING) return false
+        // Others reach the state store and this controller does not: they know of cancellations of which it can't hear.
+        return !isAloneWithoutState()
     }
 
     /**
-     * A peer's word counts only if it is newer than the time from which this node has been without contact for too long. When a
+     * A peer's word counts only if it is newer than the time from which this controller has been without contact for too long. When a
      * zone is cut off both end at the same moment: a worker refused then finds no other controller within its lease.
      */
     private fun isAloneWithoutState(): Boolean {
-        val longestMs = settings.leaseMs * 3 / 10
+        val longestMs = settings.leaseMs * STATE_CONTACT_TENTHS / TENTHS
         val overdueMs = membership.viewAgeMs - longestMs
         return overdueMs > 0 && peers.somePeerHasStateSince(nowMs() - overdueMs)
     }
 
-    private fun differs(
-        before: List<micatally.wire.ListedTask>,
-        r: Heartbeat,
-    ) = before.size != r.tasks.size || r.spotNoticeS != null ||
-        before.zip(r.tasks).any { (a, b) ->
-            a.jobId != b.jobId || a.taskIndex != b.taskIndex || a.attempt != b.attempt ||
-                a.status != b.status
+    /** Whether the leaders of the tasks learn something from the heartbeat. */
+    private fun isWorthForwarding(
+        heartbeat: Heartbeat,
+        tasksBefore: List<ListedTask>?,
+    ): Boolean {
+        if (tasksBefore == null || tasksBefore.size != heartbeat.tasks.size) return true
+        if (heartbeat.spotNoticeS != null) return true
+        return tasksBefore.zip(heartbeat.tasks).any { (before, now) ->
+            AttemptId.of(before) != AttemptId.of(now) || before.status != now.status
         }
+    }
 
-    /** Tasks of cancelled jobs whose owner can't reach the machine. */
-    private fun killsFor(r: Heartbeat): List<Command> =
-        r.tasks
-            .filter {
-                !it.ended && cancelledTasks.has(r.machine, AttemptId(it.jobId, it.taskIndex, it.attempt))
-            }.map { Command(CommandType.KILL, it.jobId, it.taskIndex, it.attempt, 0.0) }
+    /** Kills for tasks of cancelled jobs, whose leaders may not be able to reach the machine. */
+    private fun killsFor(heartbeat: Heartbeat): List<Command> =
+        heartbeat.tasks
+            .filter { !it.ended && cancelledTasks.has(heartbeat.machine, AttemptId.of(it)) }
+            .map { Command(CommandType.KILL, it.jobId, it.taskIndex, it.attempt, graceS = 0.0) }
 
-    private fun refuse(): HttpResponse {
-        val other = peers.leadingPeer()
-        return HttpResponse(421, buildJsonObject { if (other != null) put("marshal", other) }.bytes())
-    }
+    private fun redirectTo(controller: String?) = HttpResponse(MISDIRECTED, redirectBody(controller).bytes())
 
     private companion object {
-        val NOTHING_MORE = {}
+        /** One and the same object for all calls, so that it is registered once. */
+        val NO_CONTINUATION = {}
     }
 }
--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -6,7 +6,15 @@
 import kotlinx.serialization.decodeFromByteArray
 import kotlinx.serialization.encodeToByteArray
 import kotlinx.serialization.protobuf.ProtoBuf
+import micatally.api.AdmissionRules
+import micatally.api.CancellationHandler
+import micatally.api.ControllerContact
+import micatally.api.HealthCheck
+import micatally.api.JobDurability
+import micatally.api.JobLookup
+import micatally.api.QueryHandler
 import micatally.api.RecordReads
+import micatally.api.SubmissionHandler
 import micatally.api.UserApi
 import micatally.api.WorkerApi
 import micatally.archive.ArchiveMode
@@ -164,23 +172,7 @@
             maxOf(1, questionRps.toInt()),
             settings.leaseMs / 8,
         )
-    private val users =
-        UserApi(
-            settings,
-            configuration.teams,
-            state,
-            membership,
-            jobManager,
-            store,
-            machines,
-            peers,
-            scheduler,
-            upgrade,
-            lookup,
-            reads,
-            reach,
-            nowMs,
-        )
+    private val users = userApi()
     private val workers =
         WorkerApi(settings, membership, machines, peers, jobManager.cancellations.cancelledTasks, nowMs)
 
@@ -189,6 +181,19 @@
             override fun loaded(name: String) = jobManager.shards[name]?.takeIf { it.state == ShardState.ACTIVE }
         }
 
+    private fun userApi(): UserApi {
+        val contact = ControllerContact(settings, state, membership, reach)
+        val durability = JobDurability(settings, store)
+        val jobLookup = JobLookup(settings, membership, jobManager, peers, lookup, contact)
+        val admission = AdmissionRules(settings, configuration.teams, machines, upgrade)
+        return UserApi(
+            HealthCheck(membership, jobManager, machines, peers, contact),
+            SubmissionHandler(admission, contact, jobManager, durability, scheduler, jobLookup, nowMs),
+            QueryHandler(jobLookup, reads),
+            CancellationHandler(jobManager, durability, peers, jobLookup, contact),
+        )
+    }
+
     private fun machineListener(): MachineListener =
         object : MachineListener {
             override fun machineAdded(machine: Machine) = peers.machineAdded(machine)
--- a/src/test/kotlin/micatally/sim/ConfigurationTest.kt
+++ b/src/test/kotlin/micatally/sim/ConfigurationTest.kt
@@ -339,7 +339,7 @@
             }
         }
 
-    /** Guard: a run without an answer is not repeated for a team that is over its limit ([micatally.worker.CommandDispatcher]). */
+    /** Guard: a run without an answer is not repeated for a team that is over its limit ([micatally.worker.CommandPlanner]). */
     @Test
     fun `a start that was lost is not repeated after the limit has fallen`() =
         each {
@@ -381,7 +381,7 @@
             runUntil(f.lease * 6, "what waited starts") { tasks(waiting).size == 1 }
         }
 
-    /** Guard: a refusal rests on a look at the store ([micatally.api.UserApi.submit]). */
+    /** Guard: a refusal rests on a look at the store ([micatally.api.AdmissionRules.check]). */
     @Test
     fun `a job of a new team is never refused on an old view`() =
         each {
--- a/src/test/kotlin/micatally/sim/MeetingsTest.kt
+++ b/src/test/kotlin/micatally/sim/MeetingsTest.kt
@@ -185,7 +185,7 @@
         }
 
     /** Guard: an intent is durable before its run leaves, on the condition of the shard; the successor asks the machine with
-     * its own token first ([micatally.worker.CommandDispatcher]). */
+     * its own token first ([micatally.worker.CommandPlanner]). */
     @Test
     fun `new machines get work at once while writes lag, and the leader ends`() =
         each(big) {
@@ -418,7 +418,7 @@
             for (r in more) assertTrue(f.rules.isFinal(r), "$r has ended")
         }
 
-    /** Guard: the state DONE is final and `withdraw` leaves it; what is told waits for the store ([micatally.api.UserApi]). */
+    /** Guard: the state DONE is final and `withdraw` leaves it; what is told waits for the store ([micatally.api.SubmissionHandler]). */
     @Test
     fun `a cancellation, a question or a repeat meets the end of a job's last task`() =
         each {
--- a/src/test/kotlin/micatally/sim/RolloutTest.kt
+++ b/src/test/kotlin/micatally/sim/RolloutTest.kt
@@ -60,7 +60,7 @@
             assertTrue(format != null)
         }
 
-    /** Guard: the phase is asked in [micatally.api.UserApi.submit]; without it the gang is accepted. */
+    /** Guard: the phase is asked in [micatally.api.AdmissionRules.check]; without it the gang is accepted. */
     @Test
     fun `a gang is refused at once before the upgrade is finished, and accepted after it`() =
         rollout(3) {
