--- /dev/null
+++ b/src/test/kotlin/micatally/worker/MachineRegistryTest.kt
@@ -0,0 +1,131 @@
+package micatally.worker
+
+import micatally.wire.Heartbeat
+import micatally.wire.ListedTask
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+
+class MachineRegistryTest {
+    private var nowMs = 100_000L
+    private val events = ArrayList<String>()
+
+    private val listener =
+        object : MachineListener {
+            override fun machineAdded(machine: Machine) {
+                events.add("added ${machine.name}")
+            }
+
+            override fun incarnationChanged(machine: Machine) {
+                events.add("incarnation ${machine.incarnation}")
+            }
+
+            override fun tasksReported(
+                machine: Machine,
+                source: StatusSource,
+            ) {
+                events.add("tasks ${machine.tasks.size} $source")
+            }
+
+            override fun statusMissed(machine: Machine) {
+                events.add("missed")
+            }
+        }
+
+    private val registry = MachineRegistry(listener) { nowMs }
+
+    private fun heartbeat(
+        incarnation: Long,
+        sequence: Long,
+        vararg statuses: String,
+    ) = Heartbeat(
+        "m-1",
+        "10.0.0.1:9",
+        "g8",
+        "a",
+        false,
+        incarnation,
+        sequence,
+        0,
+        null,
+        statuses.mapIndexed { index, status -> ListedTask("j-1", index, 1, status, null, false) },
+    )
+
+    private fun eventsOf(action: () -> Unit): List<String> {
+        events.clear()
+        action()
+        return events.toList()
+    }
+
+    @Test
+    fun `a first heartbeat adds the machine, begins its incarnation and reports its tasks, in this order`() {
+        val seen = eventsOf { assertTrue(registry.apply(heartbeat(1, 1, ListedTask.RUNNING), StatusSource.HEARTBEAT)) }
+        assertEquals(listOf("added m-1", "incarnation 1", "tasks 1 HEARTBEAT"), seen)
+    }
+
+    /** Guard: the comparison in `isNewerThan`; a late copy would take a task list back to a former state. */
+    @Test
+    fun `a copy or an older heartbeat shows nothing, not even life`() {
+        registry.apply(heartbeat(2, 5, ListedTask.RUNNING), StatusSource.HEARTBEAT)
+        nowMs += 1000
+        val seen =
+            eventsOf {
+                assertFalse(registry.apply(heartbeat(2, 5), StatusSource.HEARTBEAT))
+                assertFalse(registry.apply(heartbeat(2, 4), StatusSource.COMMAND_RESPONSE))
+                assertFalse(registry.apply(heartbeat(1, 9), StatusSource.HEARTBEAT))
+            }
+        assertEquals(emptyList<String>(), seen)
+        assertEquals(nowMs - 1000, registry.of("m-1")?.heardAt)
+        assertEquals(nowMs - 1000, registry.lastReachedAt)
+    }
+
+    @Test
+    fun `an unchanged task list is reported only with the response to a command`() {
+        registry.apply(heartbeat(1, 1, ListedTask.RUNNING), StatusSource.HEARTBEAT)
+        val unchanged = eventsOf { registry.apply(heartbeat(1, 2, ListedTask.RUNNING), StatusSource.HEARTBEAT) }
+        assertEquals(emptyList<String>(), unchanged)
+        val response = eventsOf { registry.apply(heartbeat(1, 3, ListedTask.RUNNING), StatusSource.COMMAND_RESPONSE) }
+        assertEquals(listOf("tasks 1 COMMAND_RESPONSE"), response)
+        assertEquals(1, registry.of("m-1")?.changedAtSequence)
+    }
+
+    @Test
+    fun `what one controller forwards another applies with its age, without having been reached`() {
+        val other = MachineRegistry(listener) { nowMs }
+        other.apply(heartbeat(1, 1, ListedTask.RUNNING), StatusSource.HEARTBEAT)
+        nowMs += 300
+        val status = other.statusOf(other.findOrAdd("m-1", "", "", "", false))
+        nowMs += 100
+        val seen = eventsOf { assertTrue(registry.applyForwarded(status)) }
+        assertEquals(listOf("added m-1", "incarnation 1", "tasks 1 PEER"), seen)
+        assertEquals(nowMs - 300, registry.of("m-1")?.heardAt)
+        assertTrue(registry.reachedAt("a") < 0)
+    }
+
+    @Test
+    fun `an acknowledgement shows life, and whether a newer task list was missed`() {
+        val other = MachineRegistry(listener) { nowMs }
+        for (controller in listOf(registry, other)) {
+            controller.apply(heartbeat(1, 1, ListedTask.RUNNING), StatusSource.HEARTBEAT)
+        }
+        val machine = other.findOrAdd("m-1", "", "", "", false)
+        nowMs += 1000
+        other.apply(heartbeat(1, 2, ListedTask.RUNNING), StatusSource.HEARTBEAT)
+        val unchanged = eventsOf { registry.applyAcknowledgement(other.acknowledgementOf(machine)) }
+        assertEquals(emptyList<String>(), unchanged)
+        assertEquals(nowMs, registry.of("m-1")?.heardAt)
+        other.apply(heartbeat(1, 3, ListedTask.SAVING), StatusSource.HEARTBEAT)
+        val changed = eventsOf { registry.applyAcknowledgement(other.acknowledgementOf(machine)) }
+        assertEquals(listOf("missed"), changed)
+        assertEquals(1, registry.of("m-1")?.sequence)
+    }
+
+    /** Guard: `deletedNames`; a late heartbeat would make a machine that is gone take work again. */
+    @Test
+    fun `a machine that is known to be deleted stays so when a late heartbeat comes`() {
+        registry.deletedNames.add("m-1")
+        registry.apply(heartbeat(1, 1), StatusSource.HEARTBEAT)
+        assertTrue(registry.of("m-1")?.deleted == true)
+    }
+}
