--- a/src/main/kotlin/micatally/worker/CancelledTasks.kt
+++ b/src/main/kotlin/micatally/worker/CancelledTasks.kt
@@ -2,30 +2,39 @@
 
 import micatally.wire.CancelledTask
 
-/** Tasks of cancelled jobs, as the owners told them. Whichever node hears their machines hands the stop on. A note is kept
- * well beyond the time that a cancellation has: its owner may end before it can say that the task is gone. */
+/**
+ * Tasks of cancelled jobs, as the leaders of their shards have told. Whichever controller hears the machines of such tasks passes the
+ * kill on. An entry is kept well beyond the time that a cancellation may take: the leader may end before it can say that the task is
+ * gone. Used from the event loop only.
+ *
+ * @param keepMs how long an entry is kept at least
+ */
 class CancelledTasks(
     private val keepMs: Long,
     private val nowMs: () -> Long,
 ) {
-    private val byMachine = HashMap<String, HashMap<AttemptId, Long>>()
+    private val keptUntilMs = HashMap<String, HashMap<AttemptId, Long>>()
 
-    fun take(notes: List<CancelledTask>) {
-        val until = nowMs() + keepMs
-        for (k in notes) byMachine.getOrPut(k.machine) { HashMap() }[AttemptId(k.jobId, k.taskIndex, k.attempt)] = until
+    fun take(cancelledTasks: List<CancelledTask>) {
+        val untilMs = nowMs() + keepMs
+        for (task in cancelledTasks) {
+            val ofMachine = keptUntilMs.getOrPut(task.machine) { HashMap() }
+            ofMachine[AttemptId(task.jobId, task.taskIndex, task.attempt)] = untilMs
+        }
     }
 
+    /** Whether the attempt on this machine is known to be cancelled. */
     fun has(
         machine: String,
         id: AttemptId,
-    ) = byMachine[machine]?.containsKey(id) == true
+    ) = keptUntilMs[machine]?.containsKey(id) == true
 
-    /** Forgets what is old, unless its job's tasks are still [listed] in the state service. */
-    fun prune(listed: (String) -> Boolean) {
+    /** Forgets entries that are old enough, unless the cancelled tasks of their job are still [listed] in the state store. */
+    fun prune(listed: (jobId: String) -> Boolean) {
         val now = nowMs()
-        byMachine.values.removeIf { ids ->
-            ids.entries.removeIf { (id, until) -> until < now && !listed(id.jobId) }
-            ids.isEmpty()
+        keptUntilMs.values.removeIf { ofMachine ->
+            ofMachine.entries.removeIf { (id, untilMs) -> untilMs < now && !listed(id.jobId) }
+            ofMachine.isEmpty()
         }
     }
 }
