--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -320,7 +320,7 @@
                 jobManager.faults.review(jobManager.openJobs(), now)
                 scheduler.requestCycle()
                 scheduler.migrateReplicas(now)
-                for (m in machines.byName.values) m.releaseOld(now)
+                for (m in machines.byName.values) m.releaseExpiredReservations(now)
             }
             for (m in machines.byName.values) {
                 if (m.hasSpotNotice && !m.deleted) {
--- a/src/main/kotlin/micatally/job/JobManager.kt
+++ b/src/main/kotlin/micatally/job/JobManager.kt
@@ -145,7 +145,7 @@
             for (a in j.attempts.values) {
                 a.machine.detach(a, nowMs())
                 // Its new owner has yet to load it; to all that see this node's summary the room would look free meanwhile.
-                j.spec?.let { a.machine.promise(j.jobId, a.taskIndex, it.resources, nowMs() + settings.handOverMs) }
+                j.spec?.let { a.machine.reserve(j.jobId, a.taskIndex, it.resources, nowMs() + settings.handOverMs) }
             }
             store.drop(j)
         }
--- a/src/main/kotlin/micatally/peer/OwnSummary.kt
+++ b/src/main/kotlin/micatally/peer/OwnSummary.kt
@@ -44,7 +44,7 @@
         var changed = false
         for (m in machines.byName.values) {
             val old = mine[m.name]?.room
-            if (m.deleted || m.attempts.isEmpty() && !m.isPromised) {
+            if (m.deleted || m.attempts.isEmpty() && !m.hasReservations) {
                 if (old != null && old.isHeld) {
                     mine[m.name] = Mine(HeldCapacity(m.name), next)
                     changed = true
--- a/src/main/kotlin/micatally/scheduling/ReplicaMigration.kt
+++ b/src/main/kotlin/micatally/scheduling/ReplicaMigration.kt
@@ -41,7 +41,7 @@
             val (task, to) = each.next()
             if (task.first != job.jobId || task.second in job.attempts) continue
             each.remove()
-            if (!to.release(task.first, task.second) || job.done[task.second] || !quota.allows(job)) continue
+            if (!to.releaseReservation(task.first, task.second) || job.done[task.second] || !quota.allows(job)) continue
             if (!view.isUsable(to, now) || !spec.resources.fitsIn((view.machines.total(to) ?: continue) - to.used) ||
                 !Placement.zones(job, spec).allows(to.zone)
             ) {
@@ -55,7 +55,7 @@
     /** Machines that are being emptied: replicas move to rooms that have their image, a few at a time, so that each is
      * away for a blink only. Whatever ends by itself is left to do so. */
     fun migrateReplicas(now: Long) {
-        moved.entries.removeIf { (task, to) -> !to.promised(task.first, task.second) }
+        moved.entries.removeIf { (task, to) -> !to.hasReservation(task.first, task.second) }
         val draining =
             view.machines.byName.values.filter {
                 it.draining && !it.deleted && !it.hasSpotNotice &&
@@ -63,8 +63,8 @@
             }
         if (draining.isEmpty() || checking) return
         val most = maxOf(1, draining.size / MACHINES_A_MOVE)
-        moving.removeIf { !it.a.live || it.a.stop != null || !it.to.promised(it.a.job.jobId, it.a.taskIndex) }
-        // The peers have heard of a promise after a while; whoever was faster has the room.
+        moving.removeIf { !it.a.live || it.a.stop != null || !it.to.hasReservation(it.a.job.jobId, it.a.taskIndex) }
+        // The peers have heard of a reservation after a while; whoever was faster has the room.
         val due = moving.filter { now - it.at >= settings.heartbeatIntervalMs / 2 }
         if (due.isNotEmpty()) {
             moving.removeAll(due.toSet())
@@ -102,7 +102,7 @@
                 }
                 // It is gone before it starts elsewhere, so its own place does not count against its zone.
                 val to = MachineSelector(view, a.job, spec, now, withImage = true, moving = a).next() ?: continue
-                to.promise(a.job.jobId, a.taskIndex, spec.resources, now + settings.leaseMs)
+                to.reserve(a.job.jobId, a.taskIndex, spec.resources, now + settings.leaseMs)
                 moving.add(Move(a, to, now))
                 under++
             }
@@ -120,11 +120,11 @@
         val total = view.machines.total(move.to)
         val ready =
             move.a.live && move.a.stop == null && move.a.job.pendingCount == 0 &&
-                move.to.promised(jobId, move.a.taskIndex)
+                move.to.hasReservation(jobId, move.a.taskIndex)
         if (!stateAnswered || !ready || total == null || !view.isUsable(move.to, now) ||
             !move.to.used.fitsIn(total)
         ) {
-            move.to.release(jobId, move.a.taskIndex)
+            move.to.releaseReservation(jobId, move.a.taskIndex)
             return
         }
         move.a.stop(StopReason.DRAIN, now)
--- a/src/main/kotlin/micatally/worker/Machine.kt
+++ b/src/main/kotlin/micatally/worker/Machine.kt
@@ -4,7 +4,10 @@
 import micatally.wire.ListedTask
 import micatally.wire.Resources
 
-/** A worker as this node knows it, from reports, from answers to its own orders and from other nodes. */
+/**
+ * A machine as this controller knows it from heartbeats, from the responses to its own commands and from other controllers. Used from
+ * the event loop only. Times are in milliseconds of the controller's clock.
+ */
 class Machine(
     val name: String,
     addr: String,
@@ -12,16 +15,19 @@
     zone: String,
     spot: Boolean,
 ) {
+    /** Empty as long as it is not known, like [type] and [zone]. */
     var addr = addr
         private set
     var type = type
         private set
     var zone = zone
         private set
+
+    /** Whether it is a spot instance, which the cloud may reclaim. */
     var spot = spot
         private set
 
-    /** What a name alone could not tell. */
+    /** Fills in what is not known yet; what is known never changes. */
     fun describe(
         addr: String,
         type: String,
@@ -35,30 +41,33 @@
         this.spot = spot
     }
 
+    /** The incarnation and the sequence number of the newest status; 0: none has come. */
     var incarnation = 0L
     var sequence = 0L
 
-    /** The tick with which the tasks last changed. */
+    /** The sequence number of the status with which [tasks] last changed. */
     var changedAtSequence = 0L
+
+    /** What the newest status lists. */
     var tasks: List<ListedTask> = emptyList()
 
-    /** When any node heard from it first, as far as this one knows; 0: not yet. */
+    /** When any controller heard from it first, as far as this one knows; 0: not yet. */
     var firstHeardAt = 0L
         private set
 
-    /** When any node heard from it last. */
+    /** When any controller heard from it last. */
     var heardAt = 0L
         set(value) {
             field = value
             if (firstHeardAt == 0L) firstHeardAt = value
         }
 
-    /** When this node answered a report of its last. */
+    /** When this controller last accepted a heartbeat of it. */
     var heardHereAt = 0L
 
-    /** When each other node answered a report of its last, as far as they have told. */
     private val heardElsewhereAt = HashMap<String, Long>()
 
+    /** The controller on [host] has told that it accepted a heartbeat at this time. */
     fun heardBy(
         host: String,
         atMs: Long,
@@ -66,42 +75,64 @@
         heardElsewhereAt.merge(host, atMs, ::maxOf)
     }
 
+    /** When the controller on [host] last accepted a heartbeat, as far as it has told; null: never. */
     fun heardByAt(host: String): Long? = heardElsewhereAt[host]
 
-    /** When the keeper asked it last because it was silent, how often in a row it took the question and said nothing, and when
-     * it last took a connection of its own for that: a machine without power does not. */
-    var probedAt = Long.MIN_VALUE / 2
+    /** When it was last probed because it was silent. */
+    var probedAt = LONG_AGO
+
+    /** How many probes in a row it took without a response. */
     var mute = 0
-    var connectedAt = Long.MIN_VALUE / 2
+
+    /** When it last took a new connection for a probe without a response: a machine without power does not. */
+    var connectedAt = LONG_AGO
 
     /** How many connections to it hung in a row. */
     var dark = 0
+
+    /** When the cloud is going to reclaim it; null: no notice has come. */
     var spotNoticeAt: Long? = null
+
+    val hasSpotNotice get() = spotNoticeAt != null
+
+    /** Whether it is known to be deleted in the cloud. It never comes back under this name. */
     var deleted = false
+
+    /** Whether it is being drained: nothing new is placed on it. */
     var draining = false
 
-    /** This node's attempts that are not proven gone, and what they take. */
+    /** This controller's attempts here for whose end there is no evidence yet. */
     val attempts = LinkedHashSet<Attempt>()
+
+    private val reservations = CapacityReservations()
+
+    /** What this controller's attempts and reservations take. */
     var ownUsed = Resources.NONE
         private set
 
-    /** What other owners said they hold here. */
-    private val othersUsed = HashMap<String, Resources>()
+    /** What other controllers have told that they hold here, by host. */
+    private val usedByPeers = HashMap<String, Resources>()
 
-    /** What all owners hold here, kept as a sum: a round looks at it for every machine. */
+    /** What all controllers hold here, kept as a sum: a scheduling cycle looks at it for every machine. */
     var used = Resources.NONE
         private set
 
-    /** Images that were seen here, most recent last. */
+    /** Sizes in GB of the images that were seen here, most recent last. */
     val images = LinkedHashMap<String, Double>()
 
-    /** Those of them that this node's own tasks ran with: it tells its peers of no others, or none would ever be forgotten. */
+    /** Those of them that this controller's own tasks ran with: it reports no others to its peers, or none would ever be forgotten. */
     val ownImages = HashSet<String>()
 
-    /** When room on it last became free, and whose task left it: null for this node's own. */
+    /** When capacity last became free here. */
     var freedAt = 0L
+
+    /** The host of the controller whose task left then: null for this controller's own, [NOBODY] if the machine was new. */
     var freedBy: String? = NOBODY
+
+    /** Until when nothing is placed here, since a task found no room on it. */
     var fullUntil = 0L
+
+    /** What failed tasks say about it. */
     val health = MachineHealth()
 
     /** When it was last seen with a task, a reservation or a reason to stay. */
@@ -110,104 +141,86 @@
     /** The state of this controller's command requests to the machine. */
     val channel = CommandChannel()
 
-    val hasSpotNotice get() = spotNoticeAt != null
-
-    private class Promise(
-        val resources: Resources,
-        val until: Long,
-    )
-
-    /** Room kept for replicas of this node that are about to move here, by job and task. It counts as used and is told to
-     * the peers, or somebody else's task would be in it when the replica comes. */
-    private val promises = HashMap<Pair<String, Int>, Promise>()
-
-    fun promise(
+    /** Keeps capacity for a replica that is about to move here, until [untilMs] at the latest. */
+    fun reserve(
         jobId: String,
         taskIndex: Int,
         resources: Resources,
-        until: Long,
+        untilMs: Long,
     ) {
-        if (promises.put(jobId to taskIndex, Promise(resources, until)) == null) {
-            ownUsed = ownUsed + resources
-            sum()
-        }
+        val isNew = reservations.add(jobId, taskIndex, resources, untilMs)
+        if (!isNew) return
+        ownUsed = ownUsed + resources
+        updateUsed()
     }
 
-    /** Takes a promise back, whether it is kept or has run out; false if there is none. */
-    fun release(
+    /** Gives up a reservation, whether it is used or has expired; false if there is none. */
+    fun releaseReservation(
         jobId: String,
         taskIndex: Int,
     ): Boolean {
-        val p = promises.remove(jobId to taskIndex) ?: return false
-        ownUsed = if (attempts.isEmpty() && promises.isEmpty()) Resources.NONE else ownUsed - p.resources
-        sum()
+        val resources = reservations.remove(jobId, taskIndex) ?: return false
+        subtractOwn(resources)
+        updateUsed()
         return true
     }
 
-    fun releaseOld(nowMs: Long) {
-        if (promises.isNotEmpty()) {
-            for ((id, p) in promises.entries.map { it.key to it.value }) {
-                if (p.until <=
-                    nowMs
-                ) {
-                    release(id.first, id.second)
-                }
-            }
-        }
-    }
+    fun releaseExpiredReservations(nowMs: Long) =
+        reservations.forEachExpired(nowMs) { jobId, taskIndex -> releaseReservation(jobId, taskIndex) }
 
-    fun promised(
+    fun hasReservation(
         jobId: String,
         taskIndex: Int,
-    ) = jobId to taskIndex in promises
+    ) = reservations.contains(jobId, taskIndex)
 
-    val isPromised get() = promises.isNotEmpty()
+    val hasReservations get() = !reservations.isEmpty
 
-    private fun sum() {
-        used = othersUsed.values.fold(ownUsed) { a, b -> a + b }
-    }
-
-    fun attach(a: Attempt) {
-        if (attempts.add(a)) {
-            a.job.spec?.let { ownUsed = ownUsed + it.resources }
-            sum()
-        }
+    /** The attempt counts as using the machine from now on. */
+    fun attach(attempt: Attempt) {
+        if (!attempts.add(attempt)) return
+        attempt.job.spec?.let { ownUsed = ownUsed + it.resources }
+        updateUsed()
     }
 
+    /** The attempt has ended. */
     fun detach(
-        a: Attempt,
+        attempt: Attempt,
         nowMs: Long,
     ) {
-        if (!attempts.remove(a)) return
+        if (!attempts.remove(attempt)) return
         freedAt = nowMs
         freedBy = null
-        ownUsed =
-            if (attempts.isEmpty() &&
-                promises.isEmpty()
-            ) {
-                Resources.NONE
-            } else {
-                ownUsed - (a.job.spec?.resources ?: Resources.NONE)
-            }
-        sum()
+        subtractOwn(attempt.job.spec?.resources ?: Resources.NONE)
+        updateUsed()
     }
 
-    /** What another owner holds here; nothing takes its entry away. */
+    /** With nothing left the sum is exactly zero, whatever rounding has added up. */
+    private fun subtractOwn(resources: Resources) {
+        val isUnused = attempts.isEmpty() && reservations.isEmpty
+        ownUsed = if (isUnused) Resources.NONE else ownUsed - resources
+    }
+
+    /** Sets what the controller on [host] holds here, in place of what it held before. */
     fun others(
         host: String,
         resources: Resources,
         nowMs: Long,
     ) {
-        val old =
-            (if (resources == Resources.NONE) othersUsed.remove(host) else othersUsed.put(host, resources))
-                ?: Resources.NONE
-        if (!old.fitsIn(resources)) {
+        val isNothing = resources == Resources.NONE
+        val before = if (isNothing) usedByPeers.remove(host) else usedByPeers.put(host, resources)
+        val isReleased = !(before ?: Resources.NONE).fitsIn(resources)
+        if (isReleased) {
             freedAt = nowMs
             freedBy = host
         }
-        sum()
+        updateUsed()
+    }
+
+    private fun updateUsed() {
+        used = usedByPeers.values.fold(ownUsed) { sum, resources -> sum + resources }
     }
 
+    /** A task with the image runs here. The least recent images are forgotten as the machine's cache forgets them. */
     fun sawImage(
         image: String,
         gb: Double,
@@ -215,18 +228,16 @@
     ) {
         images.remove(image)
         images[image] = gb
-        while (images.size > 1 &&
-            images.values.sum() > cacheGb
-        ) {
-            images.keys.first().let {
-                images.remove(it)
-                ownImages.remove(it)
-            }
+        while (images.size > 1 && images.values.sum() > cacheGb) {
+            val leastRecent = images.keys.first()
+            images.remove(leastRecent)
+            ownImages.remove(leastRecent)
         }
     }
 
     companion object {
-        /** Stands for a machine that has only just come up. */
+        /** Stands in [freedBy] for a machine that has only just come up. */
         const val NOBODY = ""
+        private const val LONG_AGO = Long.MIN_VALUE / 2
     }
 }
--- a/src/test/kotlin/micatally/sim/FoundTest.kt
+++ b/src/test/kotlin/micatally/sim/FoundTest.kt
@@ -135,7 +135,7 @@
         fleet(5) { f ->
             for (n in 0 until 500) {
                 val m = f.live[0]!!.machines.findOrAdd("m-%06d".format(n), "10.0.0.1:9", "g8", "a", false)
-                m.promise("j-1", n, micatally.wire.Resources(1.0, 0.0, 1.0), Long.MAX_VALUE)
+                m.reserve("j-1", n, micatally.wire.Resources(1.0, 0.0, 1.0), Long.MAX_VALUE)
             }
             f.runFor(15_000)
             assertTrue(f.state.keysUnder("s/room/pitbox-0/").size > 1)
