--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -2,7 +2,15 @@
 
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.launch
+import micatally.api.AdmissionRules
+import micatally.api.CancellationHandler
+import micatally.api.ControllerContact
+import micatally.api.HealthCheck
+import micatally.api.JobDurability
+import micatally.api.JobLookup
+import micatally.api.QueryHandler
 import micatally.api.RecordReads
+import micatally.api.SubmissionHandler
 import micatally.api.UserApi
 import micatally.api.WorkerApi
 import micatally.archive.ArchiveMode
@@ -41,7 +49,10 @@
 import micatally.upgrade.FormatVersion
 import micatally.upgrade.Upgrade
 import micatally.worker.CommandDispatcher
+import micatally.worker.Machine
+import micatally.worker.MachineListener
 import micatally.worker.MachineRegistry
+import micatally.worker.StatusSource
 import micatally.worker.WorkerReach
 import kotlin.random.Random
 
@@ -97,7 +108,7 @@
         )
 
     /** All machines that this controller knows of. */
-    val machines = MachineRegistry(nowMs)
+    val machines = MachineRegistry(machineListener(), nowMs)
     private val wantedFormat =
         if (operator.storesTeams) FormatVersion.STORED_TEAMS else FormatVersion.PACKED_RECORDS
     private val upgrade = Upgrade(scope, settings, state, membership.sharedKeys, wantedFormat) { recordFormatRaised() }
@@ -170,23 +181,7 @@
             nowMs,
         )
     private val reads = RecordReads(lookup, budgets.userReads, budgets.maxWaitingUserReads, stateTimeoutMs)
-    private val users =
-        UserApi(
-            settings,
-            configuration.teams,
-            state,
-            membership,
-            jobManager,
-            store,
-            machines,
-            peers,
-            scheduler,
-            upgrade,
-            lookup,
-            reads,
-            reach,
-            nowMs,
-        )
+    private val users = userApi()
     private val workers =
         WorkerApi(settings, membership, machines, peers, jobManager.cancellations.cancelledTasks, nowMs)
     private val sharedKeyEvents = SharedKeyEvents(membership.sharedKeys, machines, jobManager, quota)
@@ -199,6 +194,40 @@
         return PriorityQueues(boundsSeconds, operator.promotionRatio)
     }
 
+    private fun userApi(): UserApi {
+        val contact = ControllerContact(settings, state, membership, reach)
+        val durability = JobDurability(settings, store)
+        val jobLookup = JobLookup(settings, membership, jobManager, peers, lookup, contact)
+        val admission = AdmissionRules(settings, configuration.teams, machines, upgrade)
+        return UserApi(
+            HealthCheck(membership, jobManager, machines, peers, contact),
+            SubmissionHandler(admission, contact, jobManager, durability, scheduler, jobLookup, nowMs),
+            QueryHandler(jobLookup, reads),
+            CancellationHandler(jobManager, durability, peers, jobLookup, contact),
+        )
+    }
+
+    private fun machineListener(): MachineListener =
+        object : MachineListener {
+            override fun machineAdded(machine: Machine) = peers.machineAdded(machine)
+
+            override fun incarnationChanged(machine: Machine) = jobManager.newIncarnation(machine)
+
+            override fun tasksReported(
+                machine: Machine,
+                source: StatusSource,
+            ) {
+                jobManager.tasksReported(machine, source == StatusSource.COMMAND_RESPONSE)
+                scheduler.requestCycle()
+            }
+
+            override fun statusMissed(machine: Machine) {
+                if (machine.attempts.isEmpty()) return
+                machine.channel.needsStatus = true
+                dispatcher.requestSync(machine)
+            }
+        }
+
     private fun membershipConditions(): MembershipConditions =
         object : MembershipConditions {
             override fun shouldStepDown() = reach.mayStepDown() && peers.contacts.hasStateStoreContact()
@@ -259,17 +288,6 @@
             jobManager.loseShard(l)
             scope.launch { membership.refresh() }
         }
-        machines.onNewIncarnation = { jobManager.newIncarnation(it) }
-        machines.onMissedChange = { m ->
-            if (m.attempts.isNotEmpty()) {
-                m.needsStatus = true
-                dispatcher.requestSync(m)
-            }
-        }
-        machines.onTasksReported = { m, own ->
-            jobManager.tasksReported(m, own)
-            scheduler.requestCycle()
-        }
         membership.start()
         fleetManager.start()
         peers.start()
--- a/src/main/kotlin/micatally/controller/SpotEvacuation.kt
+++ b/src/main/kotlin/micatally/controller/SpotEvacuation.kt
@@ -52,7 +52,7 @@
         nowMs: Long,
     ): Boolean {
         val sentHeartbeat = nowMs - machine.heardAt < heartbeatIntervalMs * MISSED_HEARTBEATS
-        val acceptsCommands = machine.failuresInRow == 0 && nowMs >= machine.unreachableUntil
+        val acceptsCommands = machine.channel.failuresInRow == 0 && nowMs >= machine.channel.unreachableUntilMs
         return !machine.deleted && acceptsCommands && sentHeartbeat
     }
 
--- a/src/main/kotlin/micatally/controller/StateReview.kt
+++ b/src/main/kotlin/micatally/controller/StateReview.kt
@@ -25,6 +25,6 @@
         jobManager.faults.review(jobManager.openJobs(), nowMs)
         scheduler.requestCycle()
         scheduler.migrateReplicas(nowMs)
-        for (machine in machines.byName.values) machine.releaseOld(nowMs)
+        for (machine in machines.byName.values) machine.releaseExpiredReservations(nowMs)
     }
 }
--- a/src/main/kotlin/micatally/fleet/CloudInventory.kt
+++ b/src/main/kotlin/micatally/fleet/CloudInventory.kt
@@ -50,7 +50,7 @@
             ListedMachine.STARTING -> instances.listed(listed, now)
             ListedMachine.RUNNING -> {
                 instances.listed(listed, now)
-                machines.known(listed.name, listed.addr, listed.type, listed.zone, listed.isSpot)
+                machines.findOrAdd(listed.name, listed.addr, listed.type, listed.zone, listed.isSpot)
             }
             else -> warnOnce(listed)
         }
--- a/src/main/kotlin/micatally/fleet/MachineProber.kt
+++ b/src/main/kotlin/micatally/fleet/MachineProber.kt
@@ -10,6 +10,7 @@
 import micatally.wire.parseObject
 import micatally.worker.Machine
 import micatally.worker.MachineRegistry
+import micatally.worker.StatusSource
 import org.slf4j.LoggerFactory
 
 /** Asks workers that are not heard from for a heartbeat, and records on their [Machine] what their system does with the connection. */
@@ -72,7 +73,7 @@
         if (answer.status != OK) return
         machine.mute = 0
         machine.dark = 0
-        machines.apply(Heartbeat.parse(parseObject(answer.body)), false)
+        machines.apply(Heartbeat.parse(parseObject(answer.body)), StatusSource.HEARTBEAT)
     }
 
     private fun recordSilence(machine: Machine) {
--- a/src/main/kotlin/micatally/job/JobManager.kt
+++ b/src/main/kotlin/micatally/job/JobManager.kt
@@ -91,7 +91,7 @@
 
     /** A job that is not stored yet may turn out to be another owner's, whose tasks are then no strays: it was submitted there
      * before, and repeated here. */
-    override fun mine(jobId: String) =
+    override fun isLedHere(jobId: String) =
         shards.values.any { l ->
             l.state == ShardState.ACTIVE &&
                 l.jobs[jobId]?.let { it.durableState != JobState.NEW } == true
@@ -145,7 +145,7 @@
             for (a in j.attempts.values) {
                 a.machine.detach(a, nowMs())
                 // Its new owner has yet to load it; to all that see this node's summary the room would look free meanwhile.
-                j.spec?.let { a.machine.promise(j.jobId, a.taskIndex, it.resources, nowMs() + settings.handOverMs) }
+                j.spec?.let { a.machine.reserve(j.jobId, a.taskIndex, it.resources, nowMs() + settings.handOverMs) }
             }
             store.drop(j)
         }
@@ -324,7 +324,7 @@
 
     fun deleted(m: Machine) {
         m.deleted = true
-        m.unansweredRuns.clear()
+        m.channel.forgetUnansweredRuns()
         for (a in m.attempts.toList()) {
             terminate(a, AttemptTermination(TerminationEvidence.MACHINE_DELETED, "machine gone"))
         }
@@ -355,7 +355,7 @@
                     }
             }
         ) {
-            m.needsStatus = true
+            m.channel.needsStatus = true
             requestSync = true
         }
         if (requestSync) dispatcher.requestSync(m)
@@ -390,7 +390,7 @@
                 if (t.isDone) {
                     terminate(a, AttemptTermination(TerminationEvidence.COMPLETED, "done", ExitReason.DONE))
                 } else if (!own) {
-                    a.machine.needsStatus = true
+                    a.machine.channel.needsStatus = true
                 }
                 return t.isDone || !own
             }
@@ -491,15 +491,15 @@
             }
         }
         for (m in machines.byName.values) {
-            if (m.deleted || m.attempts.isEmpty() && m.tasks.none { it.isEnded && mine(it.jobId) }) continue
-            if (m.isSyncing) continue
+            if (m.deleted || m.attempts.isEmpty() && m.tasks.none { it.isEnded && isLedHere(it.jobId) }) continue
+            if (m.channel.isSyncing) continue
             if (m.attempts.any {
                     it.stop != null || it.state == AttemptState.RECORDED ||
                         it.state == AttemptState.DISPATCHED ||
-                        m.confirmedToken < it.job.shard.leader.fencingToken
+                        m.channel.confirmedToken < it.job.shard.leader.fencingToken
                 } ||
-                m.needsStatus ||
-                m.tasks.any { it.isEnded && mine(it.jobId) }
+                m.channel.needsStatus ||
+                m.tasks.any { it.isEnded && isLedHere(it.jobId) }
             ) {
                 dispatcher.requestSync(m)
             }
--- a/src/main/kotlin/micatally/peer/DeltaReceiver.kt
+++ b/src/main/kotlin/micatally/peer/DeltaReceiver.kt
@@ -39,9 +39,9 @@
     /** Returns whether any status was newer than what is known here. */
     private fun applyStatuses(delta: PeerDelta): Boolean {
         var hasNewStatus = false
-        for (status in delta.machineStatuses) if (machines.apply(status)) hasNewStatus = true
+        for (status in delta.machineStatuses) if (machines.applyForwarded(status)) hasNewStatus = true
         for (status in delta.heartbeatAcknowledgements) {
-            machines.heard(status)
+            machines.applyAcknowledgement(status)
             machines.of(status.machine)?.heardBy(delta.host, nowMs() - status.ageMs)
         }
         return hasNewStatus
--- a/src/main/kotlin/micatally/peer/DeltaSender.kt
+++ b/src/main/kotlin/micatally/peer/DeltaSender.kt
@@ -90,7 +90,7 @@
     ): PeerDelta {
         val baseVersion = connection.acknowledgedSummaryVersion
         return PeerDelta(
-            machineStatuses = changedMachines.mapNotNull { machines.of(it) }.map { machines.note(it, true) },
+            machineStatuses = changedMachines.mapNotNull { machines.of(it) }.map { machines.statusOf(it) },
             summary = if (baseVersion != localSummary.version) localSummary.changesSince(baseVersion) else null,
             deletionRequests = deletions,
             heartbeatAcknowledgements = acknowledgements,
--- a/src/main/kotlin/micatally/peer/LocalCapacitySummary.kt
+++ b/src/main/kotlin/micatally/peer/LocalCapacitySummary.kt
@@ -63,7 +63,7 @@
         nextVersion: Long,
     ): Boolean {
         val former = entries[machine.name]?.held
-        val isUnused = machine.deleted || machine.attempts.isEmpty() && !machine.isPromised
+        val isUnused = machine.deleted || machine.attempts.isEmpty() && !machine.hasReservations
         if (isUnused) {
             if (former == null || !former.isHeld) return false
             entries[machine.name] = Entry(HeldCapacity(machine.name), nextVersion)
--- a/src/main/kotlin/micatally/peer/LocalHeartbeats.kt
+++ b/src/main/kotlin/micatally/peer/LocalHeartbeats.kt
@@ -13,5 +13,5 @@
     fun recent(): List<MachineStatus> =
         machines.byName.values
             .filter { !it.deleted && nowMs() - it.heardHereAt < timings.acknowledgedHeartbeatMs }
-            .map { machines.note(it, false) }
+            .map { machines.acknowledgementOf(it) }
 }
--- a/src/main/kotlin/micatally/peer/Peers.kt
+++ b/src/main/kotlin/micatally/peer/Peers.kt
@@ -60,6 +60,9 @@
     /** Requests that wait at the other controllers. */
     fun peerDemand(): List<ResourceRequest> = peerSummaries.demand
 
+    /** A machine has become known: what the peers hold on it counts from now on. */
+    fun machineAdded(machine: Machine) = peerSummaries.machineAdded(machine)
+
     /** The shared keys have changed. */
     fun sharedKeysChanged() = peerSummaries.sharedKeysChanged()
 
@@ -73,7 +76,6 @@
 
     /** Starts the exchange; called once, when all parts of the controller are wired. */
     fun start() {
-        machines.onNew = { peerSummaries.machineAdded(it) }
         scope.launch { exchangeLoop() }
         scope.launch { publisher.run() }
     }
--- a/src/main/kotlin/micatally/peer/StoredSummaryReader.kt
+++ b/src/main/kotlin/micatally/peer/StoredSummaryReader.kt
@@ -39,6 +39,6 @@
     private fun bytesOf(key: String): ByteArray? = membership.summaries.value(key)?.let { SummaryPartitions.unpack(it) }
 
     private fun applyHeartbeats(acknowledgements: HeartbeatAcknowledgements) {
-        for (status in acknowledgements.machineStatuses) machines.heard(status)
+        for (status in acknowledgements.machineStatuses) machines.applyAcknowledgement(status)
     }
 }
--- a/src/main/kotlin/micatally/scheduling/ReplicaMigration.kt
+++ b/src/main/kotlin/micatally/scheduling/ReplicaMigration.kt
@@ -38,7 +38,7 @@
         val plannedAt: Long,
     ) {
         val isStillWanted: Boolean
-            get() = attempt.live && attempt.stop == null && target.promised(attempt.job.jobId, attempt.taskIndex)
+            get() = attempt.live && attempt.stop == null && target.hasReservation(attempt.job.jobId, attempt.taskIndex)
     }
 
     private val log = LoggerFactory.getLogger("micatally.scheduling")
@@ -60,7 +60,7 @@
             val (replica, target) = entries.next()
             if (replica.jobId != job.jobId || replica.taskIndex in job.attempts) continue
             entries.remove()
-            val hadReservation = target.release(replica.jobId, replica.taskIndex)
+            val hadReservation = target.releaseReservation(replica.jobId, replica.taskIndex)
             if (!hadReservation || job.done[replica.taskIndex] || !actions.isWithinQuota(job)) continue
             if (!fitsOn(target, job, spec, now)) continue
             actions.createAttempt(job, replica.taskIndex, target)
@@ -85,7 +85,7 @@
      */
     fun migrateReplicas(now: Long) {
         awaitingPlacement.entries.removeIf { (replica, target) ->
-            !target.promised(replica.jobId, replica.taskIndex)
+            !target.hasReservation(replica.jobId, replica.taskIndex)
         }
         val draining = drainingMachines()
         if (draining.isEmpty() || isCheckingStateStore) return
@@ -162,7 +162,7 @@
         val selector =
             MachineSelector(view, job, spec, now, ImagePreference.ONLY_WITH_IMAGE, migrating = attempt)
         val target = selector.next() ?: return false
-        target.promise(job.jobId, attempt.taskIndex, spec.resources, now + settings.leaseMs)
+        target.reserve(job.jobId, attempt.taskIndex, spec.resources, now + settings.leaseMs)
         planned.add(Migration(attempt, target, now))
         return true
     }
@@ -187,7 +187,7 @@
     }
 
     private fun cancel(migration: Migration) {
-        migration.target.release(migration.attempt.job.jobId, migration.attempt.taskIndex)
+        migration.target.releaseReservation(migration.attempt.job.jobId, migration.attempt.taskIndex)
     }
 
     private companion object {
--- a/src/test/kotlin/micatally/sim/CancellationDeadlineTest.kt
+++ b/src/test/kotlin/micatally/sim/CancellationDeadlineTest.kt
@@ -162,7 +162,7 @@
         host.handler = { addr, request ->
             plain(addr, request).also {
                 if (request.path ==
-                    micatally.peer.Peers.CANCELLED_TASKS
+                    micatally.peer.PeerPaths.CANCELLED_TASKS
                 ) {
                     host.handler = plain
                     fleet.scope.launch {
--- a/src/test/kotlin/micatally/sim/GangTest.kt
+++ b/src/test/kotlin/micatally/sim/GangTest.kt
@@ -9,6 +9,7 @@
 import micatally.wire.Heartbeat
 import micatally.wire.ListedTask
 import micatally.wire.bytes
+import micatally.worker.StatusSource
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -224,14 +225,14 @@
             val (first, second) = tasks(jobId).map { it.machine }
             fleet.net.deaf.add(second)
             fleet.live[0]!!.machines.of(second)!!.let {
-                it.needsStatus = true
+                it.channel.needsStatus = true
                 fleet.live[0]!!.jobManager.requestSync(it)
             }
             runUntil(fleet.lease, "it is known to be out of reach") {
                 fleet.live[0]!!
                     .machines
                     .of(second)!!
-                    .failuresInRow > 0
+                    .channel.failuresInRow > 0
             }
             worker(first).spotNoticeS = 8.0
             fleet.runFor(3000)
@@ -394,7 +395,7 @@
             val listed = m.tasks + ListedTask(jobId, pending, 500, ListedTask.ENDED, ExitReason.DONE.word, false)
             machines.apply(
                 Heartbeat(m.name, m.addr, m.type, m.zone, m.isSpot, m.incarnation, m.sequence + 1, 0, null, listed),
-                false,
+                StatusSource.HEARTBEAT,
             )
             assertTrue(job.done[pending])
             assertTrue(job.attempts.values.all { it.stop == null }, "${job.attempts.values.map { it.stop }}")
--- a/src/test/kotlin/micatally/sim/StateStoreLimitsTest.kt
+++ b/src/test/kotlin/micatally/sim/StateStoreLimitsTest.kt
@@ -14,8 +14,8 @@
     fun `summaries of many machines fit the state store's values`() =
         withFleet(5) { fleet ->
             for (n in 0 until 500) {
-                val machine = fleet.live[0]!!.machines.known("m-%06d".format(n), "10.0.0.1:9", "g8", "a", false)
-                machine.promise("j-1", n, micatally.wire.Resources(1.0, 0.0, 1.0), Long.MAX_VALUE)
+                val machine = fleet.live[0]!!.machines.findOrAdd("m-%06d".format(n), "10.0.0.1:9", "g8", "a", false)
+                machine.reserve("j-1", n, micatally.wire.Resources(1.0, 0.0, 1.0), Long.MAX_VALUE)
             }
             fleet.runFor(15_000)
             assertTrue(fleet.state.keysUnder("s/room/pitbox-0/").size > 1)
@@ -24,8 +24,7 @@
                 assertEquals(
                     1.0,
                     fleet.live[1]!!
-                        .machines
-                        .known("m-%06d".format(n), "10.0.0.1:9", "g8", "a", false)
+                        .machines.findOrAdd("m-%06d".format(n), "10.0.0.1:9", "g8", "a", false)
                         .used.cores,
                 )
             }
