--- a/src/main/kotlin/micatally/api/UserApi.kt
+++ b/src/main/kotlin/micatally/api/UserApi.kt
@@ -68,10 +68,10 @@
 
     fun health(): HttpResponse =
         when {
-            membership.checkLeadership() != LeadershipState.LEADING || jobManager.own() == null ||
+            membership.checkLeadership() != LeadershipState.LEADING || jobManager.ownShard() == null ||
                 machines.machineTypes.isEmpty() ->
                 later("starting")
-            jobManager.own()?.let { jobManager.isLoadOverdue(it) } == true -> later("the ledger can't be loaded")
+            jobManager.ownShard()?.let { jobManager.isLoadOverdue(it) } == true -> later("the ledger can't be loaded")
             // Others can take what this node has to turn away. In an outage for all every node stays: polls are still answered.
             !stateReachable && (peers.somePeerHasState() || !peers.anyHeard()) ->
                 later(
@@ -122,7 +122,7 @@
         ) {
             return knownOr(jobId) { later("gangs are served once all controllers are upgraded") }
         }
-        val shard = jobManager.own()
+        val shard = jobManager.ownShard()
         if (shard == null || !stateReachable ||
             !membership.leaseHolds()
         ) {
--- a/src/main/kotlin/micatally/archive/RecordArchive.kt
+++ b/src/main/kotlin/micatally/archive/RecordArchive.kt
@@ -115,7 +115,7 @@
             val listing = state.page(prefix, Urgency.SUMMARY, after) { page.addAll(it) } ?: return null
             for ((shard, items) in settledByLedger(page, prefix)) {
                 for (some in batches(items)) {
-                    if (!shard.mine) break
+                    if (!shard.isLedHere) break
                     count += act(shard, some)
                     delay(pauseMs(some.size))
                 }
@@ -184,7 +184,7 @@
     ): Int {
         val result =
             state.transact(items.size * 2, Urgency.SUMMARY) {
-                if (!shard.mine || !ArchivePlan.mayMove(sharedKeys, hosts)) return@transact null
+                if (!shard.isLedHere || !ArchivePlan.mayMove(sharedKeys, hosts)) return@transact null
                 val conditions =
                     items.flatMap { listOf(Compare(it.key, it.modRevision), Compare(finalKey(it), 0)) } +
                         Compare(Keys.shard(shard.name), shard.leader.modRevision) +
@@ -211,7 +211,7 @@
         if (final !is ReadResult.Found || final.item.value != item.value) return false
         val result =
             state.transact(1, Urgency.SUMMARY) {
-                if (!shard.mine || !ArchivePlan.mayMove(sharedKeys, hosts)) return@transact null
+                if (!shard.isLedHere || !ArchivePlan.mayMove(sharedKeys, hosts)) return@transact null
                 val conditions =
                     listOf(
                         Compare(item.key, item.modRevision),
@@ -239,7 +239,7 @@
     ): Int {
         val result =
             state.transact(items.size, Urgency.SUMMARY) {
-                if (!shard.mine) return@transact null
+                if (!shard.isLedHere) return@transact null
                 val conditions =
                     items.flatMap { listOf(Compare(jobKey(it), 0), Compare(it.key, it.modRevision)) } +
                         Compare(Keys.shard(shard.name), shard.leader.modRevision)
--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -128,7 +128,7 @@
         )
     private val quota =
         Quota(scope, state, membership.sharedKeys, configuration.teams, {
-            jobManager.shards.values.filter { it.mine }
+            jobManager.shards.values.filter { it.isLedHere }
         }, settings.controllers) { scheduler.requestCycle() }
     val scheduler: Scheduler =
         Scheduler(
--- a/src/main/kotlin/micatally/job/JobManager.kt
+++ b/src/main/kotlin/micatally/job/JobManager.kt
@@ -63,12 +63,12 @@
         }
     }
 
-    fun own(): JobShard? = shards[settings.host]?.takeIf { it.mine }
+    fun ownShard(): JobShard? = shards[settings.host]?.takeIf { it.isLedHere }
 
     fun job(jobId: String): Job? {
         var unstored: Job? = null
         for (l in shards.values) {
-            if (l.mine) {
+            if (l.isLedHere) {
                 l.jobs[jobId]?.let {
                     if (it.durableState !=
                         JobState.NEW
@@ -91,7 +91,7 @@
 
     /** A job that is not stored yet may turn out to be another owner's, whose tasks are then no strays: it was submitted there
      * before, and repeated here. */
-    override fun mine(jobId: String) =
+    override fun isLedHere(jobId: String) =
         shards.values.any { l ->
             l.state == ShardState.ACTIVE &&
                 l.jobs[jobId]?.let { it.durableState != JobState.NEW } == true
@@ -103,7 +103,7 @@
     ) = job(jobId)?.attempts?.get(taskIndex)
 
     /** Whether all jobs of this node's shards are known here. */
-    val settled get() = own() != null && shards.values.all { it.state == ShardState.ACTIVE }
+    val settled get() = ownShard() != null && shards.values.all { it.state == ShardState.ACTIVE }
 
     /** Jobs that were cancelled, until their tasks are gone. */
     val cancellations = Cancellations(scope, settings, membership.sharedKeys, store, nowMs)
@@ -114,7 +114,7 @@
         name: String,
         leader: ShardLeader,
     ) {
-        shards[name]?.let { if (it.mine) loseShard(it) }
+        shards[name]?.let { if (it.isLedHere) loseShard(it) }
         val l = JobShard(name, leader, nowMs())
         shards[name] = l
         scope.launch { loader.load(l) }
@@ -123,14 +123,14 @@
     /** The shared keys have changed: drop what is another node's now. */
     fun checkShards() {
         for (l in shards.values.toList()) {
-            if (!l.mine) continue
+            if (!l.isLedHere) continue
             val h = membership.sharedKeys.leader(l.name)
             if (h == null || h.modRevision != l.leader.modRevision) loseShard(l)
         }
         for (name in membership.sharedKeys.shards()) {
             val h = membership.sharedKeys.leader(name) ?: continue
             if (h.host == settings.host && h.process == membership.process &&
-                shards[name]?.mine != true
+                shards[name]?.isLedHere != true
             ) {
                 acquired(name, h)
             }
@@ -138,7 +138,7 @@
     }
 
     fun loseShard(l: JobShard) {
-        if (!l.mine) return
+        if (!l.isLedHere) return
         log.info("shard {} lost with {} jobs", l.name, l.jobs.size)
         l.transitionTo(ShardState.LOST)
         for (j in l.jobs.values) {
@@ -246,7 +246,7 @@
         attempt.machine.detach(attempt, now)
         job.attempts.remove(attempt.taskIndex, attempt)
         // What a shard used is forgotten with it; its next holder has counted anew.
-        if (job.shard.mine) quota.release(job)
+        if (job.shard.isLedHere) quota.release(job)
         log.info("task {} terminated: {}", attempt, end)
         if (job.state == JobState.DROPPED) return
         if (end.proof == TerminationEvidence.COMPLETED) {
@@ -491,7 +491,7 @@
             }
         }
         for (m in machines.byName.values) {
-            if (m.deleted || m.attempts.isEmpty() && m.tasks.none { it.ended && mine(it.jobId) }) continue
+            if (m.deleted || m.attempts.isEmpty() && m.tasks.none { it.ended && isLedHere(it.jobId) }) continue
             if (m.isSyncing) continue
             if (m.attempts.any {
                     it.stop != null || it.state == AttemptState.RECORDED ||
@@ -499,7 +499,7 @@
                         m.confirmedToken < it.job.shard.leader.fencingToken
                 } ||
                 m.needsStatus ||
-                m.tasks.any { it.ended && mine(it.jobId) }
+                m.tasks.any { it.ended && isLedHere(it.jobId) }
             ) {
                 dispatcher.requestSync(m)
             }
--- a/src/main/kotlin/micatally/job/JobShard.kt
+++ b/src/main/kotlin/micatally/job/JobShard.kt
@@ -29,5 +29,5 @@
     /** Names this hold on the shard: the process, and the fencing token at which it acquired it. A process may lose it and take it back. */
     val term = "${leader.process}:${leader.fencingToken}"
 
-    val mine get() = state != ShardState.LOST
+    val isLedHere get() = state != ShardState.LOST
 }
--- a/src/main/kotlin/micatally/job/JobStore.kt
+++ b/src/main/kotlin/micatally/job/JobStore.kt
@@ -87,7 +87,7 @@
     fun drop(job: Job) {
         job.transitionTo(JobState.DROPPED)
         settle(job, false)
-        if (job.shard.mine) onDropped(job)
+        if (job.shard.isLedHere) onDropped(job)
     }
 
     private fun write(job: Job) {
@@ -102,7 +102,7 @@
     }
 
     private suspend fun writeLoop(job: Job) {
-        while (job.state != JobState.DROPPED && job.shard.mine && job.durableVersion < job.version) {
+        while (job.state != JobState.DROPPED && job.shard.isLedHere && job.durableVersion < job.version) {
             if (!writeOnce(job)) return
         }
     }
@@ -123,7 +123,7 @@
         var snapshot: Snapshot? = null
         val result =
             state.transact(expectedChanges(job), urgency) {
-                snapshot = if (job.state == JobState.DROPPED || !job.shard.mine) null else snapshot(job)
+                snapshot = if (job.state == JobState.DROPPED || !job.shard.isLedHere) null else snapshot(job)
                 snapshot?.let { Transaction(conditions(job), it.write.changes) }
             }
         return when (result) {
@@ -217,7 +217,7 @@
     /** The record is not the one last seen: an earlier write of ours was carried out after all, or, for a new job,
      * another node has accepted it. */
     private suspend fun reread(job: Job): Boolean {
-        while (job.shard.mine && job.state != JobState.DROPPED) {
+        while (job.shard.isLedHere && job.state != JobState.DROPPED) {
             when (val read = lookup.read(job.jobId, Urgency.INTENT)) {
                 is ReadResult.Unavailable -> delay(pauseMs)
                 is ReadResult.Missing -> {
--- a/src/main/kotlin/micatally/job/ShardLoader.kt
+++ b/src/main/kotlin/micatally/job/ShardLoader.kt
@@ -25,7 +25,7 @@
 
     /** Tries until the shard is loaded or lost. */
     suspend fun load(l: JobShard) {
-        while (l.mine) {
+        while (l.isLedHere) {
             if (tryLoad(l)) return
             delay(settings.heartbeatIntervalMs / 8)
         }
@@ -35,7 +35,7 @@
     private suspend fun tryLoad(l: JobShard): Boolean {
         try {
             val records = records.of(l) { jobId, record -> settled(l, jobId, record) } ?: return false
-            if (!l.mine) return true
+            if (!l.isLedHere) return true
             for (record in records) readable(record.jobId) { adopt(l, record) }
         } catch (e: UnreadableRecord) {
             if (!l.isUnreadable) log.error("shard {} can't be loaded: {}", l.name, e.message)
@@ -105,7 +105,7 @@
         jobId: String,
         record: JsonObject,
     ) {
-        if (!l.mine || isKnown(l, jobId, record)) return
+        if (!l.isLedHere || isKnown(l, jobId, record)) return
         jobManager.rememberFinal(JobRecord.decode(jobId, record, l, 0L).answer())
     }
 
--- a/src/main/kotlin/micatally/quota/AllotmentWriter.kt
+++ b/src/main/kotlin/micatally/quota/AllotmentWriter.kt
@@ -178,7 +178,7 @@
         change: Change,
         isShown: () -> Boolean,
     ) {
-        change.isSeen = { !change.shard.mine || isShown() }
+        change.isSeen = { !change.shard.isLedHere || isShown() }
         while (!change.isSeen()) delay(SEEN_EVERY_MS)
     }
 
@@ -192,7 +192,7 @@
         sent: Pending,
     ) {
         val shard = change.shard
-        change.isSeen = { !shard.mine || hasOtherMark(sent) }
+        change.isSeen = { !shard.isLedHere || hasOtherMark(sent) }
         while (!change.isSeen()) {
             val again = state.transact(1, Urgency.SUMMARY) { sent.transact.takeIf { shard.state == ShardState.ACTIVE } }
             if (again is TransactionResult.Applied || again is TransactionResult.Failed) {
--- a/src/main/kotlin/micatally/worker/CommandDispatcher.kt
+++ b/src/main/kotlin/micatally/worker/CommandDispatcher.kt
@@ -23,8 +23,8 @@
 
 /** What the order channel needs to know of the jobs of this node. */
 interface AttemptDirectory {
-    /** The job's live attempt at this task, or null; [mine] tells whether the job is in an active shard of this node. */
-    fun mine(jobId: String): Boolean
+    /** The job's live attempt at this task, or null; [isLedHere] tells whether the job is in an active shard of this node. */
+    fun isLedHere(jobId: String): Boolean
 
     fun attempt(
         jobId: String,
@@ -137,7 +137,7 @@
             }
         }
         for (t in m.tasks) {
-            if (!attemptDirectory.mine(t.jobId)) continue
+            if (!attemptDirectory.isLedHere(t.jobId)) continue
             val a = attemptDirectory.attempt(t.jobId, t.taskIndex)
             if (a != null && a.number == t.attempt && a.machine === m) continue
             if (!t.ended) {
@@ -335,7 +335,7 @@
                 m.isSyncRequested = true
             }
         }
-        if (m.tasks.any { it.ended && attemptDirectory.mine(it.jobId) }) m.isSyncRequested = true
+        if (m.tasks.any { it.ended && attemptDirectory.isLedHere(it.jobId) }) m.isSyncRequested = true
         if (m.isSyncRequested && build(m) == null) m.isSyncRequested = false
     }
 
--- a/src/test/kotlin/micatally/quota/QuotaFleet.kt
+++ b/src/test/kotlin/micatally/quota/QuotaFleet.kt
@@ -166,7 +166,7 @@
         /** The records as they are stored, some of them with tasks that have just ended. */
         private suspend fun load(shard: JobShard) {
             delay(random.nextLong(20, 400))
-            if (!shard.mine) return
+            if (!shard.isLedHere) return
             val stored = service.keysUnder(runPrefix(shard.name))
             for (key in stored) adopt(shard, key, service.value(key)!!)
             shard.transitionTo(ShardState.ACTIVE)
@@ -216,7 +216,7 @@
                 val result =
                     state.transact(1, Urgency.INTENT) {
                         val conditions = listOf(Compare(Keys.shard(shard.name), shard.leader.modRevision))
-                        Transaction(conditions, listOf(Put(task.key, value))).takeIf { shard.mine }
+                        Transaction(conditions, listOf(Put(task.key, value))).takeIf { shard.isLedHere }
                     }
                 when (result) {
                     is TransactionResult.Applied -> {}
@@ -234,7 +234,7 @@
             val task = placed.remove(key) ?: return
             if (task.isReleased) return
             task.isReleased = true
-            if (task.job.shard.mine) quota.release(task.job)
+            if (task.job.shard.isLedHere) quota.release(task.job)
         }
 
         /** The end of a task is told when the controller gets to it. */
--- a/src/test/kotlin/micatally/sim/GangTest.kt
+++ b/src/test/kotlin/micatally/sim/GangTest.kt
@@ -29,7 +29,7 @@
         return submit(node, "gang", tasks, *all, "together" to true, *more, runMs = runMs)
     }
 
-    private fun Meeting.gangOf(jobId: String) = f.live.mapNotNull { it?.jobManager?.job(jobId) }.first { it.shard.mine }
+    private fun Meeting.gangOf(jobId: String) = f.live.mapNotNull { it?.jobManager?.job(jobId) }.first { it.shard.isLedHere }
 
     private fun Meeting.phase(jobId: String) = gangOf(jobId).gang!!.phase
 
@@ -410,7 +410,7 @@
             assertFalse(job.service > 20.0)
         }
 
-    /** Guard: a result counts whichever attempt it was ([micatally.job.JobManager.listed]). */
+    /** Guard: a result counts whichever attempt it was ([micatally.job.JobManager.tasksReported]). */
     @Test
     fun `a gang whose end was not heard is done when its tasks are asked`() =
         meeting(13) {
--- a/src/test/kotlin/micatally/sim/LateWritesTest.kt
+++ b/src/test/kotlin/micatally/sim/LateWritesTest.kt
@@ -29,7 +29,7 @@
 
     /** The submission is repeated at node 0, which has its shard and is still loading it, since the state service is slow. */
     private fun Meeting.repeatWhileLoading(s: JobSpec) {
-        val shard = f.live[0]!!.jobManager.own()!!
+        val shard = f.live[0]!!.jobManager.ownShard()!!
         f.scope.launch { f.askNode(0, "POST", "/work", s.source.bytes()) }
         runUntil(2000, "it is being looked into") { s.jobId in shard.jobs }
         assertEquals(ShardState.LOADING, shard.state)
@@ -187,7 +187,7 @@
             f.crash(0)
             f.net.slowMs["state"] = 600
             f.startNode(0)
-            while (f.live[0]!!.jobManager.own() == null) f.step(1)
+            while (f.live[0]!!.jobManager.ownShard() == null) f.step(1)
             repeatWhileLoading(s)
             f.runFor(f.lease / 2)
             assertEquals(
@@ -208,7 +208,7 @@
         meeting(11, big) {
             val s = inSecondAttempt()
             val before = f.rules.starts
-            val first = f.live[0]!!.jobManager.own()
+            val first = f.live[0]!!.jobManager.ownShard()
             f.stateRefuses.add("n0")
             runUntil(f.lease * 2, "another one takes the ledger") { others.any { holdsOf(it, 0) } }
             f.stateRefuses.clear()
@@ -216,7 +216,7 @@
             runUntil(f.lease * 2, "it is taken back") {
                 f.live[0]!!
                     .jobManager
-                    .own()
+                    .ownShard()
                     .let { it != null && it !== first }
             }
             repeatWhileLoading(s)
--- a/src/test/kotlin/micatally/sim/Meetings.kt
+++ b/src/test/kotlin/micatally/sim/Meetings.kt
@@ -167,7 +167,7 @@
         ?.jobManager
         ?.shards
         ?.get("pitbox-$shard")
-        ?.mine == true
+        ?.isLedHere == true
 
     fun zoneOf(node: Int) =
         f.net.hosts
--- a/src/test/kotlin/micatally/sim/MeetingsTest.kt
+++ b/src/test/kotlin/micatally/sim/MeetingsTest.kt
@@ -220,7 +220,7 @@
             for (r in jobIds) assertTrue(f.rules.isAccepted(r) && f.rules.isDone(r), "$r is done")
         }
 
-    /** Guard: reports that lack a task prove nothing ([micatally.job.JobManager.gone]), and only a newer (session, tick) counts. */
+    /** Guard: reports that lack a task prove nothing ([micatally.job.JobManager.terminate]), and only a newer (session, tick) counts. */
     @Test
     fun `an old report reaches every controller just as a new leader begins`() =
         each(big) {
@@ -305,7 +305,7 @@
             afterwards(doomed + kept)
         }
 
-    /** Guard: only a proof ends an attempt ([micatally.job.JobManager.gone]): a machine that can't be asked keeps its tasks. */
+    /** Guard: only a proof ends an attempt ([micatally.job.JobManager.terminate]): a machine that can't be asked keeps its tasks. */
     @Test
     fun `a leader ends while machines with long tasks can't be reached or don't hear the new leader`() =
         each(big) {
