--- a/src/main/kotlin/micatally/gang/GangSupervisor.kt
+++ b/src/main/kotlin/micatally/gang/GangSupervisor.kt
@@ -15,7 +15,7 @@
     /** Ends an attempt of which nothing was sent. */
     fun terminate(
         attempt: Attempt,
-        end: AttemptTermination,
+        termination: AttemptTermination,
     )
 
     fun requestSync(machine: Machine)
--- a/src/main/kotlin/micatally/job/JobManager.kt
+++ b/src/main/kotlin/micatally/job/JobManager.kt
@@ -55,11 +55,9 @@
 
     fun final(jobId: String): JobAnswer? = finals.getIfPresent(jobId)
 
-    fun rememberFinal(a: JobAnswer) {
-        if (a.status == JobAnswer.DONE ||
-            a.status == JobAnswer.CANCELLED
-        ) {
-            finals.put(a.jobId, a)
+    fun rememberFinal(answer: JobAnswer) {
+        if (answer.status == JobAnswer.DONE || answer.status == JobAnswer.CANCELLED) {
+            finals.put(answer.jobId, answer)
         }
     }
 
@@ -67,9 +65,9 @@
 
     fun job(jobId: String): Job? {
         var unstored: Job? = null
-        for (l in shards.values) {
-            if (l.isLedHere) {
-                l.jobs[jobId]?.let {
+        for (shard in shards.values) {
+            if (shard.isLedHere) {
+                shard.jobs[jobId]?.let {
                     if (it.durableState !=
                         JobState.NEW
                     ) {
@@ -87,14 +85,14 @@
         shards.values
             .filter {
                 it.state == ShardState.ACTIVE
-            }.flatMap { l -> l.jobs.values.filter { it.wantsTasks } }
+            }.flatMap { shard -> shard.jobs.values.filter { it.wantsTasks } }
 
     /** A job that is not stored yet may turn out to be another owner's, whose tasks are then no strays: it was submitted there
      * before, and repeated here. */
     override fun isLedHere(jobId: String) =
-        shards.values.any { l ->
-            l.state == ShardState.ACTIVE &&
-                l.jobs[jobId]?.let { it.durableState != JobState.NEW } == true
+        shards.values.any { shard ->
+            shard.state == ShardState.ACTIVE &&
+                shard.jobs[jobId]?.let { it.durableState != JobState.NEW } == true
         }
 
     override fun attempt(
@@ -115,52 +113,59 @@
         leader: ShardLeader,
     ) {
         shards[name]?.let { if (it.isLedHere) loseShard(it) }
-        val l = JobShard(name, leader, nowMs())
-        shards[name] = l
-        scope.launch { loader.load(l) }
+        val shard = JobShard(name, leader, nowMs())
+        shards[name] = shard
+        scope.launch { loader.load(shard) }
     }
 
     /** The shared keys have changed: drop what is another node's now. */
     fun checkShards() {
-        for (l in shards.values.toList()) {
-            if (!l.isLedHere) continue
-            val h = membership.sharedKeys.leader(l.name)
-            if (h == null || h.modRevision != l.leader.modRevision) loseShard(l)
+        for (shard in shards.values.toList()) {
+            if (!shard.isLedHere) continue
+            val leader = membership.sharedKeys.leader(shard.name)
+            if (leader == null || leader.modRevision != shard.leader.modRevision) loseShard(shard)
         }
         for (name in membership.sharedKeys.shards()) {
-            val h = membership.sharedKeys.leader(name) ?: continue
-            if (h.host == settings.host && h.process == membership.process &&
+            val leader = membership.sharedKeys.leader(name) ?: continue
+            if (leader.host == settings.host && leader.process == membership.process &&
                 shards[name]?.isLedHere != true
             ) {
-                acquired(name, h)
+                acquired(name, leader)
             }
         }
     }
 
-    fun loseShard(l: JobShard) {
-        if (!l.isLedHere) return
-        log.info("shard {} lost with {} jobs", l.name, l.jobs.size)
-        l.transitionTo(ShardState.LOST)
-        for (j in l.jobs.values) {
-            for (a in j.attempts.values) {
-                a.machine.detach(a, nowMs())
+    fun loseShard(shard: JobShard) {
+        if (!shard.isLedHere) return
+        log.info("shard {} lost with {} jobs", shard.name, shard.jobs.size)
+        shard.transitionTo(ShardState.LOST)
+        for (job in shard.jobs.values) {
+            for (attempt in job.attempts.values) {
+                attempt.machine.detach(attempt, nowMs())
                 // Its new owner has yet to load it; to all that see this node's summary the room would look free meanwhile.
-                j.spec?.let { a.machine.promise(j.jobId, a.taskIndex, it.resources, nowMs() + settings.handOverMs) }
+                job.spec?.let {
+                    attempt.machine.promise(
+                        job.jobId,
+                        attempt.taskIndex,
+                        it.resources,
+                        nowMs() + settings.handOverMs,
+                    )
+                }
             }
-            store.drop(j)
+            store.drop(job)
         }
-        l.jobs.clear()
-        shards.remove(l.name, l)
-        quota.forget(l.name)
+        shard.jobs.clear()
+        shards.remove(shard.name, shard)
+        quota.forget(shard.name)
     }
 
     /** Whether the shard's jobs should be known by now and are not: a new job of it might never be started. */
-    fun isLoadOverdue(l: JobShard) = loader.isOverdue(l)
+    fun isLoadOverdue(shard: JobShard) = loader.isOverdue(shard)
 
     /** An attempt counts from now on: on its machine, and against the limit of its team. */
-    internal fun attach(a: Attempt) {
-        a.machine.attach(a)
-        quota.take(a.job)
+    internal fun attach(attempt: Attempt) {
+        attempt.machine.attach(attempt)
+        quota.take(attempt.job)
     }
 
     // Attempts
@@ -169,15 +174,15 @@
     fun place(
         job: Job,
         taskIndex: Int,
-        m: Machine,
+        machine: Machine,
         number: Long = job.nextAttempt++,
     ): Attempt {
-        val a = Attempt(job, taskIndex, number, m, m.incarnation, job.service, AttemptState.INTENDED)
-        job.gang?.tried(taskIndex, m.name)
-        job.attempts[taskIndex] = a
-        attach(a)
-        log.info("task {}/{} attempt {} intended for {}", job.jobId, taskIndex, a.number, m.name)
-        return a
+        val attempt = Attempt(job, taskIndex, number, machine, machine.incarnation, job.service, AttemptState.INTENDED)
+        job.gang?.tried(taskIndex, machine.name)
+        job.attempts[taskIndex] = attempt
+        attach(attempt)
+        log.info("task {}/{} attempt {} intended for {}", job.jobId, taskIndex, attempt.number, machine.name)
+        return attempt
     }
 
     fun durable(
@@ -185,21 +190,21 @@
         written: List<Attempt>,
     ) {
         val touched = LinkedHashSet<Machine>()
-        for (a in written) {
-            if (a.live && a.state == AttemptState.INTENDED) {
-                a.transitionTo(AttemptState.RECORDED, nowMs())
-                touched.add(a.machine)
+        for (attempt in written) {
+            if (attempt.live && attempt.state == AttemptState.INTENDED) {
+                attempt.transitionTo(AttemptState.RECORDED, nowMs())
+                touched.add(attempt.machine)
             }
         }
-        for (m in touched) dispatcher.requestSync(m)
+        for (machine in touched) dispatcher.requestSync(machine)
         if (job.durableState == JobState.DONE || job.durableState == JobState.CANCELLED) {
             if (cancellations.mayConfirm(job)) rememberFinal(job.answer())
             if (job.attempts.isEmpty() && job.durableVersion == job.version) {
                 // Kept in memory for a while so that its ended entries are still cleared from the machines.
-                val l = job.shard
+                val shard = job.shard
                 scope.launch {
                     delay(settings.leaseMs * 2)
-                    if (job.attempts.isEmpty()) l.jobs.remove(job.jobId, job)
+                    if (job.attempts.isEmpty()) shard.jobs.remove(job.jobId, job)
                 }
             }
         }
@@ -211,7 +216,12 @@
         attempts: List<Attempt>,
     ) {
         val all = if (job.gang == null) attempts else job.attempts.values.filter { it.state == AttemptState.INTENDED }
-        for (a in all) terminate(a, AttemptTermination(TerminationEvidence.NEVER_SENT, "no room in the job's record"))
+        for (attempt in all) {
+            terminate(
+                attempt,
+                AttemptTermination(TerminationEvidence.NEVER_SENT, "no room in the job's record"),
+            )
+        }
         job.attemptLimit = job.attempts.size
     }
 
@@ -236,7 +246,7 @@
     /** The one place where an attempt ends. A task may start elsewhere only after it. */
     override fun terminate(
         attempt: Attempt,
-        end: AttemptTermination,
+        termination: AttemptTermination,
     ) {
         if (!attempt.live) return
         val job = attempt.job
@@ -247,16 +257,16 @@
         job.attempts.remove(attempt.taskIndex, attempt)
         // What a shard used is forgotten with it; its next holder has counted anew.
         if (job.shard.isLedHere) quota.release(job)
-        log.info("task {} terminated: {}", attempt, end)
+        log.info("task {} terminated: {}", attempt, termination)
         if (job.state == JobState.DROPPED) return
-        if (end.proof == TerminationEvidence.COMPLETED) {
-            finished(attempt, ranMs)
+        if (termination.proof == TerminationEvidence.COMPLETED) {
+            taskCompleted(attempt, ranMs)
         } else if (ranMs > 0 && job.spec?.isService == false) {
             // Stopped or lost: its run time counts as service that the job has had.
-            lift(job, attempt.inherited + ranMs / 1000.0)
+            raiseService(job, attempt.inherited + ranMs / 1000.0)
         }
-        learn(attempt, end, ranMs, now)
-        gangs.taskTerminated(attempt, end)
+        noteExit(attempt, termination, ranMs, now)
+        gangs.taskTerminated(attempt, termination)
         // The end of a job that is done is known already: that its last attempts are gone may wait a little.
         val isUrgent =
             job.state == JobState.CANCELLED || job.state == JobState.OPEN && attempt.stop != null || job.endUnderWay
@@ -265,14 +275,14 @@
     }
 
     /** What an exit tells of the machine and of when to try again. */
-    private fun learn(
+    private fun noteExit(
         attempt: Attempt,
-        end: AttemptTermination,
+        termination: AttemptTermination,
         ranMs: Long,
         now: Long,
     ) {
         val job = attempt.job
-        when (end.reason) {
+        when (termination.reason) {
             ExitReason.ERROR -> faults.taskFailed(attempt, ranMs, now)
             ExitReason.FULL -> attempt.machine.fullUntil = now + settings.heartbeatIntervalMs
             ExitReason.UNKNOWN, ExitReason.IN_USE -> job.retryAt = now + settings.heartbeatIntervalMs
@@ -280,14 +290,14 @@
         }
     }
 
-    private fun finished(
-        a: Attempt,
+    private fun taskCompleted(
+        attempt: Attempt,
         ranMs: Long,
     ) {
-        val job = a.job
-        if (!markDone(job, a.taskIndex)) return
-        faults.taskCompleted(a, nowMs())
-        lift(job, a.inherited + ranMs / 1000.0)
+        val job = attempt.job
+        if (!markDone(job, attempt.taskIndex)) return
+        faults.taskCompleted(attempt, nowMs())
+        raiseService(job, attempt.inherited + ranMs / 1000.0)
         if (job.state == JobState.DONE) store.touch(job, true)
     }
 
@@ -305,60 +315,65 @@
         return true
     }
 
-    private fun lift(
+    private fun raiseService(
         job: Job,
         to: Double,
     ) {
         if (to > job.service) job.service = to
     }
 
-    fun newIncarnation(m: Machine) {
-        for (a in m.attempts.toList()) {
-            if (a.incarnation <
-                m.incarnation
+    fun newIncarnation(machine: Machine) {
+        for (attempt in machine.attempts.toList()) {
+            if (attempt.incarnation <
+                machine.incarnation
             ) {
-                terminate(a, AttemptTermination(TerminationEvidence.NEWER_INCARNATION, "incarnation ${m.incarnation}"))
+                terminate(
+                    attempt,
+                    AttemptTermination(TerminationEvidence.NEWER_INCARNATION, "incarnation ${machine.incarnation}"),
+                )
             }
         }
     }
 
-    fun deleted(m: Machine) {
-        m.deleted = true
-        m.unansweredRuns.clear()
-        for (a in m.attempts.toList()) {
-            terminate(a, AttemptTermination(TerminationEvidence.MACHINE_DELETED, "machine gone"))
+    fun deleted(machine: Machine) {
+        machine.deleted = true
+        machine.unansweredRuns.clear()
+        for (attempt in machine.attempts.toList()) {
+            terminate(attempt, AttemptTermination(TerminationEvidence.MACHINE_DELETED, "machine gone"))
         }
     }
 
     /** A newer task list of a machine. Without an answer to our own request it proves only what can't change any more. */
     fun tasksReported(
-        m: Machine,
+        machine: Machine,
         own: Boolean,
     ) {
         var requestSync = false
-        for (t in m.tasks) {
-            val job = job(t.jobId) ?: continue
-            val a = job.attempts[t.taskIndex]
-            if (a != null && a.number == t.attempt && a.machine === m && a.incarnation == m.incarnation) {
-                requestSync = listedAttempt(a, t, own) || requestSync
+        for (task in machine.tasks) {
+            val job = job(task.jobId) ?: continue
+            val attempt = job.attempts[task.taskIndex]
+            if (attempt != null && attempt.number == task.attempt && attempt.machine === machine &&
+                attempt.incarnation == machine.incarnation
+            ) {
+                requestSync = attemptReported(attempt, task, own) || requestSync
             } else {
                 requestSync = true
-                if (t.done) doneUnderFormerAttempt(job, t.taskIndex)
+                if (task.done) doneUnderFormerAttempt(job, task.taskIndex)
             }
         }
         // What was there and is missing proves nothing, since nobody knows who took it away; but the machine is asked.
         if (!own &&
-            m.attempts.any {
-                it.state >= AttemptState.PULLING && it.incarnation == m.incarnation &&
-                    m.tasks.none { t ->
-                        t.jobId == it.job.jobId && t.taskIndex == it.taskIndex && t.attempt == it.number
+            machine.attempts.any {
+                it.state >= AttemptState.PULLING && it.incarnation == machine.incarnation &&
+                    machine.tasks.none { task ->
+                        task.jobId == it.job.jobId && task.taskIndex == it.taskIndex && task.attempt == it.number
                     }
             }
         ) {
-            m.needsStatus = true
+            machine.needsStatus = true
             requestSync = true
         }
-        if (requestSync) dispatcher.requestSync(m)
+        if (requestSync) dispatcher.requestSync(machine)
     }
 
     /** Completed under an attempt that was given up for good reasons: the result counts all the same. */
@@ -375,49 +390,49 @@
     }
 
     /** True if the machine has to hear of something. */
-    private fun listedAttempt(
-        a: Attempt,
-        t: ListedTask,
+    private fun attemptReported(
+        attempt: Attempt,
+        task: ListedTask,
         own: Boolean,
     ): Boolean {
-        when (t.status) {
-            ListedTask.PULLING -> reached(a, AttemptState.PULLING)
-            ListedTask.WAITING -> reached(a, AttemptState.WAITING)
-            ListedTask.RUNNING -> if (reached(a, AttemptState.RUNNING)) started(a)
-            ListedTask.SAVING -> reached(a, AttemptState.SAVING)
+        when (task.status) {
+            ListedTask.PULLING -> advance(attempt, AttemptState.PULLING)
+            ListedTask.WAITING -> advance(attempt, AttemptState.WAITING)
+            ListedTask.RUNNING -> if (advance(attempt, AttemptState.RUNNING)) taskStarted(attempt)
+            ListedTask.SAVING -> advance(attempt, AttemptState.SAVING)
             ListedTask.ENDED -> {
-                if (t.reason == null) logOnce("task $a ended for an unknown reason: ${t.why}")
-                if (t.done) {
-                    terminate(a, AttemptTermination(TerminationEvidence.COMPLETED, "done", ExitReason.DONE))
+                if (task.reason == null) logOnce("task $attempt ended for an unknown reason: ${task.why}")
+                if (task.done) {
+                    terminate(attempt, AttemptTermination(TerminationEvidence.COMPLETED, "done", ExitReason.DONE))
                 } else if (!own) {
-                    a.machine.needsStatus = true
+                    attempt.machine.needsStatus = true
                 }
-                return t.done || !own
+                return task.done || !own
             }
             // Neither gone nor running.
-            else -> logOnce("task $a is in an unknown state: ${t.status}")
+            else -> logOnce("task $attempt is in an unknown state: ${task.status}")
         }
         return false
     }
 
     /** What is listed takes an attempt forward only. */
-    private fun reached(
-        a: Attempt,
+    private fun advance(
+        attempt: Attempt,
         state: AttemptState,
     ): Boolean {
-        if (a.state < AttemptState.DISPATCHED || a.state >= state) return false
-        a.transitionTo(state, nowMs())
-        gangs.taskSeen(a)
+        if (attempt.state < AttemptState.DISPATCHED || attempt.state >= state) return false
+        attempt.transitionTo(state, nowMs())
+        gangs.taskSeen(attempt)
         return true
     }
 
-    private fun started(a: Attempt) {
-        val m = a.machine
-        a.job.spec?.let {
-            m.sawImage(it.image, it.imageGb, machines.machineTypes[m.type]?.cacheGb ?: 0.0)
-            m.ownImages.add(it.image)
+    private fun taskStarted(attempt: Attempt) {
+        val machine = attempt.machine
+        attempt.job.spec?.let {
+            machine.sawImage(it.image, it.imageGb, machines.machineTypes[machine.type]?.cacheGb ?: 0.0)
+            machine.ownImages.add(it.image)
         }
-        log.info("task {} runs", a)
+        log.info("task {} runs", attempt)
     }
 
     private val loggedOnce = HashSet<String>()
@@ -455,8 +470,8 @@
 
     /** The job is not this node's after all. None of its tasks was ever sent: that takes a record that is durable. */
     fun forget(job: Job) {
-        for (a in job.attempts.values.toList()) {
-            terminate(a, AttemptTermination(TerminationEvidence.NEVER_SENT, "job not accepted"))
+        for (attempt in job.attempts.values.toList()) {
+            terminate(attempt, AttemptTermination(TerminationEvidence.NEVER_SENT, "job not accepted"))
         }
         job.shard.jobs.remove(job.jobId, job)
     }
@@ -468,40 +483,44 @@
         cancellations.begin(job)
         val now = nowMs()
         val touched = LinkedHashSet<Machine>()
-        for (a in job.attempts.values.toList()) {
-            if (a.state == AttemptState.INTENDED) {
-                terminate(a, AttemptTermination(TerminationEvidence.NEVER_SENT, "cancelled"))
+        for (attempt in job.attempts.values.toList()) {
+            if (attempt.state == AttemptState.INTENDED) {
+                terminate(attempt, AttemptTermination(TerminationEvidence.NEVER_SENT, "cancelled"))
                 continue
             }
-            a.stop(StopReason.CANCELLED, now)
-            touched.add(a.machine)
+            attempt.stop(StopReason.CANCELLED, now)
+            touched.add(attempt.machine)
         }
         store.touch(job, true)
-        for (m in touched) dispatcher.requestSync(m)
+        for (machine in touched) dispatcher.requestSync(machine)
     }
 
     /** Adopted after a takeover: a cancelled job's tasks must still go. */
     fun sweep() {
         val now = nowMs()
-        for (j in cancellations.unfinished) {
-            if (j.shard.state ==
+        for (job in cancellations.unfinished) {
+            if (job.shard.state ==
                 ShardState.ACTIVE
             ) {
-                for (a in j.attempts.values) a.stop(StopReason.CANCELLED, now)
+                for (attempt in job.attempts.values) attempt.stop(StopReason.CANCELLED, now)
             }
         }
-        for (m in machines.byName.values) {
-            if (m.deleted || m.attempts.isEmpty() && m.tasks.none { it.ended && isLedHere(it.jobId) }) continue
-            if (m.isSyncing) continue
-            if (m.attempts.any {
+        for (machine in machines.byName.values) {
+            if (machine.deleted ||
+                machine.attempts.isEmpty() && machine.tasks.none { it.ended && isLedHere(it.jobId) }
+            ) {
+                continue
+            }
+            if (machine.isSyncing) continue
+            if (machine.attempts.any {
                     it.stop != null || it.state == AttemptState.RECORDED ||
                         it.state == AttemptState.DISPATCHED ||
-                        m.confirmedToken < it.job.shard.leader.fencingToken
+                        machine.confirmedToken < it.job.shard.leader.fencingToken
                 } ||
-                m.needsStatus ||
-                m.tasks.any { it.ended && isLedHere(it.jobId) }
+                machine.needsStatus ||
+                machine.tasks.any { it.ended && isLedHere(it.jobId) }
             ) {
-                dispatcher.requestSync(m)
+                dispatcher.requestSync(machine)
             }
         }
     }
--- a/src/main/kotlin/micatally/job/JobStore.kt
+++ b/src/main/kotlin/micatally/job/JobStore.kt
@@ -36,14 +36,14 @@
     /** A job of a shard that is still this node's turned out not to be its own, or was never stored. */
     var onDropped: (Job) -> Unit = {}
 
-    /** Asks for a write. Intents, ends and new jobs are [urgent]; counts of finished tasks may wait a little. */
+    /** Asks for a write. Intents, ends and new jobs are urgent (see [isUrgent]); counts of finished tasks may wait a little. */
     fun touch(
         job: Job,
-        urgent: Boolean,
+        isUrgent: Boolean,
     ) {
         job.version++
         if (job.writing) return
-        if (!urgent) {
+        if (!isUrgent) {
             if (job.dirtySoon) return
             job.dirtySoon = true
             scope.launch {
@@ -65,21 +65,21 @@
     suspend fun durable(job: Job): Boolean {
         if (job.state == JobState.DROPPED) return false
         if (job.durableVersion >= job.version) return true
-        val d = CompletableDeferred<Boolean>()
-        job.waiters.add(job.version to d)
-        return d.await()
+        val result = CompletableDeferred<Boolean>()
+        job.waiters.add(job.version to result)
+        return result.await()
     }
 
     private fun settle(
         job: Job,
-        ok: Boolean,
+        isDurable: Boolean,
     ) {
         val each = job.waiters.iterator()
         while (each.hasNext()) {
-            val (version, d) = each.next()
-            if (!ok || version <= job.durableVersion) {
+            val (version, result) = each.next()
+            if (!isDurable || version <= job.durableVersion) {
                 each.remove()
-                d.complete(ok)
+                result.complete(isDurable)
             }
         }
     }
@@ -225,21 +225,21 @@
                     return true
                 }
                 is ReadResult.Found -> {
-                    val o = read.item.value
+                    val record = read.item.value
                     if (read.item.key == Keys.final(job.jobId)) {
                         log.info("job {} is over and was archived", job.jobId)
                         drop(job)
                         return false
                     }
-                    if (JobRecord.shardOf(o) != job.shard.name ||
-                        (job.modRevision == 0L && JobRecord.termOf(o) != job.shard.term)
+                    if (JobRecord.shardOf(record) != job.shard.name ||
+                        (job.modRevision == 0L && JobRecord.termOf(record) != job.shard.term)
                     ) {
                         log.info("job {} was accepted elsewhere", job.jobId)
                         drop(job)
                         return false
                     }
                     job.modRevision = read.item.modRevision
-                    job.storedOverflow = maxOf(job.storedOverflow, RecordPacking.overflowCount(o))
+                    job.storedOverflow = maxOf(job.storedOverflow, RecordPacking.overflowCount(record))
                     return true
                 }
             }
--- a/src/main/kotlin/micatally/job/ShardLoader.kt
+++ b/src/main/kotlin/micatally/job/ShardLoader.kt
@@ -19,36 +19,36 @@
     private val log = LoggerFactory.getLogger("micatally.job")
 
     /** Whether the shard's jobs should be known by now and are not: a new job of it might never be started. */
-    fun isOverdue(l: JobShard) =
-        l.state == ShardState.LOADING &&
-            (l.isUnreadable || nowMs() - l.leaderSinceMs > settings.leaseMs / LOADS_A_LEASE)
+    fun isOverdue(shard: JobShard) =
+        shard.state == ShardState.LOADING &&
+            (shard.isUnreadable || nowMs() - shard.leaderSinceMs > settings.leaseMs / LOADS_A_LEASE)
 
     /** Tries until the shard is loaded or lost. */
-    suspend fun load(l: JobShard) {
-        while (l.isLedHere) {
-            if (tryLoad(l)) return
+    suspend fun load(shard: JobShard) {
+        while (shard.isLedHere) {
+            if (tryLoad(shard)) return
             delay(settings.heartbeatIntervalMs / 8)
         }
     }
 
     /** False if the records can't be had, or can't be read: then nothing of the shard moves, and the log names the record. */
-    private suspend fun tryLoad(l: JobShard): Boolean {
+    private suspend fun tryLoad(shard: JobShard): Boolean {
         try {
-            val records = records.of(l) { jobId, record -> settled(l, jobId, record) } ?: return false
-            if (!l.isLedHere) return true
-            for (record in records) readable(record.jobId) { adopt(l, record) }
+            val records = records.of(shard) { jobId, record -> settled(shard, jobId, record) } ?: return false
+            if (!shard.isLedHere) return true
+            for (record in records) readable(record.jobId) { adopt(shard, record) }
         } catch (e: UnreadableRecord) {
-            if (!l.isUnreadable) log.error("shard {} can't be loaded: {}", l.name, e.message)
-            l.isUnreadable = true
+            if (!shard.isUnreadable) log.error("shard {} can't be loaded: {}", shard.name, e.message)
+            shard.isUnreadable = true
             return false
         }
-        l.transitionTo(ShardState.ACTIVE)
-        val tookMs = nowMs() - l.leaderSinceMs
+        shard.transitionTo(ShardState.ACTIVE)
+        val tookMs = nowMs() - shard.leaderSinceMs
         log.info(
             "shard {} loaded at fencing token {}: {} jobs in {} ms",
-            l.name,
-            l.leader.fencingToken,
-            l.jobs.size,
+            shard.name,
+            shard.leader.fencingToken,
+            shard.jobs.size,
             tookMs,
         )
         reconcileMachines()
@@ -57,7 +57,7 @@
     }
 
     private fun adopt(
-        l: JobShard,
+        shard: JobShard,
         record: ShardRecord,
     ) {
         val jobId = record.jobId
@@ -69,16 +69,16 @@
                 },
             )
         }
-        if (JobRecord.shardOf(record.stored) != l.name) return
-        if (isKnown(l, jobId, record.stored)) return
+        if (JobRecord.shardOf(record.stored) != shard.name) return
+        if (isKnown(shard, jobId, record.stored)) return
         val plain = record.plain ?: return
-        val job = JobRecord.decode(jobId, plain, l, record.modRevision)
+        val job = JobRecord.decode(jobId, plain, shard, record.modRevision)
         if (JobRecord.isSettled(plain)) {
             jobManager.rememberFinal(job.answer())
             return
         }
         job.storedOverflow = RecordPacking.overflowCount(record.stored)
-        l.jobs[jobId] = job
+        shard.jobs[jobId] = job
         for (placed in JobRecord.placed(plain)) adoptAttempt(job, placed)
         jobManager.gangs.adopted(job)
         if (job.state == JobState.CANCELLED) {
@@ -89,24 +89,24 @@
     /** Whether the job is here already. One that was accepted here while the list was on its way is; one whose user has just
      * repeated here what was accepted before is given up: then the record counts, or nobody would own the job. */
     private fun isKnown(
-        l: JobShard,
+        shard: JobShard,
         jobId: String,
         record: JsonObject,
     ): Boolean {
-        val present = l.jobs[jobId] ?: return false
-        if (present.durableState != JobState.NEW || JobRecord.termOf(record) == l.term) return true
+        val present = shard.jobs[jobId] ?: return false
+        if (present.durableState != JobState.NEW || JobRecord.termOf(record) == shard.term) return true
         store.drop(present)
         return false
     }
 
     /** A job of the shard that is over, with nothing left to do. */
     private fun settled(
-        l: JobShard,
+        shard: JobShard,
         jobId: String,
         record: JsonObject,
     ) {
-        if (!l.isLedHere || isKnown(l, jobId, record)) return
-        jobManager.rememberFinal(JobRecord.decode(jobId, record, l, 0L).answer())
+        if (!shard.isLedHere || isKnown(shard, jobId, record)) return
+        jobManager.rememberFinal(JobRecord.decode(jobId, record, shard, 0L).answer())
     }
 
     private fun adoptAttempt(
@@ -131,12 +131,12 @@
 
     /** What is known of the machines already is applied to the attempts that have just been loaded. */
     private fun reconcileMachines() {
-        for (m in machines.byName.values.toList()) {
-            if (m.incarnation > 0) jobManager.newIncarnation(m)
-            if (m.deleted) jobManager.deleted(m)
-            if (m.attempts.isNotEmpty()) {
-                jobManager.tasksReported(m, false)
-                jobManager.requestSync(m)
+        for (machine in machines.byName.values.toList()) {
+            if (machine.incarnation > 0) jobManager.newIncarnation(machine)
+            if (machine.deleted) jobManager.deleted(machine)
+            if (machine.attempts.isNotEmpty()) {
+                jobManager.tasksReported(machine, false)
+                jobManager.requestSync(machine)
             }
         }
     }
--- a/src/main/kotlin/micatally/worker/CommandDispatcher.kt
+++ b/src/main/kotlin/micatally/worker/CommandDispatcher.kt
@@ -36,7 +36,7 @@
 
     fun terminate(
         attempt: Attempt,
-        end: AttemptTermination,
+        termination: AttemptTermination,
     )
 }
 
--- a/src/test/kotlin/micatally/sim/GangTest.kt
+++ b/src/test/kotlin/micatally/sim/GangTest.kt
@@ -29,7 +29,11 @@
         return submit(node, "gang", tasks, *all, "together" to true, *more, runMs = runMs)
     }
 
-    private fun Meeting.gangOf(jobId: String) = f.live.mapNotNull { it?.jobManager?.job(jobId) }.first { it.shard.isLedHere }
+    private fun Meeting.gangOf(jobId: String) =
+        f.live
+            .mapNotNull {
+                it?.jobManager?.job(jobId)
+            }.first { it.shard.isLedHere }
 
     private fun Meeting.phase(jobId: String) = gangOf(jobId).gang!!.phase
 
