--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -22,9 +22,15 @@
 import micatally.http.HttpRequest
 import micatally.http.HttpResponse
 import micatally.http.errorResponse
+import micatally.job.Attempt
 import micatally.job.AttemptState
+import micatally.job.Clock
+import micatally.job.Job
+import micatally.job.JobCollaborators
 import micatally.job.JobManager
+import micatally.job.JobShard
 import micatally.job.JobStore
+import micatally.job.JobStoreListener
 import micatally.job.RecordForms
 import micatally.job.ShardState
 import micatally.job.StopReason
@@ -111,11 +117,13 @@
             forms,
             settings.heartbeatIntervalMs / 4,
             settings.leaseMs / 10,
+            jobStoreListener(),
             { archive.mayBeUsed },
             nowMs,
         )
-    val jobManager = JobManager(scope, settings, state, membership, machines, store, nowMs, wallMs)
-    private val dispatcher =
+    val jobManager: JobManager =
+        JobManager(scope, settings, state, membership, machines, store, Clock(nowMs, wallMs), jobCollaborators())
+    private val dispatcher: CommandDispatcher =
         CommandDispatcher(
             scope,
             http,
@@ -126,7 +134,7 @@
             jobManager.cancellations.cancelledTasks,
             nowMs,
         )
-    private val quota =
+    private val quota: Quota =
         Quota(scope, state, membership.sharedKeys, configuration.teams, {
             jobManager.shards.values.filter { it.isLedHere }
         }, settings.controllers) { scheduler.requestCycle() }
@@ -150,7 +158,7 @@
             cpuUsage,
             nowMs,
         )
-    private val peers = Peers(scope, http, settings, state, membership, machines, jobManager, scheduler, nowMs)
+    private val peers: Peers = Peers(scope, http, settings, state, membership, machines, jobManager, scheduler, nowMs)
     private val reach = WorkerReach(scope, http, settings, machines, nowMs)
     private val fleetManager =
         FleetManager(scope, http, settings, state, cloud, membership, machines, fleetDemand(), operator, nowMs)
@@ -187,6 +195,37 @@
             override fun loaded(name: String) = jobManager.shards[name]?.takeIf { it.state == ShardState.ACTIVE }
         }
 
+    private fun jobStoreListener() =
+        object : JobStoreListener {
+            override fun recordWritten(
+                job: Job,
+                written: List<Attempt>,
+            ) = jobManager.durable(job, written)
+
+            override fun recordFull(
+                job: Job,
+                attempts: List<Attempt>,
+            ) = jobManager.giveUp(job, attempts)
+
+            override fun jobDropped(job: Job) = jobManager.forget(job)
+
+            override fun shardLost(shard: JobShard) {
+                jobManager.loseShard(shard)
+                scope.launch { membership.refresh() }
+            }
+        }
+
+    private fun jobCollaborators() =
+        object : JobCollaborators {
+            override val quota get() = this@Controller.quota
+
+            override fun requestSync(machine: Machine) = dispatcher.requestSync(machine)
+
+            override fun requestCycle() = scheduler.requestCycle()
+
+            override suspend fun requestConfirmations(job: Job) = peers.spread(job)
+        }
+
     private fun fleetDemand() =
         object : PendingWorkload {
             override fun unplaced() = scheduler.unplaced.values.toList() + peers.demandOfPeers()
@@ -200,23 +239,12 @@
     val isFleetManager get() = fleetManager.isLeader
 
     fun start() {
-        jobManager.dispatcher = dispatcher
         configuration.start { former, next -> configurationApplied(former, next) }
         membership.shouldStepDown = { reach.mayStepDown() && peers.somePeerHasState() }
         membership.peersConfirmedAt = { peers.peersConfirmedAt() }
-        jobManager.quota = quota
-        jobManager.requestCycle = { scheduler.requestCycle() }
         scheduler.stateAnswers =
             { state.waitingWrites == 0 && state.get(Keys.FENCING_TOKEN, Urgency.SUMMARY) is ReadResult.Found }
         scheduler.peerRequests = { peers.demandOfPeers() }
-        store.onDurable = { job, written -> jobManager.durable(job, written) }
-        store.onDropped = { jobManager.forget(it) }
-        store.onRecordFull = { job, attempts -> jobManager.giveUp(job, attempts) }
-        jobManager.cancellations.askPeers = { peers.spread(it) }
-        store.onShardLost = { l ->
-            jobManager.loseShard(l)
-            scope.launch { membership.refresh() }
-        }
         machines.onNewIncarnation = { jobManager.newIncarnation(it) }
         machines.onMissedChange = { m ->
             if (m.attempts.isNotEmpty()) {
--- a/src/main/kotlin/micatally/job/Cancellations.kt
+++ b/src/main/kotlin/micatally/job/Cancellations.kt
@@ -16,14 +16,12 @@
     private val settings: Settings,
     private val sharedKeys: SharedKeyCache,
     private val store: JobStore,
+    private val requestConfirmations: suspend (Job) -> Unit,
     private val nowMs: () -> Long,
 ) {
     /** Tasks of cancelled jobs of all owners, as far as this node has heard of them. */
     val cancelledTasks = CancelledTasks(settings.cancelMs * CANCELS_KEPT, nowMs)
 
-    /** Asks the other controllers to confirm the tasks of a job. */
-    var askPeers: suspend (Job) -> Unit = {}
-
     /** Jobs with tasks that are not proven gone. Kept, not looked for: each message from a peer asks for them. */
     private val pending = LinkedHashSet<Job>()
     val unfinished: Collection<Job> get() = pending
@@ -112,7 +110,7 @@
         job.spreading = true
         scope.launch {
             try {
-                askPeers(job)
+                requestConfirmations(job)
             } finally {
                 job.spreading = false
             }
--- a/src/main/kotlin/micatally/job/JobManager.kt
+++ b/src/main/kotlin/micatally/job/JobManager.kt
@@ -10,7 +10,6 @@
 import micatally.membership.Keys
 import micatally.membership.Membership
 import micatally.membership.ShardLeader
-import micatally.quota.Quota
 import micatally.settings.Settings
 import micatally.state.StateStoreClient
 import micatally.state.Urgency
@@ -20,7 +19,6 @@
 import micatally.wire.ListedTask
 import micatally.wire.ResourceRequest
 import micatally.worker.AttemptDirectory
-import micatally.worker.CommandDispatcher
 import micatally.worker.Machine
 import micatally.worker.MachineRegistry
 import org.slf4j.LoggerFactory
@@ -33,22 +31,24 @@
     private val membership: Membership,
     private val machines: MachineRegistry,
     private val store: JobStore,
-    private val nowMs: () -> Long,
-    private val wallMs: () -> Long,
+    private val clock: Clock,
+    private val collaborators: JobCollaborators,
 ) : AttemptDirectory,
     GangTaskControl {
     private val log = LoggerFactory.getLogger("micatally.job")
-    private val loader = ShardLoader(settings, ShardRecords(state), machines, store, this, nowMs)
+    private val nowMs = clock.nowMs
+    private val loader = ShardLoader(settings, ShardRecords(state), machines, store, this, collaborators, nowMs)
+
+    /** What the attempts of this controller's shards use of the limits of their teams. */
+    val quota get() = collaborators.quota
+
     val shards = HashMap<String, JobShard>()
-    lateinit var dispatcher: CommandDispatcher
-    lateinit var quota: Quota
-    var requestCycle: () -> Unit = {}
     val faults = FaultJudgement(settings, machines)
 
     val gangs =
         GangSupervisor(this, GangTiming(settings.gangWaitMs, settings.gangPeerMs, settings.heartbeatIntervalMs), nowMs)
 
-    override fun requestSync(machine: Machine) = dispatcher.requestSync(machine)
+    override fun requestSync(machine: Machine) = collaborators.requestSync(machine)
 
     /** Final answers, which never change. */
     private val finals = CacheBuilder.newBuilder().maximumSize(FINALS).build<String, JobAnswer>()
@@ -104,7 +104,8 @@
     val settled get() = ownShard() != null && shards.values.all { it.state == ShardState.ACTIVE }
 
     /** Jobs that were cancelled, until their tasks are gone. */
-    val cancellations = Cancellations(scope, settings, membership.sharedKeys, store, nowMs)
+    val cancellations =
+        Cancellations(scope, settings, membership.sharedKeys, store, collaborators::requestConfirmations, nowMs)
 
     // shards
 
@@ -156,7 +157,7 @@
         }
         shard.jobs.clear()
         shards.remove(shard.name, shard)
-        quota.forget(shard.name)
+        collaborators.quota.forget(shard.name)
     }
 
     /** Whether the shard's jobs should be known by now and are not: a new job of it might never be started. */
@@ -165,7 +166,7 @@
     /** An attempt counts from now on: on its machine, and against the limit of its team. */
     internal fun attach(attempt: Attempt) {
         attempt.machine.attach(attempt)
-        quota.take(attempt.job)
+        collaborators.quota.take(attempt.job)
     }
 
     // Attempts
@@ -196,7 +197,7 @@
                 touched.add(attempt.machine)
             }
         }
-        for (machine in touched) dispatcher.requestSync(machine)
+        for (machine in touched) collaborators.requestSync(machine)
         if (job.durableState == JobState.DONE || job.durableState == JobState.CANCELLED) {
             if (cancellations.mayConfirm(job)) rememberFinal(job.answer())
             if (job.attempts.isEmpty() && job.durableVersion == job.version) {
@@ -227,7 +228,7 @@
 
     override fun isSuspended(jobId: String): Boolean {
         val team = job(jobId)?.spec?.team ?: return false
-        return quota.isSuspended(team)
+        return collaborators.quota.isSuspended(team)
     }
 
     /** Ends what has been decided and not sent, of teams that may not start anything any more since their limit or they
@@ -236,7 +237,7 @@
         for (job in openJobs()) {
             val team = job.spec?.team ?: continue
             val unsent = job.attempts.values.filter { it.state <= AttemptState.RECORDED }
-            if (unsent.isEmpty() || !isAffected(team) || !quota.isSuspended(team)) continue
+            if (unsent.isEmpty() || !isAffected(team) || !collaborators.quota.isSuspended(team)) continue
             for (attempt in unsent) {
                 terminate(attempt, AttemptTermination(TerminationEvidence.NEVER_SENT, "the limit of $team was lowered"))
             }
@@ -256,7 +257,7 @@
         attempt.machine.detach(attempt, now)
         job.attempts.remove(attempt.taskIndex, attempt)
         // What a shard used is forgotten with it; its next holder has counted anew.
-        if (job.shard.isLedHere) quota.release(job)
+        if (job.shard.isLedHere) collaborators.quota.release(job)
         log.info("task {} terminated: {}", attempt, termination)
         if (job.state == JobState.DROPPED) return
         if (termination.proof == TerminationEvidence.COMPLETED) {
@@ -271,7 +272,7 @@
         val isUrgent =
             job.state == JobState.CANCELLED || job.state == JobState.OPEN && attempt.stop != null || job.endUnderWay
         store.touch(job, isUrgent)
-        requestCycle()
+        collaborators.requestCycle()
     }
 
     /** What an exit tells of the machine and of when to try again. */
@@ -373,7 +374,7 @@
             machine.needsStatus = true
             requestSync = true
         }
-        if (requestSync) dispatcher.requestSync(machine)
+        if (requestSync) collaborators.requestSync(machine)
     }
 
     /** Completed under an attempt that was given up for good reasons: the result counts all the same. */
@@ -453,7 +454,7 @@
         spec: JobSpec,
         shard: JobShard,
     ): Job {
-        val job = Job(spec.jobId, spec, shard, spec.taskCount, wallMs(), JobState.NEW)
+        val job = Job(spec.jobId, spec, shard, spec.taskCount, clock.wallMs(), JobState.NEW)
         shard.jobs[spec.jobId] = job
         if (spec.isService) arrivals.add(spec)
         log.info(
@@ -492,7 +493,7 @@
             touched.add(attempt.machine)
         }
         store.touch(job, true)
-        for (machine in touched) dispatcher.requestSync(machine)
+        for (machine in touched) collaborators.requestSync(machine)
     }
 
     /** Adopted after a takeover: a cancelled job's tasks must still go. */
@@ -520,7 +521,7 @@
                 machine.needsStatus ||
                 machine.tasks.any { it.ended && isLedHere(it.jobId) }
             ) {
-                dispatcher.requestSync(machine)
+                collaborators.requestSync(machine)
             }
         }
     }
--- a/src/main/kotlin/micatally/job/JobStore.kt
+++ b/src/main/kotlin/micatally/job/JobStore.kt
@@ -22,19 +22,12 @@
     private val forms: RecordForms,
     private val pauseMs: Long,
     private val countsMs: Long,
+    private val listener: JobStoreListener,
     private val mayBeArchived: () -> Boolean = { false },
     private val nowMs: () -> Long,
 ) {
     private val log = LoggerFactory.getLogger("micatally.job")
     private val lookup = RecordLookup(state, mayBeArchived)
-    var onDurable: (Job, List<Attempt>) -> Unit = { _, _ -> }
-    var onShardLost: (JobShard) -> Unit = {}
-
-    /** Attempts that are decided but not stored find no room in their job's record. */
-    var onRecordFull: (Job, List<Attempt>) -> Unit = { _, _ -> }
-
-    /** A job of a shard that is still this node's turned out not to be its own, or was never stored. */
-    var onDropped: (Job) -> Unit = {}
 
     /** Asks for a write. Intents, ends and new jobs are urgent (see [isUrgent]); counts of finished tasks may wait a little. */
     fun touch(
@@ -87,7 +80,7 @@
     fun drop(job: Job) {
         job.transitionTo(JobState.DROPPED)
         settle(job, false)
-        if (job.shard.isLedHere) onDropped(job)
+        if (job.shard.isLedHere) listener.jobDropped(job)
     }
 
     private fun write(job: Job) {
@@ -133,7 +126,7 @@
             }
             is TransactionResult.Failed ->
                 if (Keys.shard(job.shard.name) in result.keys) {
-                    onShardLost(job.shard)
+                    listener.shardLost(job.shard)
                     false
                 } else {
                     reread(job)
@@ -168,7 +161,7 @@
             val fit = forms.fit(job)
             val intended = job.attempts.values.filter { it.state == AttemptState.INTENDED }
             if (intended.isNotEmpty() && (fit is RecordFit.TooLarge || forms.isFull(job))) {
-                onRecordFull(job, intended.takeLast(maxOf(1, intended.size / SHARE_GIVEN_UP)))
+                listener.recordFull(job, intended.takeLast(maxOf(1, intended.size / SHARE_GIVEN_UP)))
                 continue
             }
             if (fit is RecordFit.Fits) return Snapshot(job, fit.write)
@@ -197,7 +190,7 @@
             job.publishedAt = nowMs()
         }
         if (job.state == JobState.NEW) job.transitionTo(JobState.OPEN)
-        if (job.state != JobState.DROPPED) onDurable(job, snapshot.intended)
+        if (job.state != JobState.DROPPED) listener.recordWritten(job, snapshot.intended)
         settle(job, true)
     }
 
--- a/src/main/kotlin/micatally/job/ShardLoader.kt
+++ b/src/main/kotlin/micatally/job/ShardLoader.kt
@@ -14,6 +14,7 @@
     private val machines: MachineRegistry,
     private val store: JobStore,
     private val jobManager: JobManager,
+    private val collaborators: JobCollaborators,
     private val nowMs: () -> Long,
 ) {
     private val log = LoggerFactory.getLogger("micatally.job")
@@ -52,7 +53,7 @@
             tookMs,
         )
         reconcileMachines()
-        jobManager.requestCycle()
+        collaborators.requestCycle()
         return true
     }
 
--- a/src/test/kotlin/micatally/job/RecordPackingTest.kt
+++ b/src/test/kotlin/micatally/job/RecordPackingTest.kt
@@ -22,6 +22,7 @@
 import micatally.worker.Machine
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Assertions.fail
 import org.junit.jupiter.api.Test
 import kotlin.random.Random
 
@@ -88,8 +89,15 @@
         val scope = CoroutineScope(SupervisorJob())
         val nothing = HttpCaller { _, _, _, _, _ -> Outcome.NotSent }
         val state = StateStoreClient(nothing, "state", RateBudget(scope, 1.0, { 0 }), RateBudget(scope, 1.0, { 0 }), 10)
-        val store = JobStore(scope, state, RecordForms(limits) { true }, 1, 1) { 0 }
-        val cancellations = Cancellations(scope, SimFleet(1).settings[0], sharedKeys, store) { 0 }
+        val store = JobStore(scope, state, RecordForms(limits) { true }, 1, 1, IgnoresOutcomes) { 0 }
+        val cancellations =
+            Cancellations(
+                scope,
+                SimFleet(1).settings[0],
+                sharedKeys,
+                store,
+                { fail("no confirmation is asked for") },
+            ) { 0 }
         cancellations.published(Keys.cancelledTasksPart(job.jobId, 0))
         assertTrue(
             job.attempts.values.all {
@@ -98,6 +106,22 @@
         )
     }
 
+    private object IgnoresOutcomes : JobStoreListener {
+        override fun recordWritten(
+            job: Job,
+            written: List<Attempt>,
+        ) = Unit
+
+        override fun recordFull(
+            job: Job,
+            attempts: List<Attempt>,
+        ) = Unit
+
+        override fun jobDropped(job: Job) = Unit
+
+        override fun shardLost(shard: JobShard) = Unit
+    }
+
     /** Guard: values that a smaller record does not need are deleted with it. */
     @Test
     fun `what a record no longer needs is deleted`() {
