--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -34,6 +34,7 @@
 import micatally.job.RecordForms
 import micatally.job.ShardState
 import micatally.job.StopReason
+import micatally.job.TaskListSource
 import micatally.membership.Keys
 import micatally.membership.Membership
 import micatally.membership.SharedKeyCache
@@ -253,7 +254,7 @@
             }
         }
         machines.onTasksReported = { m, own ->
-            jobManager.tasksReported(m, own)
+            jobManager.tasksReported(m, if (own) TaskListSource.COMMAND_RESPONSE else TaskListSource.HEARTBEAT)
             scheduler.requestCycle()
         }
         fleetManager.onMachineTypes = { scheduler.requestCycle() }
--- a/src/main/kotlin/micatally/job/JobManager.kt
+++ b/src/main/kotlin/micatally/job/JobManager.kt
@@ -347,7 +347,7 @@
     /** A newer task list of a machine. Without an answer to our own request it proves only what can't change any more. */
     fun tasksReported(
         machine: Machine,
-        own: Boolean,
+        source: TaskListSource,
     ) {
         var requestSync = false
         for (task in machine.tasks) {
@@ -356,14 +356,14 @@
             if (attempt != null && attempt.number == task.attempt && attempt.machine === machine &&
                 attempt.incarnation == machine.incarnation
             ) {
-                requestSync = attemptReported(attempt, task, own) || requestSync
+                requestSync = attemptReported(attempt, task, source) || requestSync
             } else {
                 requestSync = true
                 if (task.done) doneUnderFormerAttempt(job, task.taskIndex)
             }
         }
         // What was there and is missing proves nothing, since nobody knows who took it away; but the machine is asked.
-        if (!own &&
+        if (source == TaskListSource.HEARTBEAT &&
             machine.attempts.any {
                 it.state >= AttemptState.PULLING && it.incarnation == machine.incarnation &&
                     machine.tasks.none { task ->
@@ -394,7 +394,7 @@
     private fun attemptReported(
         attempt: Attempt,
         task: ListedTask,
-        own: Boolean,
+        source: TaskListSource,
     ): Boolean {
         when (task.status) {
             ListedTask.PULLING -> advance(attempt, AttemptState.PULLING)
@@ -405,10 +405,10 @@
                 if (task.reason == null) logOnce("task $attempt ended for an unknown reason: ${task.why}")
                 if (task.done) {
                     terminate(attempt, AttemptTermination(TerminationEvidence.COMPLETED, "done", ExitReason.DONE))
-                } else if (!own) {
+                } else if (source == TaskListSource.HEARTBEAT) {
                     attempt.machine.needsStatus = true
                 }
-                return task.done || !own
+                return task.done || source == TaskListSource.HEARTBEAT
             }
             // Neither gone nor running.
             else -> logOnce("task $attempt is in an unknown state: ${task.status}")
--- a/src/main/kotlin/micatally/job/ShardLoader.kt
+++ b/src/main/kotlin/micatally/job/ShardLoader.kt
@@ -136,7 +136,7 @@
             if (machine.incarnation > 0) jobManager.newIncarnation(machine)
             if (machine.deleted) jobManager.deleted(machine)
             if (machine.attempts.isNotEmpty()) {
-                jobManager.tasksReported(machine, false)
+                jobManager.tasksReported(machine, TaskListSource.HEARTBEAT)
                 jobManager.requestSync(machine)
             }
         }
