--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -201,19 +201,16 @@
             override fun recordWritten(
                 job: Job,
                 written: List<Attempt>,
-            ) = jobManager.durable(job, written)
+            ) = jobManager.storeOutcomes.recordWritten(job, written)
 
             override fun recordFull(
                 job: Job,
                 attempts: List<Attempt>,
-            ) = jobManager.giveUp(job, attempts)
+            ) = jobManager.storeOutcomes.recordFull(job, attempts)
 
-            override fun jobDropped(job: Job) = jobManager.forget(job)
+            override fun jobDropped(job: Job) = jobManager.storeOutcomes.jobDropped(job)
 
-            override fun shardLost(shard: JobShard) {
-                jobManager.loseShard(shard)
-                scope.launch { membership.refresh() }
-            }
+            override fun shardLost(shard: JobShard) = jobManager.storeOutcomes.shardLost(shard)
         }
 
     private fun jobCollaborators() =
--- /dev/null
+++ b/src/main/kotlin/micatally/job/JobAdoption.kt
@@ -0,0 +1,92 @@
+package micatally.job
+
+import kotlinx.serialization.json.JsonObject
+import micatally.gang.GangSupervisor
+import micatally.wire.CancelledTask
+import micatally.worker.MachineRegistry
+
+/** Puts the stored jobs of a shard that this controller has acquired into memory. */
+class JobAdoption(
+    private val machines: MachineRegistry,
+    private val store: JobStore,
+    private val attempts: AttemptLifecycle,
+    private val gangs: GangSupervisor,
+    private val cancellations: Cancellations,
+    private val finalAnswers: FinalAnswers,
+) {
+    /** Puts the job with its attempts into [shard], unless it is another shard's, present already, or over. */
+    fun adopt(
+        shard: JobShard,
+        record: ShardRecord,
+    ) {
+        noteCancelledTasks(record)
+        if (JobRecord.shardOf(record.stored) != shard.name) return
+        if (isPresent(shard, record.jobId, record.stored)) return
+        val plain = record.plain ?: return
+        val job = JobRecord.decode(record.jobId, plain, shard, record.modRevision)
+        if (JobRecord.isSettled(plain)) {
+            finalAnswers.remember(job.answer())
+            return
+        }
+        job.storedOverflow = RecordPacking.overflowCount(record.stored)
+        shard.jobs[record.jobId] = job
+        for (placed in JobRecord.placed(plain)) adoptAttempt(job, placed)
+        gangs.adopted(job)
+        if (job.state == JobState.CANCELLED && !cancellations.adopted(job)) store.touch(job, true)
+    }
+
+    /** Whichever shard the job is in: a controller that has just started must stop its tasks where machines report them. */
+    private fun noteCancelledTasks(record: ShardRecord) {
+        if (record.plain == null || JobRecord.state(record.stored) != JobState.CANCELLED) return
+        val tasks = JobRecord.placed(record.plain)
+        cancellations.cancelledTasks.take(
+            tasks.map { CancelledTask(it.machine, record.jobId, it.taskIndex, it.number) },
+        )
+    }
+
+    /** Remembers the answer about a job of the shard that is over, with nothing left to do. */
+    fun rememberSettled(
+        shard: JobShard,
+        jobId: String,
+        record: JsonObject,
+    ) {
+        if (!shard.isLedHere || isPresent(shard, jobId, record)) return
+        finalAnswers.remember(JobRecord.decode(jobId, record, shard, 0L).answer())
+    }
+
+    /**
+     * Whether the job is in the shard already, since it was accepted here while the records were read. One that is present
+     * only as a repeat of an earlier submission, and not stored yet, is dropped in favour of the record: otherwise no
+     * controller would lead the job.
+     */
+    private fun isPresent(
+        shard: JobShard,
+        jobId: String,
+        record: JsonObject,
+    ): Boolean {
+        val present = shard.jobs[jobId] ?: return false
+        if (present.durableState != JobState.NEW || JobRecord.termOf(record) == shard.term) return true
+        store.drop(present)
+        return false
+    }
+
+    /** Whether the attempt was sent is not known, so it counts as sent. */
+    private fun adoptAttempt(
+        job: Job,
+        placed: JobRecord.Placed,
+    ) {
+        val machine = machines.known(placed.machine, placed.addr, placed.type, placed.zone, placed.spot)
+        if (machine.incarnation == 0L) machine.incarnation = placed.incarnation
+        attempts.attach(
+            Attempt(
+                job,
+                placed.taskIndex,
+                placed.number,
+                machine,
+                placed.incarnation,
+                job.service,
+                AttemptState.DISPATCHED,
+            ),
+        )
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/micatally/job/ShardLeadership.kt
@@ -0,0 +1,78 @@
+package micatally.job
+
+import kotlinx.coroutines.CoroutineScope
+import kotlinx.coroutines.launch
+import micatally.membership.Membership
+import micatally.membership.ShardLeader
+import micatally.settings.Settings
+import org.slf4j.LoggerFactory
+
+/** Follows which shards this controller leads: loads those that it has acquired and gives up those that it has lost. */
+class ShardLeadership(
+    private val scope: CoroutineScope,
+    private val settings: Settings,
+    private val membership: Membership,
+    private val shards: ShardDirectory,
+    private val loader: ShardLoader,
+    private val store: JobStore,
+    private val collaborators: JobCollaborators,
+    private val nowMs: () -> Long,
+) {
+    private val log = LoggerFactory.getLogger("micatally.job")
+
+    /** Brings the shards here in line with the shared keys. To be called after each change of the shared keys. */
+    fun reconcile() {
+        for (shard in shards.byName.values.toList()) {
+            if (!shard.isLedHere) continue
+            val leader = membership.sharedKeys.leader(shard.name)
+            if (leader == null || leader.modRevision != shard.leader.modRevision) lose(shard)
+        }
+        for (name in membership.sharedKeys.shards()) {
+            val leader = membership.sharedKeys.leader(name) ?: continue
+            val isThisProcess = leader.host == settings.host && leader.process == membership.process
+            if (isThisProcess && shards.byName[name]?.isLedHere != true) acquire(name, leader)
+        }
+    }
+
+    private fun acquire(
+        name: String,
+        leader: ShardLeader,
+    ) {
+        shards.byName[name]?.let { if (it.isLedHere) lose(it) }
+        val shard = JobShard(name, leader, nowMs())
+        shards.add(shard)
+        scope.launch { loader.load(shard) }
+    }
+
+    /** Drops the shard's jobs, which are another controller's from now on. Nothing is written or sent for them any more. */
+    fun lose(shard: JobShard) {
+        if (!shard.isLedHere) return
+        log.info("shard {} lost with {} jobs", shard.name, shard.jobs.size)
+        shard.transitionTo(ShardState.LOST)
+        for (job in shard.jobs.values) {
+            for (attempt in job.attempts.values) release(attempt)
+            store.drop(job)
+        }
+        shard.jobs.clear()
+        shards.remove(shard)
+        collaborators.quota.forget(shard.name)
+    }
+
+    /** A write has failed since the shard has another leader, which the copy of the shared keys does not show yet. */
+    fun loseAndRefresh(shard: JobShard) {
+        lose(shard)
+        scope.launch { membership.refresh() }
+    }
+
+    /**
+     * The attempt's capacity stays reserved while the new leader loads the shard: until then, all that see this controller's
+     * capacity summary would take it for free.
+     */
+    private fun release(attempt: Attempt) {
+        val job = attempt.job
+        attempt.machine.detach(attempt, nowMs())
+        job.spec?.let {
+            attempt.machine.promise(job.jobId, attempt.taskIndex, it.resources, nowMs() + settings.handOverMs)
+        }
+    }
+}
