--- a/src/main/kotlin/micatally/api/UserApi.kt
+++ b/src/main/kotlin/micatally/api/UserApi.kt
@@ -147,11 +147,11 @@
         job: Job,
         status: Int,
     ): HttpResponse {
-        val durable = withTimeoutOrNull(durableMs) { store.durable(job) } ?: return later("not stored yet")
+        val durable = withTimeoutOrNull(durableMs) { store.awaitDurable(job) } ?: return later("not stored yet")
         if (!durable) return knownOr(job.jobId) { later("not stored") }
         if (!jobManager.cancellations.mayConfirm(job)) return later("a cancellation is under way")
         // Its end may have come and be on its way since.
-        if (job.endUnderWay || !membership.leaseHolds()) return knownOr(job.jobId) { later("not stored yet") }
+        if (job.isEndBeingWritten || !membership.leaseHolds()) return knownOr(job.jobId) { later("not stored yet") }
         return if (status == 201 &&
             job.durableState == JobState.OPEN
         ) {
@@ -204,7 +204,7 @@
     private fun local(jobId: String): JobAnswer? {
         jobManager.final(jobId)?.let { return it }
         val job = jobManager.job(jobId) ?: return null
-        if (job.durableState == JobState.NEW || job.endUnderWay || !membership.leaseHolds()) return null
+        if (job.durableState == JobState.NEW || job.isEndBeingWritten || !membership.leaseHolds()) return null
         // This node's lease keeps others from its own shard only: a shard that it took over goes back to its host the
         // moment that host starts again, so of its jobs only the state service can tell.
         if (job.shard.name != settings.host || !jobManager.cancellations.mayConfirm(job)) return null
@@ -318,7 +318,7 @@
         val job = jobManager.job(jobId) ?: return null
         if (!membership.leaseHolds() && !stateReachable) return null
         jobManager.cancel(job)
-        val ok = withTimeoutOrNull(durableMs) { store.durable(job) } ?: false
+        val ok = withTimeoutOrNull(durableMs) { store.awaitDurable(job) } ?: false
         if (!ok || job.durableState != JobState.CANCELLED && job.durableState != JobState.DONE) return null
         if (!jobManager.cancellations.mayConfirm(job)) {
             peers.spread(job)
--- a/src/main/kotlin/micatally/job/Attempt.kt
+++ b/src/main/kotlin/micatally/job/Attempt.kt
@@ -74,7 +74,7 @@
     }
 
     val maySend get() = state >= AttemptState.RECORDED && state != AttemptState.TERMINATED
-    val live get() = state != AttemptState.TERMINATED
+    val isLive get() = state != AttemptState.TERMINATED
 
     override fun toString() = "${job.jobId}/$taskIndex#$number@${machine.name}"
 }
--- a/src/main/kotlin/micatally/job/AttemptLifecycle.kt
+++ b/src/main/kotlin/micatally/job/AttemptLifecycle.kt
@@ -47,7 +47,7 @@
     fun recorded(attempts: List<Attempt>) {
         val touchedMachines = LinkedHashSet<Machine>()
         for (attempt in attempts) {
-            if (!attempt.live || attempt.state != AttemptState.INTENDED) continue
+            if (!attempt.isLive || attempt.state != AttemptState.INTENDED) continue
             attempt.transitionTo(AttemptState.RECORDED, nowMs())
             touchedMachines.add(attempt.machine)
         }
@@ -78,7 +78,7 @@
         attempt: Attempt,
         termination: AttemptTermination,
     ) {
-        if (!attempt.live) return
+        if (!attempt.isLive) return
         val job = attempt.job
         val now = nowMs()
         val ranMs = attempt.runningSince?.let { now - it } ?: 0L
@@ -113,7 +113,7 @@
     private fun isWriteUrgent(ended: Attempt): Boolean {
         val job = ended.job
         val wasStopped = job.state == JobState.OPEN && ended.stop != null
-        return job.state == JobState.CANCELLED || wasStopped || job.endUnderWay
+        return job.state == JobState.CANCELLED || wasStopped || job.isEndBeingWritten
     }
 
     /** What the worker's reason for an exit says about the machine, and about when to try the task again. */
--- a/src/main/kotlin/micatally/job/Cancellations.kt
+++ b/src/main/kotlin/micatally/job/Cancellations.kt
@@ -60,11 +60,15 @@
      * its start.
      */
     fun mayConfirm(job: Job): Boolean {
-        if (job.durableState != JobState.CANCELLED || job.attempts.isEmpty() || job.cancellationConfirmable) return true
+        if (job.durableState != JobState.CANCELLED || job.attempts.isEmpty() ||
+            job.isCancellationConfirmable
+        ) {
+            return true
+        }
         val published = job.publishedAt ?: return false
         val isConfirmedByAll = job.confirmedBy.size >= settings.peers.size
-        job.cancellationConfirmable = isConfirmedByAll || nowMs() - published >= settings.cancellationDelayMs
-        return job.cancellationConfirmable
+        job.isCancellationConfirmable = isConfirmedByAll || nowMs() - published >= settings.cancellationDelayMs
+        return job.isCancellationConfirmable
     }
 
     /** The shared keys have changed: tasks that some owner has published. */
@@ -96,23 +100,23 @@
     ): Boolean {
         val isOwn = job.shard.state == ShardState.ACTIVE && job.durableState == JobState.CANCELLED
         val since = now - settings.leaseMs / OVERDUE_SHARE
-        return isOwn && !job.confirmableRecorded &&
+        return isOwn && !job.isConfirmableRecorded &&
             job.attempts.values.any { it.stop == StopReason.CANCELLED && it.stopSinceMs < since }
     }
 
     private fun confirm(job: Job) {
         if (mayConfirm(job)) {
-            job.confirmableRecorded = true
+            job.isConfirmableRecorded = true
             store.touch(job, true)
             return
         }
-        if (job.spreading) return
-        job.spreading = true
+        if (job.isAwaitingConfirmations) return
+        job.isAwaitingConfirmations = true
         scope.launch {
             try {
                 requestConfirmations(job)
             } finally {
-                job.spreading = false
+                job.isAwaitingConfirmations = false
             }
         }
     }
--- a/src/main/kotlin/micatally/job/Job.kt
+++ b/src/main/kotlin/micatally/job/Job.kt
@@ -45,9 +45,9 @@
     // them since, and whether its user may be told.
     var publishedAt: Long? = null
     val confirmedBy = HashSet<String>()
-    var spreading = false
-    var cancellationConfirmable = false
-    var confirmableRecorded = false
+    var isAwaitingConfirmations = false
+    var isCancellationConfirmable = false
+    var isConfirmableRecorded = false
 
     // What the store keeps about writing the record.
     var modRevision = 0L
@@ -63,9 +63,9 @@
     var isBoundLogged = false
     var version = 0L
     var durableVersion = 0L
-    var writing = false
-    var dirtySoon = false
-    var maybeCreated = false
+    var isWriting = false
+    var isWriteScheduled = false
+    var mayHaveBeenCreated = false
     val waiters = ArrayList<Pair<Long, CompletableDeferred<Boolean>>>()
 
     /** The one place where a job changes its state. */
@@ -93,7 +93,7 @@
 
     /** The end of the job is on its way to the state service. Another node may read it there, and tell, before this one
      * hears that it is durable: what this node knows is not enough for an answer then. */
-    val endUnderWay get() = (state == JobState.DONE || state == JobState.CANCELLED) && durableState != state
+    val isEndBeingWritten get() = (state == JobState.DONE || state == JobState.CANCELLED) && durableState != state
 
     val wantsTasks get() = state == JobState.OPEN || state == JobState.NEW
 
--- a/src/main/kotlin/micatally/job/JobRecord.kt
+++ b/src/main/kotlin/micatally/job/JobRecord.kt
@@ -55,7 +55,7 @@
             if (job.doneCount > 0) put("d", ranges(job.done))
             if (final && job.attempts.isEmpty()) return@buildJsonObject
             // Cancelled, and the user may have been told: any node may say so.
-            if (final && job.cancellationConfirmable) put("x", 1)
+            if (final && job.isCancellationConfirmable) put("x", 1)
             put("n", job.nextAttempt)
             put("t", job.submittedAt)
             if (job.service > 0) {
@@ -189,8 +189,8 @@
         job.queue = (o.longOrNull("q") ?: 0L).toInt()
         job.modRevision = modRevision
         job.durableState = state
-        job.cancellationConfirmable = state == JobState.CANCELLED && isCancellationConfirmable(o)
-        job.confirmableRecorded = job.cancellationConfirmable
+        job.isCancellationConfirmable = state == JobState.CANCELLED && isCancellationConfirmable(o)
+        job.isConfirmableRecorded = job.isCancellationConfirmable
         return job
     }
 
--- a/src/main/kotlin/micatally/job/JobStore.kt
+++ b/src/main/kotlin/micatally/job/JobStore.kt
@@ -35,14 +35,14 @@
         isUrgent: Boolean,
     ) {
         job.version++
-        if (job.writing) return
+        if (job.isWriting) return
         if (!isUrgent) {
-            if (job.dirtySoon) return
-            job.dirtySoon = true
+            if (job.isWriteScheduled) return
+            job.isWriteScheduled = true
             scope.launch {
                 delay(countsMs)
-                job.dirtySoon = false
-                if (!job.writing &&
+                job.isWriteScheduled = false
+                if (!job.isWriting &&
                     job.durableVersion < job.version
                 ) {
                     write(job)
@@ -55,7 +55,7 @@
 
     /** Waits until the job's present version is durable; false if the job is not this node's any more, or was refused
      * before any write of it can have been carried out. */
-    suspend fun durable(job: Job): Boolean {
+    suspend fun awaitDurable(job: Job): Boolean {
         if (job.state == JobState.DROPPED) return false
         if (job.durableVersion >= job.version) return true
         val result = CompletableDeferred<Boolean>()
@@ -84,12 +84,12 @@
     }
 
     private fun write(job: Job) {
-        job.writing = true
+        job.isWriting = true
         scope.launch {
             try {
                 writeLoop(job)
             } finally {
-                job.writing = false
+                job.isWriting = false
             }
         }
     }
@@ -132,7 +132,7 @@
                     reread(job)
                 }
             is TransactionResult.Unknown -> {
-                if (job.modRevision == 0L) job.maybeCreated = true
+                if (job.modRevision == 0L) job.mayHaveBeenCreated = true
                 delay(pauseMs)
                 true
             }
@@ -199,7 +199,7 @@
         job: Job,
         pause: Long,
     ): Boolean {
-        if (job.modRevision == 0L && !job.maybeCreated) {
+        if (job.modRevision == 0L && !job.mayHaveBeenCreated) {
             drop(job)
             return false
         }
--- a/src/main/kotlin/micatally/job/JobSubmissions.kt
+++ b/src/main/kotlin/micatally/job/JobSubmissions.kt
@@ -13,7 +13,7 @@
     private val log = LoggerFactory.getLogger("micatally.job")
     private val arrivals = ServiceArrivals(clock.nowMs) { machines.bootMs(null) }
 
-    /** Creates a job of [shard] in memory. The caller has it written, and waits for [JobStore.durable] before it answers. */
+    /** Creates a job of [shard] in memory. The caller has it written, and waits for [JobStore.awaitDurable] before it answers. */
     fun create(
         spec: JobSpec,
         shard: JobShard,
--- a/src/main/kotlin/micatally/scheduling/ReplicaMigration.kt
+++ b/src/main/kotlin/micatally/scheduling/ReplicaMigration.kt
@@ -63,7 +63,7 @@
             }
         if (draining.isEmpty() || checking) return
         val most = maxOf(1, draining.size / MACHINES_A_MOVE)
-        moving.removeIf { !it.a.live || it.a.stop != null || !it.to.promised(it.a.job.jobId, it.a.taskIndex) }
+        moving.removeIf { !it.a.isLive || it.a.stop != null || !it.to.promised(it.a.job.jobId, it.a.taskIndex) }
         // The peers have heard of a promise after a while; whoever was faster has the room.
         val due = moving.filter { now - it.at >= settings.heartbeatIntervalMs / 2 }
         if (due.isNotEmpty()) {
@@ -119,7 +119,7 @@
         val jobId = move.a.job.jobId
         val total = view.machines.total(move.to)
         val ready =
-            move.a.live && move.a.stop == null && move.a.job.pendingCount == 0 &&
+            move.a.isLive && move.a.stop == null && move.a.job.pendingCount == 0 &&
                 move.to.promised(jobId, move.a.taskIndex)
         if (!stateAnswered || !ready || total == null || !view.isUsable(move.to, now) ||
             !move.to.used.fitsIn(total)
--- a/src/main/kotlin/micatally/worker/CommandDispatcher.kt
+++ b/src/main/kotlin/micatally/worker/CommandDispatcher.kt
@@ -303,7 +303,7 @@
         machines.apply(r, true)
         val listed = r.tasks.associateBy { AttemptId(it.jobId, it.taskIndex, it.attempt) }
         for (a in b.covered) {
-            if (!a.live || a.state < AttemptState.DISPATCHED || a.incarnation != incarnation) continue
+            if (!a.isLive || a.state < AttemptState.DISPATCHED || a.incarnation != incarnation) continue
             val id = AttemptId(a.job.jobId, a.taskIndex, a.number)
             val e = listed[id]
             // Its place in the list is known from our own request, made after the intent. A run whose answer was lost
--- a/src/test/kotlin/micatally/sim/MeetingsTest.kt
+++ b/src/test/kotlin/micatally/sim/MeetingsTest.kt
@@ -33,7 +33,7 @@
         vararg more: Pair<String, Any>,
     ) = submit(node, "sweep", taskCount, *more, runMs = 3_600_000)
 
-    /** Guard: the final state of a job is not told from memory while its write is under way ([micatally.job.Job.endUnderWay]). */
+    /** Guard: the final state of a job is not told from memory while its write is under way ([micatally.job.Job.isEndBeingWritten]). */
     @Test
     fun `users ask at all nodes right after a job was accepted, ended or cancelled, and some cancel at once`() =
         each {
@@ -68,7 +68,7 @@
             )
         }
 
-    /** Guard: [micatally.job.Job.endUnderWay] again, here with the one answer lost that tells the owner of the end. */
+    /** Guard: [micatally.job.Job.isEndBeingWritten] again, here with the one answer lost that tells the owner of the end. */
     @Test
     fun `a transaction is carried out and its answer lost while other nodes read what it wrote`() =
         each {
