--- a/src/main/kotlin/micatally/api/UserApi.kt
+++ b/src/main/kotlin/micatally/api/UserApi.kt
@@ -139,7 +139,7 @@
         }
         val job = jobManager.create(spec, shard)
         scheduler.placeJob(job, nowMs())
-        store.touch(job, true)
+        store.requestWrite(job)
         return waitFor(job, 201)
     }
 
--- a/src/main/kotlin/micatally/job/AttemptLifecycle.kt
+++ b/src/main/kotlin/micatally/job/AttemptLifecycle.kt
@@ -94,7 +94,7 @@
         }
         applyExitReason(attempt, termination.reason, ranMs, now)
         gangs.taskTerminated(attempt, termination)
-        store.touch(job, isWriteUrgent(attempt))
+        if (isWriteUrgent(attempt)) store.requestWrite(job) else store.requestWriteLater(job)
         collaborators.requestCycle()
     }
 
@@ -139,7 +139,7 @@
         if (!markDone(job, attempt.taskIndex)) return
         faults.taskCompleted(attempt, nowMs())
         raiseService(job, attempt, ranMs)
-        if (job.state == JobState.DONE) store.touch(job, true)
+        if (job.state == JobState.DONE) store.requestWrite(job)
     }
 
     /**
--- a/src/main/kotlin/micatally/job/Cancellations.kt
+++ b/src/main/kotlin/micatally/job/Cancellations.kt
@@ -107,7 +107,7 @@
     private fun confirm(job: Job) {
         if (mayConfirm(job)) {
             job.isConfirmableRecorded = true
-            store.touch(job, true)
+            store.requestWrite(job)
             return
         }
         if (job.isAwaitingConfirmations) return
--- /dev/null
+++ b/src/main/kotlin/micatally/job/DurabilityWaiter.kt
@@ -0,0 +1,11 @@
+package micatally.job
+
+import kotlinx.coroutines.CompletableDeferred
+
+/** One caller of [JobStore.awaitDurable], which waits until this [version] of its job is durable. */
+class DurabilityWaiter(
+    val version: Long,
+) {
+    /** Completed once: true if the version is durable, false if it never will be. */
+    val isDurable = CompletableDeferred<Boolean>()
+}
--- a/src/main/kotlin/micatally/job/Job.kt
+++ b/src/main/kotlin/micatally/job/Job.kt
@@ -1,6 +1,5 @@
 package micatally.job
 
-import kotlinx.coroutines.CompletableDeferred
 import micatally.gang.Gang
 import micatally.wire.JobAnswer
 import micatally.wire.JobSpec
@@ -66,7 +65,7 @@
     var isWriting = false
     var isWriteScheduled = false
     var mayHaveBeenCreated = false
-    val waiters = ArrayList<Pair<Long, CompletableDeferred<Boolean>>>()
+    val waiters = ArrayList<DurabilityWaiter>()
 
     /** The one place where a job changes its state. */
     fun transitionTo(next: JobState) {
--- a/src/main/kotlin/micatally/job/JobAdoption.kt
+++ b/src/main/kotlin/micatally/job/JobAdoption.kt
@@ -32,7 +32,7 @@
         shard.jobs[record.jobId] = job
         for (placed in JobRecord.placed(plain)) adoptAttempt(job, placed)
         gangs.adopted(job)
-        if (job.state == JobState.CANCELLED && !cancellations.adopted(job)) store.touch(job, true)
+        if (job.state == JobState.CANCELLED && !cancellations.adopted(job)) store.requestWrite(job)
     }
 
     /** Whichever shard the job is in: a controller that has just started must stop its tasks where machines report them. */
--- a/src/main/kotlin/micatally/job/JobCancellation.kt
+++ b/src/main/kotlin/micatally/job/JobCancellation.kt
@@ -20,7 +20,7 @@
         log.info("job {} cancelled with {} tasks", job.jobId, job.attempts.size)
         cancellations.begin(job)
         val machinesToSync = stopAttempts(job)
-        store.touch(job, true)
+        store.requestWrite(job)
         for (machine in machinesToSync) collaborators.requestSync(machine)
     }
 
--- a/src/main/kotlin/micatally/job/JobStore.kt
+++ b/src/main/kotlin/micatally/job/JobStore.kt
@@ -1,12 +1,12 @@
 package micatally.job
 
-import kotlinx.coroutines.CompletableDeferred
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import micatally.archive.RecordLookup
 import micatally.membership.Keys
 import micatally.state.Compare
+import micatally.state.KeyValue
 import micatally.state.ReadResult
 import micatally.state.StateStoreClient
 import micatally.state.Transaction
@@ -14,14 +14,20 @@
 import micatally.state.Urgency
 import org.slf4j.LoggerFactory
 
-/** Writes job records. A record is always written whole, on the condition that the shard is still this node's and
- * that the record is the one last seen: a write whose answer was lost and which comes late then changes nothing. */
+/**
+ * Writes the records of jobs. A record is always written as a whole, on the condition that the shard still has this leader and
+ * that the stored record is the one last seen: a write whose answer was lost and that arrives late then changes nothing.
+ *
+ * @property retryMs the pause after a write that failed or whose outcome is unknown
+ * @property batchMs how long counts of finished tasks wait for more of them
+ * @property mayBeArchived whether the record of a job that is over may have been moved to the archive
+ */
 class JobStore(
     private val scope: CoroutineScope,
     private val state: StateStoreClient,
     private val forms: RecordForms,
-    private val pauseMs: Long,
-    private val countsMs: Long,
+    private val retryMs: Long,
+    private val batchMs: Long,
     private val listener: JobStoreListener,
     private val mayBeArchived: () -> Boolean = { false },
     private val nowMs: () -> Long,
@@ -29,57 +35,61 @@
     private val log = LoggerFactory.getLogger("micatally.job")
     private val lookup = RecordLookup(state, mayBeArchived)
 
-    /** Asks for a write. Intents, ends and new jobs are urgent (see [isUrgent]); counts of finished tasks may wait a little. */
-    fun touch(
-        job: Job,
-        isUrgent: Boolean,
-    ) {
+    /**
+     * Has the job's present version written at once: new jobs, intents, stops and ends. Returns at once; writes of one job
+     * never overlap, and one that is under way is followed by another.
+     */
+    fun requestWrite(job: Job) {
         job.version++
-        if (job.isWriting) return
-        if (!isUrgent) {
-            if (job.isWriteScheduled) return
-            job.isWriteScheduled = true
-            scope.launch {
-                delay(countsMs)
-                job.isWriteScheduled = false
-                if (!job.isWriting &&
-                    job.durableVersion < job.version
-                ) {
-                    write(job)
-                }
-            }
-            return
+        if (!job.isWriting) write(job)
+    }
+
+    /** As [requestWrite], for counts of finished tasks: they may wait a little, so that one write brings several. */
+    fun requestWriteLater(job: Job) {
+        job.version++
+        if (job.isWriting || job.isWriteScheduled) return
+        job.isWriteScheduled = true
+        scope.launch {
+            delay(batchMs)
+            job.isWriteScheduled = false
+            if (!job.isWriting && job.durableVersion < job.version) write(job)
         }
-        write(job)
     }
 
-    /** Waits until the job's present version is durable; false if the job is not this node's any more, or was refused
-     * before any write of it can have been carried out. */
+    /**
+     * Suspends until the job's present version is durable.
+     *
+     * @return false if the job is not led here any more, or was refused before any write of it can have been carried out
+     */
     suspend fun awaitDurable(job: Job): Boolean {
         if (job.state == JobState.DROPPED) return false
         if (job.durableVersion >= job.version) return true
-        val result = CompletableDeferred<Boolean>()
-        job.waiters.add(job.version to result)
-        return result.await()
+        val waiter = DurabilityWaiter(job.version)
+        job.waiters.add(waiter)
+        return waiter.isDurable.await()
     }
 
-    private fun settle(
+    /** Resumes those that wait for what is durable by now. */
+    private fun resumeDurable(job: Job) = resume(job, true) { it.version <= job.durableVersion }
+
+    private fun resume(
         job: Job,
         isDurable: Boolean,
+        isAffected: (DurabilityWaiter) -> Boolean,
     ) {
-        val each = job.waiters.iterator()
-        while (each.hasNext()) {
-            val (version, result) = each.next()
-            if (!isDurable || version <= job.durableVersion) {
-                each.remove()
-                result.complete(isDurable)
-            }
+        val waiters = job.waiters.iterator()
+        while (waiters.hasNext()) {
+            val waiter = waiters.next()
+            if (!isAffected(waiter)) continue
+            waiters.remove()
+            waiter.isDurable.complete(isDurable)
         }
     }
 
+    /** Gives the job up in memory: another controller leads it, or it was never stored. Nothing of it is written any more. */
     fun drop(job: Job) {
         job.transitionTo(JobState.DROPPED)
-        settle(job, false)
+        resume(job, false) { true }
         if (job.shard.isLedHere) listener.jobDropped(job)
     }
 
@@ -110,9 +120,10 @@
         val intended = job.attempts.values.filter { it.state == AttemptState.INTENDED }
     }
 
-    /** False if there is nothing more to write here. */
+    /** @return whether to go on, with what is left to write; false if the job is dropped or its shard lost */
     private suspend fun writeOnce(job: Job): Boolean {
-        val urgency = if (job.modRevision == 0L || job.durableState != job.state) Urgency.ACCEPTANCE else Urgency.INTENT
+        val needsAcceptance = job.modRevision == 0L || job.durableState != job.state
+        val urgency = if (needsAcceptance) Urgency.ACCEPTANCE else Urgency.INTENT
         var snapshot: Snapshot? = null
         val result =
             state.transact(expectedChanges(job), urgency) {
@@ -121,33 +132,36 @@
             }
         return when (result) {
             is TransactionResult.Applied -> {
-                applied(snapshot!!, result.revision)
+                applied(checkNotNull(snapshot) { "a transaction without changes was applied" }, result.revision)
                 true
             }
-            is TransactionResult.Failed ->
-                if (Keys.shard(job.shard.name) in result.keys) {
-                    listener.shardLost(job.shard)
-                    false
-                } else {
-                    reread(job)
-                }
+            is TransactionResult.Failed -> conditionFailed(job, result)
             is TransactionResult.Unknown -> {
                 if (job.modRevision == 0L) job.mayHaveBeenCreated = true
-                delay(pauseMs)
+                delay(retryMs)
                 true
             }
-            is TransactionResult.TooLarge -> notWritten(job, pauseMs * PAUSES_WHEN_TOO_LARGE)
-            else -> notWritten(job, pauseMs)
+            is TransactionResult.TooLarge -> notWritten(job, retryMs * RETRIES_SKIPPED_IF_TOO_LARGE)
+            else -> notWritten(job, retryMs)
         }
     }
 
+    private suspend fun conditionFailed(
+        job: Job,
+        result: TransactionResult.Failed,
+    ): Boolean {
+        if (Keys.shard(job.shard.name) !in result.keys) return reread(job)
+        listener.shardLost(job.shard)
+        return false
+    }
+
     /** The budget is asked before the transaction is put together, so its size is that of the last one. */
     private fun expectedChanges(job: Job): Int {
         val cancelledTasks = if (job.state == JobState.CANCELLED) 1 + job.storedCancelledTasksOverflow else 0
         return 1 + job.storedOverflow + cancelledTasks
     }
 
-    /** A new job is nowhere: the record of one that is over may have been archived. */
+    /** A new job must not be stored anywhere: the record of one that is over may have been archived. */
     private fun conditions(job: Job) =
         listOfNotNull(
             Compare(Keys.shard(job.shard.name), job.shard.leader.modRevision),
@@ -155,7 +169,7 @@
             if (job.modRevision == 0L && mayBeArchived()) Compare(Keys.final(job.jobId), 0L) else null,
         )
 
-    /** Attempts for which the record has no room are given up again before anything of them is sent. */
+    /** Ends attempts for which the record has no room, before anything of them is sent; null if it does not fit even so. */
     private fun snapshot(job: Job): Snapshot? {
         while (true) {
             val fit = forms.fit(job)
@@ -180,71 +194,74 @@
         job.storedCancelledTasksOverflow = snapshot.write.cancelledTasksOverflow
         job.durableVersion = snapshot.version
         job.durableState = if (snapshot.state == JobState.NEW) JobState.OPEN else snapshot.state
-        // The tasks of a cancelled job stand where all nodes watch them for as long as its record has any: a cancellation
-        // that is durable is also known to whoever has contact from then on, a process that starts later included.
-        if (!snapshot.write.listsTasks) {
-            job.publishedAt = null
-        } else if (job.publishedAt ==
-            null
-        ) {
-            job.publishedAt = nowMs()
-        }
+        // The tasks of a cancelled job are listed in the shared keys for as long as its record has any: once a cancellation is
+        // durable, every controller that may be in contact with machines knows it, also one that starts later.
+        job.publishedAt = if (snapshot.write.listsTasks) job.publishedAt ?: nowMs() else null
         if (job.state == JobState.NEW) job.transitionTo(JobState.OPEN)
         if (job.state != JobState.DROPPED) listener.recordWritten(job, snapshot.intended)
-        settle(job, true)
+        resumeDurable(job)
     }
 
-    /** Certainly nothing was carried out. A new job is then refused; any other is tried again later. */
+    /** It is certain that nothing was carried out. A new job is then refused; any other is written again after a pause. */
     private suspend fun notWritten(
         job: Job,
-        pause: Long,
+        pauseMs: Long,
     ): Boolean {
         if (job.modRevision == 0L && !job.mayHaveBeenCreated) {
             drop(job)
             return false
         }
-        delay(pause)
+        delay(pauseMs)
         return true
     }
 
-    /** The record is not the one last seen: an earlier write of ours was carried out after all, or, for a new job,
-     * another node has accepted it. */
+    /**
+     * The stored record is not the one last seen: an earlier write of this process was carried out after all, or, for a new
+     * job, another controller has accepted it. Reads until the record is known.
+     *
+     * @return whether the job is led here still, so that it is to be written on what was read
+     */
     private suspend fun reread(job: Job): Boolean {
         while (job.shard.isLedHere && job.state != JobState.DROPPED) {
             when (val read = lookup.read(job.jobId, Urgency.INTENT)) {
-                is ReadResult.Unavailable -> delay(pauseMs)
+                is ReadResult.Unavailable -> delay(retryMs)
                 is ReadResult.Missing -> {
                     job.modRevision = 0L
                     return true
                 }
-                is ReadResult.Found -> {
-                    val record = read.item.value
-                    if (read.item.key == Keys.final(job.jobId)) {
-                        log.info("job {} is over and was archived", job.jobId)
-                        drop(job)
-                        return false
-                    }
-                    if (JobRecord.shardOf(record) != job.shard.name ||
-                        (job.modRevision == 0L && JobRecord.termOf(record) != job.shard.term)
-                    ) {
-                        log.info("job {} was accepted elsewhere", job.jobId)
-                        drop(job)
-                        return false
-                    }
-                    job.modRevision = read.item.modRevision
-                    job.storedOverflow = maxOf(job.storedOverflow, RecordPacking.overflowCount(record))
-                    return true
-                }
+                is ReadResult.Found -> return resumeFrom(job, read.item)
             }
         }
         return false
     }
 
+    private fun resumeFrom(
+        job: Job,
+        stored: KeyValue,
+    ): Boolean {
+        if (stored.key == Keys.final(job.jobId)) {
+            log.info("job {} is over and was archived", job.jobId)
+            drop(job)
+            return false
+        }
+        val record = stored.value
+        val isOtherShard = JobRecord.shardOf(record) != job.shard.name
+        // The record of a new job is this process's own only if it was written in the same term of leadership.
+        if (isOtherShard || job.modRevision == 0L && JobRecord.termOf(record) != job.shard.term) {
+            log.info("job {} was accepted elsewhere", job.jobId)
+            drop(job)
+            return false
+        }
+        job.modRevision = stored.modRevision
+        job.storedOverflow = maxOf(job.storedOverflow, RecordPacking.overflowCount(record))
+        return true
+    }
+
     private companion object {
         /** A value that is too large stays so until attempts have ended or the format is raised. */
-        const val PAUSES_WHEN_TOO_LARGE = 4
+        const val RETRIES_SKIPPED_IF_TOO_LARGE = 4
 
-        /** One in so many of the undurable attempts is given up at a time. */
+        /** This part of the attempts that are not stored is given up at a time. */
         const val SHARE_GIVEN_UP = 4
     }
 }
--- a/src/main/kotlin/micatally/job/TaskReconciler.kt
+++ b/src/main/kotlin/micatally/job/TaskReconciler.kt
@@ -95,7 +95,7 @@
         if (isRestarted && job.gang == null || !attempts.markDone(job, taskIndex)) return
         // The next run of a gang has nothing left to do; the other tasks of an array go on.
         if (job.gang != null) gangs.stopAll(job, StopReason.GANG_ENDED)
-        store.touch(job, job.state == JobState.DONE)
+        if (job.state == JobState.DONE) store.requestWrite(job) else store.requestWriteLater(job)
     }
 
     /** @return whether a command has to follow */
--- a/src/main/kotlin/micatally/scheduling/AllOrNothingPlacement.kt
+++ b/src/main/kotlin/micatally/scheduling/AllOrNothingPlacement.kt
@@ -79,7 +79,7 @@
         for ((index, task) in tasks.withIndex()) {
             jobManager.place(job, task, assignment.machines[index].machine, attempt)
         }
-        store.touch(job, true)
+        store.requestWrite(job)
         return assignment
     }
 
--- a/src/main/kotlin/micatally/scheduling/ReplicaMigration.kt
+++ b/src/main/kotlin/micatally/scheduling/ReplicaMigration.kt
@@ -48,7 +48,7 @@
                 continue
             }
             jobManager.place(job, task.second, to)
-            store.touch(job, true)
+            store.requestWrite(job)
         }
     }
 
--- a/src/main/kotlin/micatally/scheduling/Scheduler.kt
+++ b/src/main/kotlin/micatally/scheduling/Scheduler.kt
@@ -254,7 +254,7 @@
         val q = queues.current(job)
         if (placed > 0) {
             job.queue = q
-            store.touch(job, true)
+            store.requestWrite(job)
         }
         if (placed < pending.size && !blocked) {
             unplaceable(job, spec, pending.size - placed, now)
