--- a/src/main/kotlin/micatally/archive/ArchivePlan.kt
+++ b/src/main/kotlin/micatally/archive/ArchivePlan.kt
@@ -6,12 +6,12 @@
 import micatally.state.StateLimits
 import micatally.wire.longOrNull
 
-/** What a controller does with the records of jobs that are over. */
+/** What a controller does with the records of jobs that are over, as the operator has set it. */
 enum class ArchiveMode {
     /** They stay where they are. */
     OFF,
 
-    /** They are moved apart from the open ones once all controllers look for them there. */
+    /** They are moved to `final/`, apart from those of open jobs, once all controllers look for them there. */
     ON,
 
     /** Those that were moved are copied back, so that a program which knows nothing of the archive finds them. */
@@ -21,18 +21,20 @@
 /**
  * Decides from the shared keys whether records of jobs that are over may be moved to `final/`.
  *
- * A host announces with a key of its own, never taken back, that each later process of it looks in both places. A live key
- * names whether its process moves records itself, so that one process of another mind stops them all.
+ * A host announces with a key of its own, which is never deleted, that each later process of it looks in both places. A live
+ * key states whether its process moves records itself, so that one process with another [ArchiveMode] stops all the others.
  */
 object ArchivePlan {
-    /** Field of a live key: the process moves records. */
+    /** The field of a live key that states whether the process moves records: 1 if it does. */
     const val LIVE_FIELD = "archive"
 
+    /** Whether all processes of [host] look for records in both places. */
     fun isAnnounced(
         sharedKeys: SharedKeyCache,
         host: String,
     ): Boolean = sharedKeys.has(Keys.archive(host))
 
+    /** Whether records may be moved: all [hosts] look in both places, and none has a process that does not move records. */
     fun mayMove(
         sharedKeys: SharedKeyCache,
         hosts: Collection<String>,
@@ -43,21 +45,21 @@
         host: String,
     ): Boolean = sharedKeys.value(Keys.live(host))?.longOrNull(LIVE_FIELD) == 1L
 
-    /** A move takes place only while exactly these processes are live. */
+    /** The conditions of a move: it takes place only while exactly those processes are live that are known to be now. */
     fun conditions(
         sharedKeys: SharedKeyCache,
         hosts: Collection<String>,
     ): List<Compare> = hosts.map { Compare(Keys.live(it), sharedKeys.modRevision(Keys.live(it))) }
 
-    /** Records that one transaction may move: two changes and two conditions each, beside [otherConditions]. */
+    /** How many records one transaction may move: each takes two writes and two conditions, beside [otherConditions]. */
     fun recordsAtOnce(
         limits: StateLimits,
         otherConditions: Int,
     ): Int {
-        val byConditions = (limits.maxOperationsPerTransaction * CONDITIONS_A_CHANGE - otherConditions) / 2
+        val byConditions = (limits.maxOperationsPerTransaction * CONDITIONS_PER_WRITE - otherConditions) / 2
         return minOf(limits.maxOperationsPerTransaction / 2, byConditions).coerceAtLeast(0)
     }
 
-    /** The protocol allows four times as many conditions as changes. */
-    private const val CONDITIONS_A_CHANGE = 4
+    /** The protocol allows this many times as many conditions as writes. */
+    private const val CONDITIONS_PER_WRITE = 4
 }
--- a/src/main/kotlin/micatally/archive/RecordArchive.kt
+++ b/src/main/kotlin/micatally/archive/RecordArchive.kt
@@ -22,19 +22,22 @@
 import micatally.state.Transaction
 import micatally.state.TransactionResult
 import micatally.state.Urgency
+import micatally.state.Write
 import org.slf4j.LoggerFactory
 
-/** The shards whose jobs this node knows, and the jobs that it still has to do with. */
-interface LoadedShards {
-    /** The shard if this node holds it and has loaded it. */
+/** The shards that this controller leads, as the archive sees them. */
+fun interface LoadedShards {
+    /** The shard if this controller leads it and has loaded it, else null. */
     fun loaded(name: String): JobShard?
 }
 
 /**
- * Moves the records of jobs that are over from `job/`, which a start or takeover lists, to `final/`, which it does not; or
- * copies them back. Works through all records again and again at a small share of this node's changes, so it goes on where
- * another process left off. Each move is one transaction on the condition that the shard is held, that the record is the
- * one read, and that no other process has come: late and repeated ones change nothing.
+ * Moves the records of jobs that are over from `job/`, which is listed at each start and failover, to `final/`, which is not; or
+ * copies them back, see [ArchiveMode]. It walks through all records again and again, at a small share of the writes that this
+ * controller may make, and so continues where another process has stopped.
+ *
+ * Each move is one transaction, on the conditions that the shard still has this leader, that the record is the one read, and
+ * that no other process has started: a transaction that is late or repeated changes nothing.
  */
 class RecordArchive(
     private val scope: CoroutineScope,
@@ -49,12 +52,13 @@
     private val hosts = settings.peers.map { it.host } + settings.host
     private val recordsAtOnce = ArchivePlan.recordsAtOnce(settings.stateLimits, hosts.size + 1)
 
-    /** Records that the state service does not take at the other place. */
-    private val refused = HashSet<String>()
+    /** Jobs whose records the state service does not take at the other place. */
+    private val refusedJobIds = HashSet<String>()
 
-    /** Whether a record may be in `final/`: only if this host, too, has announced that it looks there. */
+    /** Whether a record may be in `final/`: no controller moves any before this host, too, has announced that it looks there. */
     val mayBeUsed get() = mode == ArchiveMode.ON || ArchivePlan.isAnnounced(sharedKeys, settings.host)
 
+    /** Starts the walks, unless [mode] is [ArchiveMode.OFF]. Returns at once. */
     fun start() {
         if (mode == ArchiveMode.OFF) return
         if (recordsAtOnce == 0) {
@@ -75,12 +79,12 @@
     private suspend fun archive() {
         announce()
         if (!ArchivePlan.mayMove(sharedKeys, hosts)) return
-        val moved = walk(Keys.JOB) { shard, some -> move(shard, some) } ?: return
+        val moved = walk(Keys.JOB) { shard, items -> move(shard, items) } ?: return
         if (moved > 0) log.info("{} records of jobs that are over were archived", moved)
     }
 
     private suspend fun restore() {
-        val copied = walk(Keys.FINAL) { shard, some -> copyBack(shard, some) } ?: return
+        val copied = walk(Keys.FINAL) { shard, items -> copyBack(shard, items) } ?: return
         if (copied == 0 && shards.loaded(settings.host) != null) {
             log.info("all archived records of this node's shards are back")
         } else {
@@ -88,7 +92,7 @@
         }
     }
 
-    /** Only by a process that holds its own shard: what a former one wrote, and comes late, then fails on the shard. */
+    /** Only a process that leads its own shard announces: a late write of a former process then fails on that condition. */
     private suspend fun announce() {
         if (ArchivePlan.isAnnounced(sharedKeys, settings.host)) return
         val key = Keys.archive(settings.host)
@@ -102,30 +106,42 @@
         if (result is TransactionResult.Applied) log.info("announced that this host looks for archived records")
     }
 
-    /** Hands the settled records under [prefix] to [act], those of one shard together; returns how many it dealt with, or
-     * null if not all could be read. */
+    /**
+     * Passes the settled records under [prefix] to [process] in batches of one shard each, with pauses between them.
+     *
+     * @param process handles a batch and returns how many of its records it dealt with
+     * @return how many records were dealt with, or null if not all could be read
+     */
     private suspend fun walk(
         prefix: String,
-        act: suspend (JobShard, List<KeyValue>) -> Int,
+        process: suspend (JobShard, List<KeyValue>) -> Int,
     ): Int? {
         var after: String? = null
         var count = 0
         while (true) {
             val page = ArrayList<KeyValue>()
             val listing = state.page(prefix, Urgency.SUMMARY, after) { page.addAll(it) } ?: return null
-            for ((shard, items) in settledByLedger(page, prefix)) {
-                for (some in batches(items)) {
-                    if (!shard.isLedHere) break
-                    count += act(shard, some)
-                    delay(pauseMs(some.size))
-                }
-            }
+            for ((shard, items) in settledByShard(page, prefix)) count += processBatches(shard, items, process)
             after = listing.lastKey
             if (!listing.hasMore || after == null) return count
         }
     }
 
-    private fun settledByLedger(
+    private suspend fun processBatches(
+        shard: JobShard,
+        items: List<KeyValue>,
+        process: suspend (JobShard, List<KeyValue>) -> Int,
+    ): Int {
+        var count = 0
+        for (batch in batches(items)) {
+            if (!shard.isLedHere) break
+            count += process(shard, batch)
+            delay(pauseMs(batch.size))
+        }
+        return count
+    }
+
+    private fun settledByShard(
         page: List<KeyValue>,
         prefix: String,
     ): Map<JobShard, List<KeyValue>> {
@@ -133,28 +149,28 @@
         for (item in page) {
             val jobId = item.key.removePrefix(prefix)
             val shard = shardOf(jobId, item) ?: continue
-            // A job that this node still knows may be written once more.
-            if (jobId in shard.jobs || jobId in refused) continue
+            // A job that is still in memory may be written once more.
+            if (jobId in shard.jobs || jobId in refusedJobIds) continue
             found.getOrPut(shard) { ArrayList() }.add(item)
         }
         return found
     }
 
-    /** Null if the record is open, unreadable, or of a shard that this node does not hold. */
+    /** Null if the job is open, its record unreadable, or its shard not loaded here. */
     private fun shardOf(
         jobId: String,
         item: KeyValue,
     ): JobShard? =
         try {
-            readable(
-                jobId,
-            ) { if (JobRecord.isSettled(item.value)) shards.loaded(JobRecord.shardOf(item.value)) else null }
+            readable(jobId) {
+                if (JobRecord.isSettled(item.value)) shards.loaded(JobRecord.shardOf(item.value)) else null
+            }
         } catch (e: UnreadableRecord) {
             log.debug("not archived: {}", e.message)
             null
         }
 
-    /** As many as fit in a transaction, by count and by size. */
+    /** Splits the records into as many per batch as fit in a transaction, by count and by size. */
     private fun batches(items: List<KeyValue>): List<List<KeyValue>> {
         val batches = ArrayList<MutableList<KeyValue>>()
         var bytes = 0
@@ -172,24 +188,24 @@
         return batches
     }
 
-    /** Keeps to a share of the changes that this node may make. */
+    /** The pause that keeps the walk to its share of the writes that this controller may make. */
     private fun pauseMs(records: Int): Long {
-        val changesASecond = settings.stateWriteRps / settings.controllers * SHARE_OF_WRITES
-        return (records * 2 * MS_A_SECOND / changesASecond).toLong()
+        val writesPerSecond = settings.stateWriteRps / settings.controllers * SHARE_OF_WRITES
+        return (records * 2 * MS_PER_SECOND / writesPerSecond).toLong()
     }
 
+    /** @return how many of the records are in the archive alone now */
     private suspend fun move(
         shard: JobShard,
         items: List<KeyValue>,
     ): Int {
         val result =
             state.transact(items.size * 2, Urgency.SUMMARY) {
-                if (!shard.isLedHere || !ArchivePlan.mayMove(sharedKeys, hosts)) return@transact null
-                val conditions =
-                    items.flatMap { listOf(Compare(it.key, it.modRevision), Compare(finalKey(it), 0)) } +
-                        Compare(Keys.shard(shard.name), shard.leader.modRevision) +
-                        ArchivePlan.conditions(sharedKeys, hosts)
-                Transaction(conditions, items.flatMap { listOf(Delete(it.key), Put(finalKey(it), it.value)) })
+                transactionOfMove(
+                    shard,
+                    items.flatMap { listOf(Compare(it.key, it.modRevision), Compare(finalKey(it), 0)) },
+                    items.flatMap { listOf(Delete(it.key), Put(finalKey(it), it.value)) },
+                )
             }
         return when (result) {
             is TransactionResult.Applied -> items.size
@@ -197,42 +213,58 @@
                 val restored = items.filter { finalKey(it) in result.keys }
                 restored.count { removeCopy(shard, it) }
             }
-            is TransactionResult.TooLarge -> tooLarge(shard, items)
+            is TransactionResult.TooLarge -> moveEach(shard, items)
             else -> 0
         }
     }
 
-    /** What was copied back is in both places; the copy goes, if the archive has the same. */
+    /** Null if records of the shard may not be moved by this process, or not at this time. */
+    private fun transactionOfMove(
+        shard: JobShard,
+        recordConditions: List<Compare>,
+        writes: List<Write>,
+    ): Transaction? {
+        if (!shard.isLedHere || !ArchivePlan.mayMove(sharedKeys, hosts)) return null
+        return Transaction(recordConditions + isLedHere(shard) + ArchivePlan.conditions(sharedKeys, hosts), writes)
+    }
+
+    private fun isLedHere(shard: JobShard) = Compare(Keys.shard(shard.name), shard.leader.modRevision)
+
+    /** A record that was copied back is in both places. The copy is deleted if the archive has the same value. */
     private suspend fun removeCopy(
         shard: JobShard,
         item: KeyValue,
     ): Boolean {
-        val final = state.get(finalKey(item), Urgency.SUMMARY)
-        if (final !is ReadResult.Found || final.item.value != item.value) return false
+        val archived = state.get(finalKey(item), Urgency.SUMMARY)
+        if (archived !is ReadResult.Found || archived.item.value != item.value) return false
         val result =
             state.transact(1, Urgency.SUMMARY) {
-                if (!shard.isLedHere || !ArchivePlan.mayMove(sharedKeys, hosts)) return@transact null
-                val conditions =
+                transactionOfMove(
+                    shard,
                     listOf(
                         Compare(item.key, item.modRevision),
-                        Compare(finalKey(item), final.item.modRevision),
-                        Compare(Keys.shard(shard.name), shard.leader.modRevision),
-                    ) + ArchivePlan.conditions(sharedKeys, hosts)
-                Transaction(conditions, listOf(Delete(item.key)))
+                        Compare(finalKey(item), archived.item.modRevision),
+                    ),
+                    listOf(Delete(item.key)),
+                )
             }
         return result is TransactionResult.Applied
     }
 
-    /** The limits may have been lowered since the record was written: it stays where it is. */
-    private suspend fun tooLarge(
+    /**
+     * Moves the records one by one. One that is too large even alone stays where it is: the limits may have been lowered since
+     * it was written.
+     */
+    private suspend fun moveEach(
         shard: JobShard,
         items: List<KeyValue>,
     ): Int {
         if (items.size > 1) return items.sumOf { move(shard, listOf(it)) }
-        refused.add(items.single().key.removePrefix(Keys.JOB))
+        refusedJobIds.add(items.single().key.removePrefix(Keys.JOB))
         return 0
     }
 
+    /** @return how many of the records were copied, or may still have to be */
     private suspend fun copyBack(
         shard: JobShard,
         items: List<KeyValue>,
@@ -240,10 +272,8 @@
         val result =
             state.transact(items.size, Urgency.SUMMARY) {
                 if (!shard.isLedHere) return@transact null
-                val conditions =
-                    items.flatMap { listOf(Compare(jobKey(it), 0), Compare(it.key, it.modRevision)) } +
-                        Compare(Keys.shard(shard.name), shard.leader.modRevision)
-                Transaction(conditions, items.map { Put(jobKey(it), it.value) })
+                val recordConditions = items.flatMap { listOf(Compare(jobKey(it), 0), Compare(it.key, it.modRevision)) }
+                Transaction(recordConditions + isLedHere(shard), items.map { Put(jobKey(it), it.value) })
             }
         return when (result) {
             is TransactionResult.Applied -> items.size
@@ -252,7 +282,7 @@
                 when {
                     missing.isEmpty() -> 0
                     missing.size < items.size -> copyBack(shard, missing)
-                    // The shard has changed hands; whether they are there is not known.
+                    // The shard has another leader now; whether the records are there is not known.
                     else -> items.size
                 }
             }
@@ -267,7 +297,7 @@
     private companion object {
         const val LEASES_BETWEEN_WALKS = 2
         const val SHARE_OF_WRITES = 0.125
-        const val MS_A_SECOND = 1000.0
+        const val MS_PER_SECOND = 1000.0
 
         /** The keys and conditions of one record in a transaction. */
         const val KEY_BYTES = 250
--- a/src/main/kotlin/micatally/archive/RecordLookup.kt
+++ b/src/main/kotlin/micatally/archive/RecordLookup.kt
@@ -6,15 +6,19 @@
 import micatally.state.Urgency
 
 /**
- * Reads a job's record wherever it is. A record moves from `job/` to `final/` in one transaction and is never taken from
- * there, so one that is missed by the first read is found by the second.
+ * Reads a job's record, archived or not. A record moves from `job/` to `final/` in one transaction and is never deleted there,
+ * so one that the first read misses since it was just moved is found by the second.
  */
 class RecordLookup(
     private val state: StateStoreClient,
     private val mayBeArchived: () -> Boolean,
 ) {
-    /** @param onSend runs when the first request leaves: what is asked from then on may be newer than the answer
-     * @param beforeSecond runs before the second request, where one is needed */
+    /**
+     * Suspends until the record is read from one place or the other.
+     *
+     * @param beforeSecond runs before the second request, where one is needed
+     * @param onSend runs when the first request is sent: questions asked after that may be about something newer than the result
+     */
     suspend fun read(
         jobId: String,
         urgency: Urgency,
