--- a/src/main/kotlin/micatally/api/UserApi.kt
+++ b/src/main/kotlin/micatally/api/UserApi.kt
@@ -2,7 +2,6 @@
 
 import com.google.common.cache.CacheBuilder
 import kotlinx.coroutines.withTimeoutOrNull
-import kotlinx.serialization.json.JsonObject
 import micatally.archive.RecordLookup
 import micatally.http.HttpRequest
 import micatally.http.HttpResponse
@@ -235,7 +234,7 @@
             is ReadResult.Missing -> Look.Missing
             is ReadResult.Found ->
                 try {
-                    readable(jobId) { judge(jobId, found.item.value) }
+                    readable(jobId) { judge(jobId, JobRecord(found.item.value)) }
                 } catch (e: UnreadableRecord) {
                     Look.Unclear
                 }
@@ -244,21 +243,21 @@
 
     private fun judge(
         jobId: String,
-        record: JsonObject,
+        record: JobRecord,
     ): Look {
-        shardOf.put(jobId, JobRecord.shardOf(record))
+        shardOf.put(jobId, record.shard)
         // Cancelled, but not all controllers know of it yet: only its owner can tell when they do.
-        if (!JobRecord.isCancellationConfirmable(record)) return Look.Unclear
+        if (!record.isCancellationConfirmable) return Look.Unclear
         return Look.Known(fromRecord(jobId, record))
     }
 
     private fun fromRecord(
         jobId: String,
-        o: JsonObject,
+        record: JobRecord,
     ): JobAnswer {
-        val tasks = JobRecord.attemptCount(o)
+        val tasks = record.attemptCount
         val status =
-            when (JobRecord.state(o)) {
+            when (record.state) {
                 JobState.DONE -> JobAnswer.DONE
                 JobState.CANCELLED -> JobAnswer.CANCELLED
                 else -> if (tasks > 0) JobAnswer.RUNNING else JobAnswer.PENDING
@@ -266,7 +265,7 @@
         return JobAnswer(
             jobId,
             status,
-            JobRecord.doneCount(o),
+            record.doneCount,
             if (status ==
                 JobAnswer.RUNNING
             ) {
--- a/src/main/kotlin/micatally/archive/RecordArchive.kt
+++ b/src/main/kotlin/micatally/archive/RecordArchive.kt
@@ -163,7 +163,8 @@
     ): JobShard? =
         try {
             readable(jobId) {
-                if (JobRecord.isSettled(item.value)) shards.loaded(JobRecord.shardOf(item.value)) else null
+                val record = JobRecord(item.value)
+                if (record.isSettled) shards.loaded(record.shard) else null
             }
         } catch (e: UnreadableRecord) {
             log.debug("not archived: {}", e.message)
--- a/src/main/kotlin/micatally/job/Cancellations.kt
+++ b/src/main/kotlin/micatally/job/Cancellations.kt
@@ -6,8 +6,6 @@
 import micatally.membership.SharedKeyCache
 import micatally.settings.Settings
 import micatally.wire.CancelledTask
-import micatally.wire.asLong
-import micatally.wire.asText
 import micatally.worker.CancelledTasks
 
 /** Cancelled jobs of this node's shards, and when their users may hear that they are cancelled. */
@@ -31,15 +29,12 @@
         pending
             .filter {
                 it.durableState == JobState.CANCELLED
-            }.flatMap { tasksOf(it) }
-
-    fun tasksOf(job: Job): List<CancelledTask> =
-        job.attempts.values.map { CancelledTask(it.machine.name, job.jobId, it.taskIndex, it.number) }
+            }.flatMap { it.cancelledTasks() }
 
     fun begin(job: Job) {
         pending.add(job)
         // Its machines may report here and still not be reached by an order.
-        cancelledTasks.take(tasksOf(job))
+        cancelledTasks.take(job.cancelledTasks())
     }
 
     /** After a takeover; false if the job's tasks have yet to be published. */
@@ -80,8 +75,7 @@
                 sharedKeys.value(Keys.cancelledTasksPart(jobId, it))
                     ?: return
             }
-        val rows = CancelledTasksValue.rows(RecordPacking.unpack(main, parts))
-        cancelledTasks.take(rows.map { CancelledTask(it[0].asText(), jobId, it[1].asLong().toInt(), it[2].asLong()) })
+        cancelledTasks.take(CancelledTasksValue.decode(jobId, RecordPacking.unpack(main, parts)))
     }
 
     /**
--- a/src/main/kotlin/micatally/job/Job.kt
+++ b/src/main/kotlin/micatally/job/Job.kt
@@ -1,6 +1,7 @@
 package micatally.job
 
 import micatally.gang.Gang
+import micatally.wire.CancelledTask
 import micatally.wire.JobAnswer
 import micatally.wire.JobSpec
 import java.util.BitSet
@@ -96,7 +97,11 @@
 
     val wantsTasks get() = state == JobState.OPEN || state == JobState.NEW
 
-    /** The lap numbers that neither are done nor have an attempt, lowest first. */
+    /** The attempts as other controllers are told of them when the job is cancelled. */
+    fun cancelledTasks(): List<CancelledTask> =
+        attempts.values.map { CancelledTask(it.machine.name, jobId, it.taskIndex, it.number) }
+
+    /** The indices of the tasks that neither are done nor have an attempt: the lowest ones, [limit] of them at most. */
     fun pending(limit: Int): List<Int> {
         val out = ArrayList<Int>()
         var taskIndex = done.nextClearBit(0)
--- a/src/main/kotlin/micatally/job/JobAdoption.kt
+++ b/src/main/kotlin/micatally/job/JobAdoption.kt
@@ -1,6 +1,5 @@
 package micatally.job
 
-import kotlinx.serialization.json.JsonObject
 import micatally.gang.GangSupervisor
 import micatally.wire.CancelledTask
 import micatally.worker.MachineRegistry
@@ -20,27 +19,27 @@
         record: ShardRecord,
     ) {
         noteCancelledTasks(record)
-        if (JobRecord.shardOf(record.stored) != shard.name) return
+        if (record.stored.shard != shard.name) return
         if (isPresent(shard, record.jobId, record.stored)) return
         val plain = record.plain ?: return
-        val job = JobRecord.decode(record.jobId, plain, shard, record.modRevision)
-        if (JobRecord.isSettled(plain)) {
+        val job = JobRecordCodec.decode(record.jobId, plain, shard, record.modRevision)
+        if (plain.isSettled) {
             finalAnswers.remember(job.answer())
             return
         }
-        job.storedOverflow = RecordPacking.overflowCount(record.stored)
+        job.storedOverflow = RecordPacking.overflowCount(record.stored.json)
         shard.jobs[record.jobId] = job
-        for (placed in JobRecord.placed(plain)) adoptAttempt(job, placed)
+        for (attempt in plain.attempts) adoptAttempt(job, attempt)
         gangs.adopted(job)
         if (job.state == JobState.CANCELLED && !cancellations.adopted(job)) store.requestWrite(job)
     }
 
     /** Whichever shard the job is in: a controller that has just started must stop its tasks where machines report them. */
     private fun noteCancelledTasks(record: ShardRecord) {
-        if (record.plain == null || JobRecord.state(record.stored) != JobState.CANCELLED) return
-        val tasks = JobRecord.placed(record.plain)
+        if (record.plain == null || record.stored.state != JobState.CANCELLED) return
+        val tasks = record.plain.attempts
         cancellations.cancelledTasks.take(
-            tasks.map { CancelledTask(it.machine, record.jobId, it.taskIndex, it.number) },
+            tasks.map { CancelledTask(it.machine.name, record.jobId, it.taskIndex, it.number) },
         )
     }
 
@@ -48,10 +47,10 @@
     fun rememberSettled(
         shard: JobShard,
         jobId: String,
-        record: JsonObject,
+        record: JobRecord,
     ) {
         if (!shard.isLedHere || isPresent(shard, jobId, record)) return
-        finalAnswers.remember(JobRecord.decode(jobId, record, shard, 0L).answer())
+        finalAnswers.remember(JobRecordCodec.decode(jobId, record, shard, 0L).answer())
     }
 
     /**
@@ -62,10 +61,10 @@
     private fun isPresent(
         shard: JobShard,
         jobId: String,
-        record: JsonObject,
+        record: JobRecord,
     ): Boolean {
         val present = shard.jobs[jobId] ?: return false
-        if (present.durableState != JobState.NEW || JobRecord.termOf(record) == shard.term) return true
+        if (present.durableState != JobState.NEW || record.term == shard.term) return true
         store.drop(present)
         return false
     }
@@ -73,17 +72,19 @@
     /** Whether the attempt was sent is not known, so it counts as sent. */
     private fun adoptAttempt(
         job: Job,
-        placed: JobRecord.Placed,
+        stored: StoredAttempt,
     ) {
-        val machine = machines.known(placed.machine, placed.addr, placed.type, placed.zone, placed.spot)
-        if (machine.incarnation == 0L) machine.incarnation = placed.incarnation
+        val described = stored.machine
+        val machine =
+            machines.known(described.name, described.addr, described.type, described.zone, described.isSpot)
+        if (machine.incarnation == 0L) machine.incarnation = described.incarnation
         attempts.attach(
             Attempt(
                 job,
-                placed.taskIndex,
-                placed.number,
+                stored.taskIndex,
+                stored.number,
                 machine,
-                placed.incarnation,
+                described.incarnation,
                 job.service,
                 AttemptState.DISPATCHED,
             ),
--- a/src/main/kotlin/micatally/job/JobStore.kt
+++ b/src/main/kotlin/micatally/job/JobStore.kt
@@ -244,16 +244,16 @@
             drop(job)
             return false
         }
-        val record = stored.value
-        val isOtherShard = JobRecord.shardOf(record) != job.shard.name
+        val record = JobRecord(stored.value)
+        val isOtherShard = record.shard != job.shard.name
         // The record of a new job is this process's own only if it was written in the same term of leadership.
-        if (isOtherShard || job.modRevision == 0L && JobRecord.termOf(record) != job.shard.term) {
+        if (isOtherShard || job.modRevision == 0L && record.term != job.shard.term) {
             log.info("job {} was accepted elsewhere", job.jobId)
             drop(job)
             return false
         }
         job.modRevision = stored.modRevision
-        job.storedOverflow = maxOf(job.storedOverflow, RecordPacking.overflowCount(record))
+        job.storedOverflow = maxOf(job.storedOverflow, RecordPacking.overflowCount(stored.value))
         return true
     }
 
--- a/src/main/kotlin/micatally/job/RecordPacking.kt
+++ b/src/main/kotlin/micatally/job/RecordPacking.kt
@@ -1,11 +1,9 @@
 package micatally.job
 
 import kotlinx.serialization.json.Json
-import kotlinx.serialization.json.JsonArray
 import kotlinx.serialization.json.JsonObject
 import kotlinx.serialization.json.JsonPrimitive
 import kotlinx.serialization.json.buildJsonObject
-import micatally.wire.listOrNull
 import micatally.wire.longOrNull
 import micatally.wire.textOrNull
 import java.io.ByteArrayInputStream
@@ -14,7 +12,11 @@
 import java.util.zip.DeflaterOutputStream
 import java.util.zip.InflaterInputStream
 
-/** A value that was too large for the state service, compressed into one value and, if need be, some more. */
+/**
+ * A value in the form in which it is stored.
+ *
+ * @property overflow further values, if the value is too large for one
+ */
 class PackedValue(
     val main: JsonObject,
     val overflow: List<JsonObject>,
@@ -30,28 +32,35 @@
     private const val OVERFLOW_COUNT = "p"
     private const val CHUNK = "b"
 
-    /** Room that the names of the fields take in a value. */
+    /** An upper bound of the bytes that the names of the fields take in a value. */
     private const val FIELD_BYTES = 32
 
+    /** The bytes that the value takes in the state service. */
     fun size(value: JsonObject): Int = value.toString().encodeToByteArray().size
 
+    /** Whether [value] is the main value of a compressed one. */
     fun isPacked(value: JsonObject): Boolean = DATA in value
 
+    /** How many further values belong to the main [value]. */
     fun overflowCount(value: JsonObject): Int = value.longOrNull(OVERFLOW_COUNT)?.toInt() ?: 0
 
-    /** Null if the value does not fit in one value and [most] further ones. */
+    /**
+     * Compresses [value] beside [plainFields], which stay readable without unpacking; no value is larger than [valueBytes].
+     *
+     * @return null if it does not fit in one value and [maxOverflow] further ones
+     */
     fun pack(
         value: JsonObject,
         plainFields: JsonObject,
         valueBytes: Int,
-        most: Int,
+        maxOverflow: Int,
     ): PackedValue? {
         val text = Base64.getEncoder().encodeToString(deflate(value.toString()))
         val firstLength = valueBytes - FIELD_BYTES - size(plainFields)
         val chunkLength = valueBytes - FIELD_BYTES
         if (firstLength <= 0) return null
         val rest = text.drop(firstLength).chunked(chunkLength)
-        if (rest.size > most) return null
+        if (rest.size > maxOverflow) return null
         val main =
             buildJsonObject {
                 for ((name, field) in plainFields) put(name, field)
@@ -61,7 +70,7 @@
         return PackedValue(main, rest.map { chunk -> buildJsonObject { put(CHUNK, JsonPrimitive(chunk)) } })
     }
 
-    /** The value that was packed; [main] itself if it was not. */
+    /** The value that was packed into [main] and all of its [overflow], in their order; [main] itself if it is not packed. */
     fun unpack(
         main: JsonObject,
         overflow: List<JsonObject>,
@@ -80,12 +89,3 @@
     private fun inflate(bytes: ByteArray): String =
         InflaterInputStream(ByteArrayInputStream(bytes)).use { it.readBytes() }.decodeToString()
 }
-
-/** The rows of a kill list: the tasks of a cancelled job that are not proven gone. */
-object CancelledTasksValue {
-    private const val ROWS = "tasks"
-
-    fun of(rows: JsonArray) = JsonObject(mapOf(ROWS to rows))
-
-    fun rows(value: JsonObject): List<JsonArray> = (value.listOrNull(ROWS) ?: emptyList()).map { it as JsonArray }
-}
--- a/src/main/kotlin/micatally/job/RecordWrite.kt
+++ b/src/main/kotlin/micatally/job/RecordWrite.kt
@@ -8,11 +8,11 @@
 import micatally.state.Write
 
 /**
- * The changes that bring a job's record, and the kill list beside it, to the state service in one transaction.
+ * The writes of one transaction that store a job's record and, if the job is cancelled, the list of its cancelled tasks.
  *
  * @property overflow how many further values the record takes
- * @property killOverflow how many further values the kill list takes
- * @property listsTasks whether the transaction holds a kill list
+ * @property cancelledTasksOverflow how many further values the list takes
+ * @property listsTasks whether the transaction writes such a list
  */
 class RecordWrite(
     val changes: List<Write>,
@@ -21,40 +21,42 @@
     val listsTasks: Boolean,
 )
 
-/** Whether a job fits in the state service as it is. */
+/** Whether a job's record, as the job is now, fits in the state service. */
 sealed interface RecordFit {
+    /** It does, by this write. */
     class Fits(
         val write: RecordWrite,
     ) : RecordFit
 
-    /** Too large even so; fewer attempts have to be on machines. */
+    /** It does not, in any form that may be written; the job must have fewer attempts. */
     data object TooLarge : RecordFit
 }
 
 /**
  * Chooses the form in which a job is stored: plain while it fits in one value, as every version reads it; compressed and
- * split beyond that, once all controllers understand it. Until then a record that an older program has made larger
- * keeps its form, which the service still takes.
+ * split beyond that, once all controllers understand this. Until then a record that an older program has made larger
+ * stays plain, which the state service still takes.
  */
 class RecordForms(
     val limits: StateLimits,
     private val mayPack: () -> Boolean,
 ) {
+    /** Puts together what stores the job as it is now. */
     fun fit(job: Job): RecordFit {
-        val record = JobRecord.encode(job)
+        val record = JobRecordCodec.encode(job)
         val listsTasks = job.state == JobState.CANCELLED && job.attempts.isNotEmpty()
-        val main = form(record) { JobRecord.summary(job, record) } ?: return RecordFit.TooLarge
+        val main = form(record) { JobRecordCodec.summary(job, record) } ?: return RecordFit.TooLarge
         val cancelledTasks =
             if (listsTasks) {
-                form(JobRecord.encodeTasks(job)) { EMPTY } ?: return RecordFit.TooLarge
+                form(CancelledTasksValue.encode(job.cancelledTasks())) { EMPTY } ?: return RecordFit.TooLarge
             } else {
                 null
             }
         return RecordFit.Fits(write(job, main, cancelledTasks))
     }
 
-    /** Whether new attempts have to wait: the plain form is kept within the limits to come, also while it need not be. */
-    fun isFull(job: Job): Boolean = !mayPack() && RecordPacking.size(JobRecord.encode(job)) > limits.valueBytes
+    /** Whether new attempts have to wait: a plain record is kept within [limits] from now on, though a larger one is still taken. */
+    fun isFull(job: Job): Boolean = !mayPack() && RecordPacking.size(JobRecordCodec.encode(job)) > limits.valueBytes
 
     private fun form(
         value: JsonObject,
--- a/src/main/kotlin/micatally/job/ShardRecords.kt
+++ b/src/main/kotlin/micatally/job/ShardRecords.kt
@@ -1,7 +1,6 @@
 package micatally.job
 
 import kotlinx.coroutines.CancellationException
-import kotlinx.serialization.json.JsonObject
 import micatally.membership.Keys
 import micatally.state.KeyValue
 import micatally.state.StateStoreClient
@@ -17,8 +16,8 @@
  */
 class ShardRecord(
     val jobId: String,
-    val stored: JsonObject,
-    val plain: JsonObject?,
+    val stored: JobRecord,
+    val plain: JobRecord?,
     val modRevision: Long,
 )
 
@@ -64,7 +63,7 @@
      */
     suspend fun of(
         shard: JobShard,
-        onSettled: (jobId: String, record: JsonObject) -> Unit,
+        onSettled: (jobId: String, record: JobRecord) -> Unit,
     ): List<ShardRecord>? {
         val open = ArrayList<KeyValue>()
         state.eachPage(Keys.JOB, Urgency.LEASE) { page ->
@@ -78,13 +77,13 @@
         item: KeyValue,
         shard: JobShard,
         open: MutableList<KeyValue>,
-        onSettled: (jobId: String, record: JsonObject) -> Unit,
+        onSettled: (jobId: String, record: JobRecord) -> Unit,
     ) {
         try {
-            readable(refOf(item)) { sort(item, shard, open, onSettled) }
+            readable(jobIdOf(item)) { sort(item, shard, open, onSettled) }
         } catch (e: UnreadableRecord) {
-            if (JobRecord.shardOrNull(item.value) == shard.name) throw e
-            if (unreadable.add(refOf(item))) log.error("{}", e.message)
+            if (JobRecord(item.value).shardOrNull == shard.name) throw e
+            if (unreadable.add(jobIdOf(item))) log.error("{}", e.message)
         }
     }
 
@@ -92,17 +91,18 @@
         item: KeyValue,
         shard: JobShard,
         open: MutableList<KeyValue>,
-        onSettled: (jobId: String, record: JsonObject) -> Unit,
+        onSettled: (jobId: String, record: JobRecord) -> Unit,
     ) {
-        val isOwn = JobRecord.shardOf(item.value) == shard.name
-        if (!JobRecord.isSettled(item.value)) {
-            if (isOwn || JobRecord.state(item.value) == JobState.CANCELLED) open.add(item)
+        val record = JobRecord(item.value)
+        val isOwn = record.shard == shard.name
+        if (!record.isSettled) {
+            if (isOwn || record.state == JobState.CANCELLED) open.add(item)
         } else if (isOwn) {
-            onSettled(refOf(item), item.value)
+            onSettled(jobIdOf(item), record)
         }
     }
 
-    private fun refOf(item: KeyValue) = item.key.removePrefix(Keys.JOB)
+    private fun jobIdOf(item: KeyValue) = item.key.removePrefix(Keys.JOB)
 
     /**
      * A record's further values have its revision, since one transaction writes them. Nobody else writes records of a shard
@@ -116,14 +116,21 @@
         val parts = if (isSplit) state.list(Keys.JOB_PART, Urgency.LEASE) ?: return null else null
         val partOf = parts?.items?.associateBy { it.key } ?: emptyMap()
         return items.map { item ->
-            val jobId = refOf(item)
-            val isOwn = JobRecord.shardOf(item.value) == shard.name
-            val overflow = (0 until RecordPacking.overflowCount(item.value)).map { partOf[Keys.jobPart(jobId, it)] }
-            val isWhole = overflow.all { it != null && it.modRevision == item.modRevision }
+            val jobId = jobIdOf(item)
+            val isOwn = JobRecord(item.value).shard == shard.name
+            val partCount = RecordPacking.overflowCount(item.value)
+            val overflow = (0 until partCount).mapNotNull { partOf[Keys.jobPart(jobId, it)] }
+            val isWhole = overflow.size == partCount && overflow.all { it.modRevision == item.modRevision }
             if (!isWhole && isOwn && jobId !in shard.jobs) return null
             val plain =
-                if (isWhole) readable(jobId) { RecordPacking.unpack(item.value, overflow.map { it!!.value }) } else null
-            ShardRecord(jobId, item.value, plain, item.modRevision)
+                if (isWhole) {
+                    readable(
+                        jobId,
+                    ) { JobRecord(RecordPacking.unpack(item.value, overflow.map { it.value })) }
+                } else {
+                    null
+                }
+            ShardRecord(jobId, JobRecord(item.value), plain, item.modRevision)
         }
     }
 }
--- a/src/main/kotlin/micatally/peer/Peers.kt
+++ b/src/main/kotlin/micatally/peer/Peers.kt
@@ -327,7 +327,7 @@
      * the state service: see [micatally.job.Cancellations.mayConfirm]. */
     suspend fun spread(job: Job) {
         if (job.publishedAt == null) return
-        val body = ProtoBuf.encodeToByteArray(CancelledTaskList(jobManager.cancellations.tasksOf(job)))
+        val body = ProtoBuf.encodeToByteArray(CancelledTaskList(job.cancelledTasks()))
         coroutineScope {
             for (l in lines) {
                 if (l.peer.host !in job.confirmedBy) {
--- a/src/main/kotlin/micatally/scale/ScaleRun.kt
+++ b/src/main/kotlin/micatally/scale/ScaleRun.kt
@@ -9,7 +9,7 @@
 import micatally.emulator.LoopbackFleet
 import micatally.http.Client
 import micatally.job.Job
-import micatally.job.JobRecord
+import micatally.job.JobRecordCodec
 import micatally.job.JobShard
 import micatally.job.JobState
 import micatally.membership.Keys
@@ -174,7 +174,7 @@
                         JobState.DONE,
                     )
                 for (task in 0 until taskCount) job.markDone(task)
-                (if (scenario.archive) Keys.final(job.jobId) else Keys.job(job.jobId)) to JobRecord.encode(job)
+                (if (scenario.archive) Keys.final(job.jobId) else Keys.job(job.jobId)) to JobRecordCodec.encode(job)
             }
         fleet.state.preload(records)
     }
--- a/src/test/kotlin/micatally/compatibility/StoredValuesTest.kt
+++ b/src/test/kotlin/micatally/compatibility/StoredValuesTest.kt
@@ -4,7 +4,6 @@
 import kotlinx.serialization.ExperimentalSerializationApi
 import kotlinx.serialization.decodeFromByteArray
 import kotlinx.serialization.encodeToByteArray
-import kotlinx.serialization.json.JsonArray
 import kotlinx.serialization.json.JsonObject
 import kotlinx.serialization.protobuf.ProtoBuf
 import micatally.archive.ArchivePlan
@@ -20,6 +19,7 @@
 import micatally.job.CancelledTasksValue
 import micatally.job.Job
 import micatally.job.JobRecord
+import micatally.job.JobRecordCodec
 import micatally.job.JobShard
 import micatally.job.JobState
 import micatally.job.ShardState
@@ -130,18 +130,31 @@
 
     private fun decoded(stored: Stored): Job {
         val record = stored.value
-        val (process, fencingToken) = JobRecord.termOf(record).split(':')
-        val name = JobRecord.shardOf(record)
+        val (process, fencingToken) = JobRecord(record).term.split(':')
+        val name = JobRecord(record).shard
         val shard =
             JobShard(name, ShardLeader(name, process, fencingToken.toLong(), 1)).also {
                 it.transitionTo(ShardState.ACTIVE)
             }
-        val job = JobRecord.decode(stored.key.substringAfter('/'), record, shard, 1)
+        val job = JobRecordCodec.decode(stored.key.substringAfter('/'), JobRecord(record), shard, 1)
         val machines = HashMap<String, Machine>()
-        for (p in JobRecord.placed(record)) {
-            val machine = machines.getOrPut(p.machine) { Machine(p.machine, p.addr, p.type, p.zone, p.spot) }
-            job.attempts[p.taskIndex] =
-                Attempt(job, p.taskIndex, p.number, machine, p.incarnation, job.service, AttemptState.DISPATCHED)
+        for (attempt in JobRecord(record).attempts) {
+            val machine =
+                attempt.machine.let { described ->
+                    machines.getOrPut(described.name) {
+                        Machine(described.name, described.addr, described.type, described.zone, described.isSpot)
+                    }
+                }
+            job.attempts[attempt.taskIndex] =
+                Attempt(
+                    job,
+                    attempt.taskIndex,
+                    attempt.number,
+                    machine,
+                    attempt.machine.incarnation,
+                    job.service,
+                    AttemptState.DISPATCHED,
+                )
         }
         return job
     }
@@ -149,8 +162,8 @@
     @Test
     fun `job records of all states`() {
         val records = stored("job") + stored("final")
-        for (record in records) assertUnchanged(record, JobRecord.encode(decoded(record)))
-        val states = records.map { JobRecord.state(it.value) }
+        for (record in records) assertUnchanged(record, JobRecordCodec.encode(decoded(record)))
+        val states = records.map { JobRecord(it.value).state }
         for (state in listOf(JobState.OPEN, JobState.DONE, JobState.CANCELLED)) assertTrue(state in states, "$state")
         val jobs = records.map { decoded(it) }
         assertTrue(jobs.any { it.spec?.isGang == true } && jobs.any { it.spec?.isService == true })
@@ -161,14 +174,14 @@
     @Test
     fun `kill lists`() {
         for (list in stored("c-kill")) {
-            val rows = CancelledTasksValue.rows(list.value)
-            assertTrue(rows.isNotEmpty())
-            assertUnchanged(list, CancelledTasksValue.of(JsonArray(rows)))
+            val tasks = CancelledTasksValue.decode(list.key.removePrefix(Keys.CANCELLED_TASKS), list.value)
+            assertTrue(tasks.isNotEmpty())
+            assertUnchanged(list, CancelledTasksValue.encode(tasks))
         }
         // The run was recorded up to the cancellation of these two jobs.
         for (jobId in listOf("j-000004", "j-000005")) {
             val cancelled = stored("job").filter { it.key == "job/$jobId" && "\"e\":\"w\"" in it.text }
-            val written = cancelled.map { JobRecord.encodeTasks(decoded(it)).toString() }
+            val written = cancelled.map { CancelledTasksValue.encode(decoded(it).cancelledTasks()).toString() }
             assertTrue(stored("c-kill").single { it.key == "c/kill/$jobId" }.text in written, jobId)
         }
     }
--- a/src/test/kotlin/micatally/job/RecordPackingTest.kt
+++ b/src/test/kotlin/micatally/job/RecordPackingTest.kt
@@ -63,12 +63,12 @@
         assertTrue(values.values.all { RecordPacking.size(it) <= limits.valueBytes })
         val main = values.getValue(Keys.job(job.jobId))
         val parts = (0 until RecordPacking.overflowCount(main)).map { values.getValue(Keys.jobPart(job.jobId, it)) }
-        assertEquals(JobRecord.encode(job), RecordPacking.unpack(main, parts))
+        assertEquals(JobRecordCodec.encode(job), RecordPacking.unpack(main, parts))
         assertEquals(
             listOf("pitbox-0", 0, 150),
-            listOf(JobRecord.shardOf(main), JobRecord.doneCount(main), JobRecord.attemptCount(main)),
+            listOf(JobRecord(main).shard, JobRecord(main).doneCount, JobRecord(main).attemptCount),
         )
-        assertEquals(false, JobRecord.isSettled(main))
+        assertEquals(false, JobRecord(main).isSettled)
     }
 
     /** Guard: [Cancellations.published] puts the values together; with the first alone no task is known. */
@@ -152,7 +152,7 @@
         val forms = RecordForms(limits) { false }
         val write = (forms.fit(job) as RecordFit.Fits).write
         assertEquals(
-            listOf(Keys.job(job.jobId) to JobRecord.encode(job)),
+            listOf(Keys.job(job.jobId) to JobRecordCodec.encode(job)),
             write.changes.map { it.key to (it as Put).value },
         )
         assertTrue(forms.isFull(job))
--- a/src/test/kotlin/micatally/upgrade/FormatTest.kt
+++ b/src/test/kotlin/micatally/upgrade/FormatTest.kt
@@ -9,8 +9,10 @@
 import kotlinx.serialization.protobuf.ProtoBuf
 import micatally.job.Attempt
 import micatally.job.AttemptState
+import micatally.job.CancelledTasksValue
 import micatally.job.Job
 import micatally.job.JobRecord
+import micatally.job.JobRecordCodec
 import micatally.job.JobShard
 import micatally.job.ShardState
 import micatally.membership.Keys
@@ -47,8 +49,8 @@
         }
 
     private fun shardOf(record: JsonObject): JobShard {
-        val (process, fencingToken) = JobRecord.termOf(record).split(':')
-        val name = JobRecord.shardOf(record)
+        val (process, fencingToken) = JobRecord(record).term.split(':')
+        val name = JobRecord(record).shard
         return JobShard(
             name,
             ShardLeader(name, process, fencingToken.toLong(), 1),
@@ -59,12 +61,25 @@
         key: String,
         record: JsonObject,
     ): Job {
-        val job = JobRecord.decode(key.removePrefix(Keys.JOB), record, shardOf(record), 1)
+        val job = JobRecordCodec.decode(key.removePrefix(Keys.JOB), JobRecord(record), shardOf(record), 1)
         val machines = HashMap<String, Machine>()
-        for (p in JobRecord.placed(record)) {
-            val m = machines.getOrPut(p.machine) { Machine(p.machine, p.addr, p.type, p.zone, p.spot) }
-            job.attempts[p.taskIndex] =
-                Attempt(job, p.taskIndex, p.number, m, p.incarnation, job.service, AttemptState.DISPATCHED)
+        for (attempt in JobRecord(record).attempts) {
+            val m =
+                attempt.machine.let { described ->
+                    machines.getOrPut(described.name) {
+                        Machine(described.name, described.addr, described.type, described.zone, described.isSpot)
+                    }
+                }
+            job.attempts[attempt.taskIndex] =
+                Attempt(
+                    job,
+                    attempt.taskIndex,
+                    attempt.number,
+                    m,
+                    attempt.machine.incarnation,
+                    job.service,
+                    AttemptState.DISPATCHED,
+                )
         }
         return job
     }
@@ -73,14 +88,14 @@
     fun `job records of the previous program are read and written unchanged`() {
         val records = under(Keys.JOB)
         assertEquals(12, records.size)
-        for ((key, record) in records) assertEquals(record, JobRecord.encode(decoded(key, record)), key)
+        for ((key, record) in records) assertEquals(record, JobRecordCodec.encode(decoded(key, record)), key)
     }
 
     @Test
     fun `the previous program reads the same out of a record that this one wrote`() {
         for ((key, record) in under(Keys.JOB)) {
             val job = decoded(key, record)
-            val former = FormerRecord(JobRecord.encode(job))
+            val former = FormerRecord(JobRecordCodec.encode(job))
             assertEquals(
                 job.attempts.values
                     .map {
@@ -91,7 +106,7 @@
             )
             assertEquals((0 until job.taskCount).filter { job.done[it] }, former.done, key)
             assertEquals(
-                JobRecord.isSettled(record) to JobRecord.isCancellationConfirmable(record),
+                JobRecord(record).isSettled to JobRecord(record).isCancellationConfirmable,
                 former.isSettled to former.isCancellationConfirmable,
                 key,
             )
@@ -111,7 +126,7 @@
                 Keys.JOB + key.removePrefix(Keys.CANCELLED_TASKS),
                 states[0].getValue(Keys.JOB + key.removePrefix(Keys.CANCELLED_TASKS)) as JsonObject,
             )
-        assertEquals(list, JobRecord.encodeTasks(job))
+        assertEquals(list, CancelledTasksValue.encode(job.cancelledTasks()))
         assertEquals(
             job.attempts.values.map { listOf<Any>(it.machine.name, it.taskIndex, it.number) },
             formerKillList(list),
