--- a/src/main/kotlin/micatally/job/Attempt.kt
+++ b/src/main/kotlin/micatally/job/Attempt.kt
@@ -3,22 +3,57 @@
 import micatally.wire.ExitReason
 import micatally.worker.Machine
 
-/** Where one start of one task stands.
- *
- * INTENDED: decided, not yet in the state service, so nothing may be sent.
- * RECORDED: the intent is durable; no run has left.
- * DISPATCHED: a run may have left. From here on only a proof ends the attempt.
- * PULLING, WAITING, RUNNING, SAVING: as the worker said last; a gang's task waits for the others.
- * GONE: proven not to be on its machine and not to come there any more. */
-enum class AttemptState { INTENDED, RECORDED, DISPATCHED, PULLING, WAITING, RUNNING, SAVING, TERMINATED }
+/** The state of one attempt to run a task. An attempt only moves forward through these, though it may skip some. */
+enum class AttemptState {
+    /** Decided, but not stored yet, so no command may be sent for it. */
+    INTENDED,
+
+    /** The intent is durable; no run command has been sent. */
+    RECORDED,
+
+    /** A run command may have been sent. From here on the attempt ends only on [TerminationEvidence]. */
+    DISPATCHED,
+
+    /** The worker pulls the image. */
+    PULLING,
+
+    /** The worker holds a gang's task until the others are ready too. */
+    WAITING,
+
+    /** The worker runs the task. */
+    RUNNING,
+
+    /** The worker saves a checkpoint before it stops the task. */
+    SAVING,
+
+    /** Proven to be neither on its machine nor able to start there any more. */
+    TERMINATED,
+}
+
+/** What proves that an attempt has ended. Nothing else does; in particular not a heartbeat that does not list it. */
+enum class TerminationEvidence {
+    /** No command to run it was sent. */
+    NEVER_SENT,
+
+    /** The machine's response to a command of this controller shows it. */
+    DIRECT_RESPONSE,
 
-/** The proofs that an attempt is gone. Nothing else counts; above all no report that merely lacks it. */
-enum class TerminationEvidence { NEVER_SENT, DIRECT_RESPONSE, NEWER_INCARNATION, MACHINE_DELETED, COMPLETED }
+    /** The machine has started anew since. */
+    NEWER_INCARNATION,
+
+    /** The machine does not exist any more. */
+    MACHINE_DELETED,
+
+    /** The task is done, which can't change, so that a heartbeat is enough. */
+    COMPLETED,
+}
 
 /**
  * How an attempt ended.
  *
- * @property reason what the worker said, if it said anything
+ * @property detail for the log
+ * @property reason the worker's reason, if it gave one
+ * @property isSaved whether the worker saved a checkpoint
  */
 class AttemptTermination(
     val proof: TerminationEvidence,
@@ -29,9 +64,16 @@
     override fun toString() = "$proof $detail" + if (isSaved) " saved" else ""
 }
 
-/** Why an attempt is to be stopped; an earlier reason replaces a later one. */
+/** Why an attempt is to be stopped. A reason that stands earlier here replaces one that stands later. */
 enum class StopReason { CANCELLED, DRAIN, PREEMPTED, GANG_ENDED, STRAY }
 
+/**
+ * One attempt to run a task of a job on a machine.
+ *
+ * @property number distinguishes the attempts of a task
+ * @property incarnation the machine's incarnation that it was placed on
+ * @property inherited the job's service ([Job.service]) when the attempt began, in seconds
+ */
 class Attempt(
     val job: Job,
     val taskIndex: Int,
@@ -43,14 +85,22 @@
 ) {
     var state = startState
         private set
+
+    /** Why the attempt is to be stopped; null if it is not. */
     var stop: StopReason? = null
         private set
+
+    /** When it was first to be stopped. */
     var stopSinceMs = 0L
         private set
+
+    /** When it was first reported as running, on this controller's clock. */
     var runningSince: Long? = null
+
+    /** When this process last sent a command to run it; null if it sent none. */
     var sentAt: Long? = null
 
-    /** The one place where an attempt changes its state. */
+    /** Moves the attempt forward to [next]; the only way to change its state. */
     fun transitionTo(
         next: AttemptState,
         nowMs: Long,
@@ -63,16 +113,23 @@
         if (next == AttemptState.RUNNING && runningSince == null) runningSince = nowMs
     }
 
+    /**
+     * Has the attempt stopped; the commands for it follow with the machine's next sync.
+     *
+     * @return false if it is to be stopped already, for this reason or one that replaces it
+     */
     fun stop(
         reason: StopReason,
         nowMs: Long,
     ): Boolean {
-        if (stop != null && stop!!.ordinal <= reason.ordinal) return false
-        if (stop == null) stopSinceMs = nowMs
+        val former = stop
+        if (former != null && former <= reason) return false
+        if (former == null) stopSinceMs = nowMs
         stop = reason
         return true
     }
 
+    /** Whether commands may be sent for it. */
     val maySend get() = state >= AttemptState.RECORDED && state != AttemptState.TERMINATED
     val isLive get() = state != AttemptState.TERMINATED
 
--- a/src/main/kotlin/micatally/job/Cancellations.kt
+++ b/src/main/kotlin/micatally/job/Cancellations.kt
@@ -7,8 +7,13 @@
 import micatally.settings.Settings
 import micatally.wire.CancelledTask
 import micatally.worker.CancelledTasks
+import java.util.Collections
 
-/** Cancelled jobs of this node's shards, and when their users may hear that they are cancelled. */
+/**
+ * The cancelled jobs of the shards led here, and when their users may be told that they are cancelled.
+ *
+ * @property requestConfirmations see [JobCollaborators.requestConfirmations]
+ */
 class Cancellations(
     private val scope: CoroutineScope,
     private val settings: Settings,
@@ -17,42 +22,53 @@
     private val requestConfirmations: suspend (Job) -> Unit,
     private val nowMs: () -> Long,
 ) {
-    /** Tasks of cancelled jobs of all owners, as far as this node has heard of them. */
-    val cancelledTasks = CancelledTasks(settings.cancelMs * CANCELS_KEPT, nowMs)
+    /** The tasks of cancelled jobs of all shards, as far as this controller knows them. */
+    val cancelledTasks = CancelledTasks(settings.cancelMs * CANCEL_TIMES_KEPT, nowMs)
 
-    /** Jobs with tasks that are not proven gone. Kept, not looked for: each message from a peer asks for them. */
+    /** Kept up to date instead of searched for, since each message from another controller asks for them. */
     private val pending = LinkedHashSet<Job>()
-    val unfinished: Collection<Job> get() = pending
 
-    /** Tasks that may still be on their machines. */
+    /** The cancelled jobs with attempts that may still be on their machines; a read-only view. */
+    val unfinished: Collection<Job> = Collections.unmodifiableCollection(pending)
+
+    /** The tasks of [unfinished] jobs whose cancellation is durable. */
     fun unfinishedTasks(): List<CancelledTask> =
         pending
             .filter {
                 it.durableState == JobState.CANCELLED
             }.flatMap { it.cancelledTasks() }
 
+    /** The job has just been cancelled here. */
     fun begin(job: Job) {
         pending.add(job)
-        // Its machines may report here and still not be reached by an order.
+        // Machines that no command reaches may still report here.
         cancelledTasks.take(job.cancelledTasks())
     }
 
-    /** After a takeover; false if the job's tasks have yet to be published. */
+    /**
+     * A cancelled job was loaded after a failover.
+     *
+     * @return false if its tasks have yet to be listed in the shared keys
+     */
     fun adopted(job: Job): Boolean {
         pending.add(job)
         val published = sharedKeys.value(Keys.cancelledTasks(job.jobId)) ?: return false
         job.storedCancelledTasksOverflow = RecordPacking.overflowCount(published)
-        // Written together with the record; this node's copy of the shared keys is as new as its hold on the shard.
+        // They were written together with the record, and the copy of the shared keys is as new as the leadership of the shard.
         job.publishedAt = nowMs()
         return true
     }
 
     /**
-     * Every controller that may answer workers either knows the job's tasks, and stops them where it hears them, or has lost
-     * touch: then its authority ends early enough after [Settings.cancellationDelayMs] have passed since they lie in the state
-     * service. Telling the user before that would leave a zone that is cut off only until its workers' leases end. A
-     * confirmation counts only after the tasks lie there: the process that gave it may end, and the next one reads them at
-     * its start.
+     * Whether the user may be told that the job is cancelled.
+     *
+     * That takes either a confirmation of every other controller that may answer workers: it knows the job's tasks then, and
+     * stops them where machines report them. Or it takes [Settings.cancellationDelayMs] since the tasks were listed in the
+     * state service: a controller that has lost contact with it has lost its leadership early enough by then. If users were
+     * told earlier, the tasks in a zone that is cut off would have only until their workers' leases expire.
+     *
+     * A confirmation counts only after the tasks are listed: the process that gave it may end, and its successor reads the
+     * list at its start.
      */
     fun mayConfirm(job: Job): Boolean {
         if (job.durableState != JobState.CANCELLED || job.attempts.isEmpty() ||
@@ -66,7 +82,7 @@
         return job.isCancellationConfirmable
     }
 
-    /** The shared keys have changed: tasks that some owner has published. */
+    /** The shared [key] has changed, one of the values that list the cancelled tasks of a job of any shard. */
     fun published(key: String) {
         val jobId = key.removePrefix(Keys.CANCELLED_TASKS).substringBefore('/')
         val main = sharedKeys.value(Keys.cancelledTasks(jobId)) ?: return
@@ -79,8 +95,9 @@
     }
 
     /**
-     * The tasks of cancelled jobs that their machines do not confirm in time: once their user may hear of the end, any node
-     * may say so, whoever asks. After a change of owner nobody else asks the other controllers again.
+     * Follows up the cancelled jobs whose machines do not confirm the stop in time: asks the other controllers, which nobody
+     * else does again after a failover, and records that the user may be told, so that any controller may do so. Called
+     * regularly.
      */
     fun follow(now: Long) {
         for (job in pending.toList()) if (isOverdue(job, now)) confirm(job)
@@ -92,10 +109,10 @@
         job: Job,
         now: Long,
     ): Boolean {
-        val isOwn = job.shard.state == ShardState.ACTIVE && job.durableState == JobState.CANCELLED
-        val since = now - settings.leaseMs / OVERDUE_SHARE
-        return isOwn && !job.isConfirmableRecorded &&
-            job.attempts.values.any { it.stop == StopReason.CANCELLED && it.stopSinceMs < since }
+        if (job.shard.state != ShardState.ACTIVE || job.durableState != JobState.CANCELLED) return false
+        if (job.isConfirmableRecorded) return false
+        val stoppedBefore = now - settings.leaseMs / OVERDUE_SHARE
+        return job.attempts.values.any { it.stop == StopReason.CANCELLED && it.stopSinceMs < stoppedBefore }
     }
 
     private fun confirm(job: Job) {
@@ -116,10 +133,13 @@
     }
 
     private companion object {
-        /** An owner may end before it can say that a task is gone, so tasks are kept well beyond the time to cancel. */
-        const val CANCELS_KEPT = 2
+        /**
+         * Tasks are kept for this many times the time that a cancellation may take: their leader may end before it can tell
+         * that they are terminated.
+         */
+        const val CANCEL_TIMES_KEPT = 2
 
-        /** After this share of a lease a machine that is reached has confirmed the end of its task. */
+        /** Within this part of a lease a machine that can be reached confirms the end of its task. */
         const val OVERDUE_SHARE = 10
     }
 }
--- a/src/main/kotlin/micatally/job/FaultJudgement.kt
+++ b/src/main/kotlin/micatally/job/FaultJudgement.kt
@@ -5,7 +5,7 @@
 import micatally.worker.MachineRegistry
 import org.slf4j.LoggerFactory
 
-/** Tells jobs with a mistake from faulty machines, by which jobs failed where and by what succeeds beside them. */
+/** Tells jobs that were submitted with a mistake from faulty machines, by which jobs fail where and what succeeds beside them. */
 class FaultJudgement(
     private val settings: Settings,
     private val machines: MachineRegistry,
@@ -13,7 +13,7 @@
     private val log = LoggerFactory.getLogger("micatally.job")
     private val memoryMs = settings.leaseMs * MEMORY_LEASES
 
-    /** A task exited with an error after it had run for so long. */
+    /** The attempt's task exited with an error after it had run for [ranMs]. */
     fun taskFailed(
         attempt: Attempt,
         ranMs: Long,
@@ -21,7 +21,7 @@
     ) {
         val job = attempt.job
         val health = job.health
-        lookForSuccess(job, nowMs)
+        noteSuccess(job, nowMs)
         val wasSuspect = health.isSuspect
         val isProven = isProven(attempt.machine, job, nowMs)
         health.failed(attempt.machine.name, ranMs, isProven)
@@ -32,35 +32,29 @@
             return
         }
         val runsElsewhere = health.hasSucceeded && !isProven
-        if (attempt.machine.health.accuse(
-                job.jobId,
-                runsElsewhere,
-                nowMs,
-                memoryMs,
-            )
-        ) {
-            log.info("machine {} fails what it starts", attempt.machine.name)
-        }
+        val isNewlyFaulty = attempt.machine.health.accuse(job.jobId, runsElsewhere, nowMs, memoryMs)
+        if (isNewlyFaulty) log.info("machine {} fails what it starts", attempt.machine.name)
     }
 
+    /** The attempt's task is done, which speaks for its machine. */
     fun taskCompleted(
         attempt: Attempt,
         nowMs: Long,
     ) = attempt.machine.health.succeeded(nowMs)
 
-    /** A suspected service proves itself by running on; nothing else would tell. */
+    /** Clears suspected jobs whose tasks run on by now; a service has no other way to prove itself. Called regularly. */
     fun review(
         jobs: List<Job>,
         nowMs: Long,
     ) {
-        for (job in jobs) if (job.health.isSuspect) lookForSuccess(job, nowMs)
+        for (job in jobs) if (job.health.isSuspect) noteSuccess(job, nowMs)
     }
 
-    private fun lookForSuccess(
+    private fun noteSuccess(
         job: Job,
         nowMs: Long,
     ) {
-        val isProven = job.attempts.values.any { a -> job.health.isProvenBy(ranMs(a, nowMs), settings.leaseMs) }
+        val isProven = job.attempts.values.any { job.health.isProvenBy(ranMs(it, nowMs), settings.leaseMs) }
         if (!isProven) return
         if (job.health.isSuspect) log.info("job {} runs after all", job.jobId)
         job.health.succeeded()
@@ -69,9 +63,12 @@
     private fun ranMs(
         attempt: Attempt,
         nowMs: Long,
-    ) = if (attempt.state == AttemptState.RUNNING) attempt.runningSince?.let { nowMs - it } ?: 0L else 0L
+    ): Long {
+        if (attempt.state != AttemptState.RUNNING) return 0L
+        return attempt.runningSince?.let { nowMs - it } ?: 0L
+    }
 
-    /** A task of another job that runs on there speaks for the machine as one that completed does. */
+    /** Whether the machine runs other jobs well: a task of another job that runs on there counts as one that completed. */
     private fun isProven(
         machine: Machine,
         job: Job,
@@ -91,17 +88,13 @@
         )
         for (name in job.health.machines) {
             val machine = machines.of(name) ?: continue
-            if (machine.health.cancel(
-                    job.jobId,
-                )
-            ) {
-                log.info("machine {} is used again: it was {} that failed", name, job.jobId)
-            }
+            val isCleared = machine.health.cancel(job.jobId)
+            if (isCleared) log.info("machine {} is used again: it was {} that failed", name, job.jobId)
         }
     }
 
     private companion object {
-        /** Accusations count for so many leases, and no retry waits for longer. */
+        /** For how many leases a failure counts against a machine; no retry waits for longer. */
         const val MEMORY_LEASES = 6
     }
 }
--- a/src/main/kotlin/micatally/job/JobHealth.kt
+++ b/src/main/kotlin/micatally/job/JobHealth.kt
@@ -2,7 +2,7 @@
 
 /**
  * What the exits of a job's tasks say about the job itself: one that was submitted with a mistake fails on every machine until
- * its user cancels it. Kept in memory only; the next owner learns it anew from a few failures.
+ * its user cancels it. Kept in memory only; the next leader of the shard learns it again from a few failures.
  */
 class JobHealth {
     private val failedOn = LinkedHashSet<String>()
@@ -23,10 +23,14 @@
     /** Machines on which a task of the job failed, as far as they are remembered. */
     val machines: Set<String> get() = failedOn
 
-    /** The job itself is likely to be at fault: it is tried with one task at a time, and accuses no machine. */
+    /** Whether the job itself is likely at fault: it is tried with one task at a time then, and its failures accuse no machine. */
     val isSuspect get() = !hasSucceeded && evidence >= EVIDENCE_TO_SUSPECT
 
-    /** @param isMachineProven tasks of other jobs succeed on the machine */
+    /**
+     * A task of the job failed on [machine] after [ranMs].
+     *
+     * @param isMachineProven whether tasks of other jobs succeed on the machine
+     */
     fun failed(
         machine: String,
         ranMs: Long,
@@ -35,50 +39,53 @@
         failures++
         failuresInRow++
         longestFailedRunMs = maxOf(longestFailedRunMs, ranMs)
-        if (failedOn.size >= MOST_MACHINES || !failedOn.add(machine)) return
+        if (failedOn.size >= MAX_MACHINES || !failedOn.add(machine)) return
         evidence += if (isMachineProven) EVIDENCE_OF_PROVEN else 1
     }
 
+    /** A task of the job has completed, or has run for long enough. */
     fun succeeded() {
         hasSucceeded = true
         failuresInRow = 0
     }
 
-    /** Whether a task that has run for so long shows that the job can run. */
+    /** Whether a task that has run for [ranMs], and for [minMs] at least, shows that the job can run. */
     fun isProvenBy(
         ranMs: Long,
-        leastMs: Long,
-    ) = ranMs > maxOf(longestFailedRunMs * LONGER_THAN_FAILURES, leastMs)
+        minMs: Long,
+    ) = ranMs > maxOf(longestFailedRunMs * LONGER_THAN_FAILURES, minMs)
 
     /**
-     * Whether the next task is better tried elsewhere. Once the job itself is suspected its failures say nothing of machines; it may
-     * then go back to those that have its image already.
+     * Whether the next task should rather be tried on another machine. Once the job itself is suspected, its failures say nothing
+     * about machines, and it may go back to those that have its image already.
      */
     fun avoids(machine: String) = !isSuspect && failedOn.size <= FEW_MACHINES && machine in failedOn
 
-    /** How long to wait before the next try. */
+    /** How long to wait before the next try: nothing at first, then exponentially longer up to [maxMs]. */
     fun pauseMs(
         heartbeatIntervalMs: Long,
-        mostMs: Long,
+        maxMs: Long,
     ): Long {
         if (failuresInRow <= FAILURES_TO_PAUSE) return 0L
-        return minOf(mostMs, heartbeatIntervalMs shl minOf(failuresInRow - FAILURES_TO_PAUSE, MOST_DOUBLINGS))
+        return minOf(maxMs, heartbeatIntervalMs shl minOf(failuresInRow - FAILURES_TO_PAUSE, MAX_DOUBLINGS))
     }
 
     private companion object {
-        /** Two machines may be faulty at the same time; a third one without any success in between is unlikely. One on which
-         * other jobs succeed counts twice. */
+        /**
+         * Two machines may be faulty at the same time; a third one without any success in between is unlikely. A machine on
+         * which other jobs succeed counts twice.
+         */
         const val EVIDENCE_TO_SUSPECT = 3
         const val EVIDENCE_OF_PROVEN = 2
 
-        /** With more machines than this that failed the job it is no use avoiding them. */
+        /** Once the job has failed on more machines than this, there is no use in avoiding them. */
         const val FEW_MACHINES = 6
 
-        /** A bound for memory only; beyond [FEW_MACHINES] nothing depends on the names. */
-        const val MOST_MACHINES = 64
+        /** Bounds the memory used; beyond [FEW_MACHINES] nothing depends on the names. */
+        const val MAX_MACHINES = 64
 
         const val LONGER_THAN_FAILURES = 2
         const val FAILURES_TO_PAUSE = 3
-        const val MOST_DOUBLINGS = 7
+        const val MAX_DOUBLINGS = 7
     }
 }
--- a/src/main/kotlin/micatally/job/ServiceArrivals.kt
+++ b/src/main/kotlin/micatally/job/ServiceArrivals.kt
@@ -3,7 +3,11 @@
 import micatally.wire.JobSpec
 import micatally.wire.ResourceRequest
 
-/** The services that were submitted to this node lately, as a measure of those that will come while a machine boots. */
+/**
+ * The services that were submitted to this controller lately, as an estimate of those that will arrive while a machine boots.
+ *
+ * @property bootMs how long the slowest machine type takes to boot
+ */
 class ServiceArrivals(
     private val nowMs: () -> Long,
     private val bootMs: () -> Long,
@@ -15,18 +19,19 @@
 
     private val arrivals = ArrayDeque<Arrival>()
 
+    /** Counts a service that is submitted now. */
     fun add(spec: JobSpec) {
         arrivals.addLast(Arrival(nowMs(), spec))
     }
 
-    /** What came in the last while, as one demand for each shape. */
+    /** What the services of the last [THIRDS_OF_A_BOOT] thirds of a boot need, as one request for each shape. */
     fun recent(): List<ResourceRequest> {
-        val sinceMs = nowMs() - bootMs() * THIRDS_OF_A_BOOT / 3
+        val sinceMs = nowMs() - bootMs() * THIRDS_OF_A_BOOT / THIRDS
         while (arrivals.isNotEmpty() && arrivals.first().atMs < sinceMs) arrivals.removeFirst()
-        return arrivals.groupBy { it.spec.resources to it.spec.types }.values.map { demand(it) }
+        return arrivals.groupBy { it.spec.resources to it.spec.types }.values.map { requestOf(it) }
     }
 
-    private fun demand(alike: List<Arrival>): ResourceRequest {
+    private fun requestOf(alike: List<Arrival>): ResourceRequest {
         val spec = alike.first().spec
         return ResourceRequest(
             spec.resources.cores,
@@ -39,7 +44,8 @@
     }
 
     private companion object {
-        /** Services of so many thirds of a boot may come while a machine boots. */
+        /** The period that is counted is somewhat longer than a boot: this many thirds of one. */
         const val THIRDS_OF_A_BOOT = 4
+        const val THIRDS = 3
     }
 }
--- a/src/main/kotlin/micatally/job/ShardRecords.kt
+++ b/src/main/kotlin/micatally/job/ShardRecords.kt
@@ -10,9 +10,11 @@
 import java.io.IOException
 
 /**
- * A job's record as it was read.
+ * A job's record as it was read for the load of a shard.
  *
- * @property plain its unpacked form; null for open and done jobs of other shards, which nobody asks for here
+ * @property stored the main value
+ * @property plain its unpacked form; null for a job of another shard, or one present already, whose values are not all of one
+ * revision
  */
 class ShardRecord(
     val jobId: String,
@@ -21,15 +23,17 @@
     val modRevision: Long,
 )
 
-/** The record of a job can't be understood: it is damaged, or of a form that this program does not know. */
+/** Thrown if the record of a job can't be understood: it is damaged, or of a form that this program does not know. */
 class UnreadableRecord(
     jobId: String,
     cause: Exception,
 ) : Exception("the record of job $jobId can't be read: $cause", cause)
 
-/** What [read] makes of a job's record.
+/**
+ * Runs [read], which decodes the record of a job, and returns its result.
  *
- * @throws UnreadableRecord if nothing can be made of it */
+ * @throws UnreadableRecord if [read] throws what the decoders throw for a record that they can't understand
+ */
 inline fun <T> readable(
     jobId: String,
     read: () -> T,
@@ -53,13 +57,16 @@
 ) {
     private val log = LoggerFactory.getLogger("micatally.job")
 
-    /** Records of other shards that have been named in the log. */
-    private val unreadable = HashSet<String>()
+    /** Jobs of other shards whose unreadable records have been logged. */
+    private val loggedJobIds = HashSet<String>()
 
     /**
-     * The records that something may still have to be done for: those of the shard, and cancelled ones of others; null if
-     * they could not be read. Jobs that are over stay in the state service for good, so that there are far more of them than
-     * fit in memory: the shard's are shown to [onSettled] as they come, and not kept.
+     * Reads the records that need action: those of the shard's jobs that are not settled, and those of cancelled jobs of other
+     * shards. Jobs that are over stay in the state service for good, so there are far more of them than fit in memory: those
+     * of the shard are passed to [onSettled] as they are read, and not kept.
+     *
+     * @return null if the state service could not be read, or changed meanwhile
+     * @throws UnreadableRecord if a record of the shard can't be understood
      */
     suspend fun of(
         shard: JobShard,
@@ -72,7 +79,10 @@
         return unpacked(open, shard)
     }
 
-    /** What can't be read of another shard is its holder's matter: the tasks of its cancelled jobs stand in kill lists too. */
+    /**
+     * An unreadable record of another shard is its leader's concern, and only logged: the tasks of cancelled jobs are listed in
+     * the shared keys too.
+     */
     private fun visit(
         item: KeyValue,
         shard: JobShard,
@@ -83,7 +93,7 @@
             readable(jobIdOf(item)) { sort(item, shard, open, onSettled) }
         } catch (e: UnreadableRecord) {
             if (JobRecord(item.value).shardOrNull == shard.name) throw e
-            if (unreadable.add(jobIdOf(item))) log.error("{}", e.message)
+            if (loggedJobIds.add(jobIdOf(item))) log.error("{}", e.message)
         }
     }
 
@@ -105,8 +115,10 @@
     private fun jobIdOf(item: KeyValue) = item.key.removePrefix(Keys.JOB)
 
     /**
-     * A record's further values have its revision, since one transaction writes them. Nobody else writes records of a shard
-     * that is held, so for those the two listings agree; null if they don't.
+     * Unpacks the records. The further values of a record have its revision, since one transaction writes them. Nobody else
+     * writes records of a shard that is led here, so for those the two listings agree.
+     *
+     * @return null if they don't, so that they are to be read again
      */
     private suspend fun unpacked(
         items: List<KeyValue>,
