--- a/src/main/kotlin/micatally/api/HealthCheck.kt
+++ b/src/main/kotlin/micatally/api/HealthCheck.kt
@@ -27,10 +27,10 @@
 
     private fun isStarted(): Boolean {
         if (membership.checkLeadership() != LeadershipState.LEADING) return false
-        return jobManager.own() != null && machines.machineTypes.isNotEmpty()
+        return jobManager.ownShard() != null && machines.machineTypes.isNotEmpty()
     }
 
-    private fun isLoadOverdue(): Boolean = jobManager.own()?.let { jobManager.isLoadOverdue(it) } == true
+    private fun isLoadOverdue(): Boolean = jobManager.ownShard()?.let { jobManager.isLoadOverdue(it) } == true
 
     /**
      * Others can serve what this controller has to turn away. In an outage of the state store for all of them each stays healthy: polls
--- a/src/main/kotlin/micatally/api/JobDurability.kt
+++ b/src/main/kotlin/micatally/api/JobDurability.kt
@@ -25,11 +25,11 @@
     private val timeoutMs = minOf(settings.leaseMs * WAIT_TENTHS / TENTHS, MAX_WAIT_MS)
 
     /** Has the job, which has just been created, written at once. Does not wait for it. */
-    fun requestWrite(job: Job) = store.touch(job, true)
+    fun requestWrite(job: Job) = store.requestWrite(job)
 
     /** Suspends until the job's present version is durable or refused, for a bounded time. */
     suspend fun await(job: Job): WriteOutcome {
-        val isDurable = withTimeoutOrNull(timeoutMs) { store.durable(job) } ?: return WriteOutcome.PENDING
+        val isDurable = withTimeoutOrNull(timeoutMs) { store.awaitDurable(job) } ?: return WriteOutcome.PENDING
         return if (isDurable) WriteOutcome.DURABLE else WriteOutcome.REFUSED
     }
 
--- a/src/main/kotlin/micatally/api/JobLookup.kt
+++ b/src/main/kotlin/micatally/api/JobLookup.kt
@@ -55,7 +55,7 @@
     fun fromMemory(jobId: String): JobAnswer? {
         jobManager.final(jobId)?.let { return it }
         val job = jobManager.job(jobId) ?: return null
-        if (job.durableState == JobState.NEW || job.endUnderWay || !contact.holdsLease) return null
+        if (job.durableState == JobState.NEW || job.isEndBeingWritten || !contact.holdsLease) return null
         // This controller's lease keeps others from its own shard only. A shard that it has taken over goes back to its
         // host the moment that host starts again, so of its jobs only the state store can tell.
         val isOfOwnShard = job.shard.name == settings.host
@@ -91,9 +91,9 @@
         jobId: String,
         record: JsonObject,
     ): LookupResult {
-        shardOfJob.put(jobId, JobRecord.shardOf(record))
+        shardOfJob.put(jobId, JobRecord(record).shard)
         // Cancelled, but not all controllers know of it yet: only the leader of its shard can tell when they do.
-        if (!JobRecord.isCancellationConfirmable(record)) return LookupResult.Unclear
+        if (!JobRecord(record).isCancellationConfirmable) return LookupResult.Unclear
         val answer = answerFromRecord(jobId, record)
         jobManager.rememberFinal(answer)
         return LookupResult.Known(answer)
@@ -103,15 +103,15 @@
         jobId: String,
         record: JsonObject,
     ): JobAnswer {
-        val attempts = JobRecord.attemptCount(record)
+        val attempts = JobRecord(record).attemptCount
         val status =
-            when (JobRecord.state(record)) {
+            when (JobRecord(record).state) {
                 JobState.DONE -> JobAnswer.DONE
                 JobState.CANCELLED -> JobAnswer.CANCELLED
                 else -> if (attempts > 0) JobAnswer.RUNNING else JobAnswer.PENDING
             }
         val running = if (status == JobAnswer.RUNNING) attempts else 0
-        return JobAnswer(jobId, status, JobRecord.doneCount(record), running)
+        return JobAnswer(jobId, status, JobRecord(record).doneCount, running)
     }
 
     /**
--- a/src/main/kotlin/micatally/api/SubmissionHandler.kt
+++ b/src/main/kotlin/micatally/api/SubmissionHandler.kt
@@ -67,7 +67,7 @@
     }
 
     /** This controller's own shard, if a job can be written to it now. */
-    private fun writableShard(): JobShard? = jobManager.own()?.takeIf { contact.isStateReachable && contact.holdsLease }
+    private fun writableShard(): JobShard? = jobManager.ownShard()?.takeIf { contact.isStateReachable && contact.holdsLease }
 
     /** Why a new job might never be started by this controller. */
     private fun obstacleToStart(
@@ -111,7 +111,7 @@
         }
         if (!jobManager.cancellations.mayConfirm(job)) return unavailable("a cancellation is under way")
         // The job may have ended meanwhile, and the write that says so may be under way.
-        val isSettled = !job.endUnderWay && contact.holdsLease
+        val isSettled = !job.isEndBeingWritten && contact.holdsLease
         return if (isSettled) null else statusOr(job.jobId, unavailable("not stored yet"))
     }
 
--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -26,8 +26,14 @@
 import micatally.http.HttpCaller
 import micatally.http.HttpRequest
 import micatally.http.HttpResponse
+import micatally.job.Attempt
+import micatally.job.Clock
+import micatally.job.Job
+import micatally.job.JobCollaborators
 import micatally.job.JobManager
+import micatally.job.JobShard
 import micatally.job.JobStore
+import micatally.job.JobStoreListener
 import micatally.job.RecordForms
 import micatally.job.ShardState
 import micatally.membership.Keys
@@ -127,13 +133,15 @@
             forms,
             settings.heartbeatIntervalMs / WRITE_RETRIES_PER_HEARTBEAT,
             settings.leaseMs / COUNT_WRITES_PER_LEASE,
+            jobStoreListener(),
             { archive.mayBeUsed },
             nowMs,
         )
 
     /** The jobs of the shards that this controller leads. */
-    val jobManager = JobManager(scope, settings, state, membership, machines, store, nowMs, wallMs)
-    private val dispatcher =
+    val jobManager: JobManager =
+        JobManager(scope, settings, state, membership, machines, store, Clock(nowMs, wallMs), jobCollaborators())
+    private val dispatcher: CommandDispatcher =
         CommandDispatcher(
             scope,
             http,
@@ -144,13 +152,13 @@
             jobManager.cancellations.cancelledTasks,
             nowMs,
         )
-    private val quota =
+    private val quota: Quota =
         Quota(
             scope,
             state,
             membership.sharedKeys,
             configuration.teams,
-            { jobManager.shards.values.filter { it.mine } },
+            { jobManager.shards.values.filter { it.isLedHere } },
             settings.controllers,
         ) { scheduler.requestCycle() }
 
@@ -166,7 +174,7 @@
             cpuUsage,
             nowMs,
         )
-    private val peers =
+    private val peers: Peers =
         Peers(scope, http, settings, state, membership, machines, jobManager, scheduler, peerListener(), nowMs)
     private val reach = WorkerReach(scope, http, settings, machines, nowMs)
     private val fleetManager =
@@ -207,6 +215,34 @@
         )
     }
 
+    private fun jobStoreListener() =
+        object : JobStoreListener {
+            override fun recordWritten(
+                job: Job,
+                written: List<Attempt>,
+            ) = jobManager.storeOutcomes.recordWritten(job, written)
+
+            override fun recordFull(
+                job: Job,
+                attempts: List<Attempt>,
+            ) = jobManager.storeOutcomes.recordFull(job, attempts)
+
+            override fun jobDropped(job: Job) = jobManager.storeOutcomes.jobDropped(job)
+
+            override fun shardLost(shard: JobShard) = jobManager.storeOutcomes.shardLost(shard)
+        }
+
+    private fun jobCollaborators() =
+        object : JobCollaborators {
+            override val quota get() = this@Controller.quota
+
+            override fun requestSync(machine: Machine) = dispatcher.requestSync(machine)
+
+            override fun requestCycle() = scheduler.requestCycle()
+
+            override suspend fun requestConfirmations(job: Job) = peers.cancellations.broadcastCancellation(job)
+        }
+
     private fun machineListener(): MachineListener =
         object : MachineListener {
             override fun machineAdded(machine: Machine) = peers.machineAdded(machine)
@@ -217,7 +253,7 @@
                 machine: Machine,
                 source: StatusSource,
             ) {
-                jobManager.tasksReported(machine, source == StatusSource.COMMAND_RESPONSE)
+                jobManager.tasksReported(machine, source)
                 scheduler.requestCycle()
             }
 
@@ -276,18 +312,7 @@
 
     /** Connects the parts and starts their coroutines. To be called once, before the first request is handled. */
     fun start() {
-        jobManager.dispatcher = dispatcher
         configuration.start { former, next -> configurationApplied(former, next) }
-        jobManager.quota = quota
-        jobManager.requestCycle = { scheduler.requestCycle() }
-        store.onDurable = { job, written -> jobManager.durable(job, written) }
-        store.onDropped = { jobManager.forget(it) }
-        store.onRecordFull = { job, attempts -> jobManager.giveUp(job, attempts) }
-        jobManager.cancellations.askPeers = { peers.cancellations.broadcastCancellation(it) }
-        store.onShardLost = { l ->
-            jobManager.loseShard(l)
-            scope.launch { membership.refresh() }
-        }
         membership.start()
         fleetManager.start()
         peers.start()
--- a/src/main/kotlin/micatally/job/ShardRecords.kt
+++ b/src/main/kotlin/micatally/job/ShardRecords.kt
@@ -1,7 +1,6 @@
 package micatally.job
 
 import kotlinx.coroutines.CancellationException
-import kotlinx.serialization.json.JsonObject
 import micatally.membership.Keys
 import micatally.state.KeyValue
 import micatally.state.StateStoreClient
@@ -11,26 +10,30 @@
 import java.io.IOException
 
 /**
- * A job's record as it was read.
+ * A job's record as it was read for the load of a shard.
  *
- * @property plain its unpacked form; null for open and done jobs of other shards, which nobody asks for here
+ * @property stored the main value
+ * @property plain its unpacked form; null for a job of another shard, or one present already, whose values are not all of one
+ * revision
  */
 class ShardRecord(
     val jobId: String,
-    val stored: JsonObject,
-    val plain: JsonObject?,
+    val stored: JobRecord,
+    val plain: JobRecord?,
     val modRevision: Long,
 )
 
-/** The record of a job can't be understood: it is damaged, or of a form that this program does not know. */
+/** Thrown if the record of a job can't be understood: it is damaged, or of a form that this program does not know. */
 class UnreadableRecord(
     jobId: String,
     cause: Exception,
 ) : Exception("the record of job $jobId can't be read: $cause", cause)
 
-/** What [read] makes of a job's record.
+/**
+ * Runs [read], which decodes the record of a job, and returns its result.
  *
- * @throws UnreadableRecord if nothing can be made of it */
+ * @throws UnreadableRecord if [read] throws what the decoders throw for a record that they can't understand
+ */
 inline fun <T> readable(
     jobId: String,
     read: () -> T,
@@ -54,17 +57,20 @@
 ) {
     private val log = LoggerFactory.getLogger("micatally.job")
 
-    /** Records of other shards that have been named in the log. */
-    private val unreadable = HashSet<String>()
+    /** Jobs of other shards whose unreadable records have been logged. */
+    private val loggedJobIds = HashSet<String>()
 
     /**
-     * The records that something may still have to be done for: those of the shard, and cancelled ones of others; null if
-     * they could not be read. Jobs that are over stay in the state service for good, so that there are far more of them than
-     * fit in memory: the shard's are shown to [onSettled] as they come, and not kept.
+     * Reads the records that need action: those of the shard's jobs that are not settled, and those of cancelled jobs of other
+     * shards. Jobs that are over stay in the state service for good, so there are far more of them than fit in memory: those
+     * of the shard are passed to [onSettled] as they are read, and not kept.
+     *
+     * @return null if the state service could not be read, or changed meanwhile
+     * @throws UnreadableRecord if a record of the shard can't be understood
      */
     suspend fun of(
         shard: JobShard,
-        onSettled: (jobId: String, record: JsonObject) -> Unit,
+        onSettled: (jobId: String, record: JobRecord) -> Unit,
     ): List<ShardRecord>? {
         val open = ArrayList<KeyValue>()
         state.eachPage(Keys.JOB, Urgency.LEASE) { page ->
@@ -73,18 +79,21 @@
         return unpacked(open, shard)
     }
 
-    /** What can't be read of another shard is its holder's matter: the tasks of its cancelled jobs stand in kill lists too. */
+    /**
+     * An unreadable record of another shard is its leader's concern, and only logged: the tasks of cancelled jobs are listed in
+     * the shared keys too.
+     */
     private fun visit(
         item: KeyValue,
         shard: JobShard,
         open: MutableList<KeyValue>,
-        onSettled: (jobId: String, record: JsonObject) -> Unit,
+        onSettled: (jobId: String, record: JobRecord) -> Unit,
     ) {
         try {
-            readable(refOf(item)) { sort(item, shard, open, onSettled) }
+            readable(jobIdOf(item)) { sort(item, shard, open, onSettled) }
         } catch (e: UnreadableRecord) {
-            if (JobRecord.shardOrNull(item.value) == shard.name) throw e
-            if (unreadable.add(refOf(item))) log.error("{}", e.message)
+            if (JobRecord(item.value).shardOrNull == shard.name) throw e
+            if (loggedJobIds.add(jobIdOf(item))) log.error("{}", e.message)
         }
     }
 
@@ -92,21 +101,24 @@
         item: KeyValue,
         shard: JobShard,
         open: MutableList<KeyValue>,
-        onSettled: (jobId: String, record: JsonObject) -> Unit,
+        onSettled: (jobId: String, record: JobRecord) -> Unit,
     ) {
-        val isOwn = JobRecord.shardOf(item.value) == shard.name
-        if (!JobRecord.isSettled(item.value)) {
-            if (isOwn || JobRecord.state(item.value) == JobState.CANCELLED) open.add(item)
+        val record = JobRecord(item.value)
+        val isOwn = record.shard == shard.name
+        if (!record.isSettled) {
+            if (isOwn || record.state == JobState.CANCELLED) open.add(item)
         } else if (isOwn) {
-            onSettled(refOf(item), item.value)
+            onSettled(jobIdOf(item), record)
         }
     }
 
-    private fun refOf(item: KeyValue) = item.key.removePrefix(Keys.JOB)
+    private fun jobIdOf(item: KeyValue) = item.key.removePrefix(Keys.JOB)
 
     /**
-     * A record's further values have its revision, since one transaction writes them. Nobody else writes records of a shard
-     * that is held, so for those the two listings agree; null if they don't.
+     * Unpacks the records. The further values of a record have its revision, since one transaction writes them. Nobody else
+     * writes records of a shard that is led here, so for those the two listings agree.
+     *
+     * @return null if they don't, so that they are to be read again
      */
     private suspend fun unpacked(
         items: List<KeyValue>,
@@ -116,14 +128,21 @@
         val parts = if (isSplit) state.list(Keys.JOB_PART, Urgency.LEASE) ?: return null else null
         val partOf = parts?.items?.associateBy { it.key } ?: emptyMap()
         return items.map { item ->
-            val jobId = refOf(item)
-            val isOwn = JobRecord.shardOf(item.value) == shard.name
-            val overflow = (0 until RecordPacking.overflowCount(item.value)).map { partOf[Keys.jobPart(jobId, it)] }
-            val isWhole = overflow.all { it != null && it.modRevision == item.modRevision }
+            val jobId = jobIdOf(item)
+            val isOwn = JobRecord(item.value).shard == shard.name
+            val partCount = RecordPacking.overflowCount(item.value)
+            val overflow = (0 until partCount).mapNotNull { partOf[Keys.jobPart(jobId, it)] }
+            val isWhole = overflow.size == partCount && overflow.all { it.modRevision == item.modRevision }
             if (!isWhole && isOwn && jobId !in shard.jobs) return null
             val plain =
-                if (isWhole) readable(jobId) { RecordPacking.unpack(item.value, overflow.map { it!!.value }) } else null
-            ShardRecord(jobId, item.value, plain, item.modRevision)
+                if (isWhole) {
+                    readable(
+                        jobId,
+                    ) { JobRecord(RecordPacking.unpack(item.value, overflow.map { it.value })) }
+                } else {
+                    null
+                }
+            ShardRecord(jobId, JobRecord(item.value), plain, item.modRevision)
         }
     }
 }
--- a/src/main/kotlin/micatally/peer/CancellationBroadcast.kt
+++ b/src/main/kotlin/micatally/peer/CancellationBroadcast.kt
@@ -44,7 +44,7 @@
      */
     suspend fun broadcastCancellation(job: Job) {
         if (job.publishedAt == null) return
-        val body = ProtoBuf.encodeToByteArray(CancelledTaskList(jobManager.cancellations.tasksOf(job)))
+        val body = ProtoBuf.encodeToByteArray(CancelledTaskList(job.cancelledTasks()))
         coroutineScope {
             for (connection in connections) {
                 if (connection.peer.host !in job.confirmedBy) launch { sendTo(connection, job, body) }
--- a/src/main/kotlin/micatally/quota/AllotmentWriter.kt
+++ b/src/main/kotlin/micatally/quota/AllotmentWriter.kt
@@ -187,7 +187,7 @@
         change: Change,
         isShown: () -> Boolean,
     ) {
-        change.isSeen = { !change.shard.mine || isShown() }
+        change.isSeen = { !change.shard.isLedHere || isShown() }
     }
 
     private suspend fun awaitSeen(change: Change) {
--- a/src/main/kotlin/micatally/scheduling/PlacementActions.kt
+++ b/src/main/kotlin/micatally/scheduling/PlacementActions.kt
@@ -46,7 +46,7 @@
     }
 
     /** Requests an urgent write of the job's record, which makes its new attempts durable. */
-    fun requestWrite(job: Job) = store.touch(job, true)
+    fun requestWrite(job: Job) = store.requestWrite(job)
 
     /** Requests that pending commands, such as stops, are sent to the machine. */
     fun requestSync(machine: Machine) = dispatcher.requestSync(machine)
--- a/src/main/kotlin/micatally/worker/AttemptDirectory.kt
+++ b/src/main/kotlin/micatally/worker/AttemptDirectory.kt
@@ -20,6 +20,6 @@
     /** Ends the attempt on the given evidence; its task may be started elsewhere from then on. No effect on one that has ended. */
     fun terminate(
         attempt: Attempt,
-        end: AttemptTermination,
+        termination: AttemptTermination,
     )
 }
--- a/src/main/kotlin/micatally/worker/CommandResponseHandler.kt
+++ b/src/main/kotlin/micatally/worker/CommandResponseHandler.kt
@@ -53,7 +53,7 @@
         val listedTasks = heartbeat.tasks.associateBy { AttemptId.of(it) }
         for (attempt in batch.coveredAttempts) {
             val isConclusive =
-                attempt.live && attempt.state >= AttemptState.DISPATCHED && attempt.incarnation == batch.incarnation
+                attempt.isLive && attempt.state >= AttemptState.DISPATCHED && attempt.incarnation == batch.incarnation
             if (!isConclusive) continue
             val task = listedTasks[AttemptId.of(attempt)]
             if (task == null) {
--- a/src/test/kotlin/micatally/job/RecordPackingTest.kt
+++ b/src/test/kotlin/micatally/job/RecordPackingTest.kt
@@ -22,6 +22,7 @@
 import micatally.worker.Machine
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Assertions.fail
 import org.junit.jupiter.api.Test
 import kotlin.random.Random
 
@@ -62,12 +63,12 @@
         assertTrue(values.values.all { RecordPacking.size(it) <= limits.valueBytes })
         val main = values.getValue(Keys.job(job.jobId))
         val parts = (0 until RecordPacking.overflowCount(main)).map { values.getValue(Keys.jobPart(job.jobId, it)) }
-        assertEquals(JobRecord.encode(job), RecordPacking.unpack(main, parts))
+        assertEquals(JobRecordCodec.encode(job), RecordPacking.unpack(main, parts))
         assertEquals(
             listOf("pitbox-0", 0, 150),
-            listOf(JobRecord.shardOf(main), JobRecord.doneCount(main), JobRecord.attemptCount(main)),
+            listOf(JobRecord(main).shard, JobRecord(main).doneCount, JobRecord(main).attemptCount),
         )
-        assertEquals(false, JobRecord.isSettled(main))
+        assertEquals(false, JobRecord(main).isSettled)
     }
 
     /** Guard: [Cancellations.published] puts the values together; with the first alone no task is known. */
@@ -88,8 +89,15 @@
         val scope = CoroutineScope(SupervisorJob())
         val nothing = HttpCaller { _, _, _, _, _ -> Outcome.NotSent }
         val state = StateStoreClient(nothing, "state", RateBudget(scope, 1.0, { 0 }), RateBudget(scope, 1.0, { 0 }), 10)
-        val store = JobStore(scope, state, RecordForms(limits) { true }, 1, 1) { 0 }
-        val cancellations = Cancellations(scope, SimFleet(1).settings[0], sharedKeys, store) { 0 }
+        val store = JobStore(scope, state, RecordForms(limits) { true }, 1, 1, IgnoresOutcomes) { 0 }
+        val cancellations =
+            Cancellations(
+                scope,
+                SimFleet(1).settings[0],
+                sharedKeys,
+                store,
+                { fail("no confirmation is asked for") },
+            ) { 0 }
         cancellations.published(Keys.cancelledTasksPart(job.jobId, 0))
         assertTrue(
             job.attempts.values.all {
@@ -98,6 +106,22 @@
         )
     }
 
+    private object IgnoresOutcomes : JobStoreListener {
+        override fun recordWritten(
+            job: Job,
+            written: List<Attempt>,
+        ) = Unit
+
+        override fun recordFull(
+            job: Job,
+            attempts: List<Attempt>,
+        ) = Unit
+
+        override fun jobDropped(job: Job) = Unit
+
+        override fun shardLost(shard: JobShard) = Unit
+    }
+
     /** Guard: values that a smaller record does not need are deleted with it. */
     @Test
     fun `what a record no longer needs is deleted`() {
@@ -128,7 +152,7 @@
         val forms = RecordForms(limits) { false }
         val write = (forms.fit(job) as RecordFit.Fits).write
         assertEquals(
-            listOf(Keys.job(job.jobId) to JobRecord.encode(job)),
+            listOf(Keys.job(job.jobId) to JobRecordCodec.encode(job)),
             write.changes.map { it.key to (it as Put).value },
         )
         assertTrue(forms.isFull(job))
--- a/src/test/kotlin/micatally/sim/AnswerConsistencyTest.kt
+++ b/src/test/kotlin/micatally/sim/AnswerConsistencyTest.kt
@@ -13,7 +13,7 @@
 class AnswerConsistencyTest {
     /**
      * Guard: the final state of a job is not answered from memory while its write is under way
-     * ([micatally.job.Job.endUnderWay]).
+     * ([micatally.job.Job.isEndBeingWritten]).
      */
     @Test
     fun `users ask at all nodes right after a job was accepted, ended or cancelled, and some cancel at once`() =
@@ -50,7 +50,7 @@
         }
 
     /**
-     * Guard: [micatally.job.Job.endUnderWay] again, here when the one answer is lost that would confirm the end to the
+     * Guard: [micatally.job.Job.isEndBeingWritten] again, here when the one answer is lost that would confirm the end to the
      * shard leader.
      */
     @Test
--- a/src/test/kotlin/micatally/sim/FailoverSafetyTest.kt
+++ b/src/test/kotlin/micatally/sim/FailoverSafetyTest.kt
@@ -58,7 +58,7 @@
         }
 
     /**
-     * Guard: only termination evidence ends an attempt ([micatally.job.JobManager.gone]): a machine that cannot be
+     * Guard: only termination evidence ends an attempt ([micatally.job.JobManager.terminate]): a machine that cannot be
      * asked keeps its tasks.
      */
     @Test
--- a/src/test/kotlin/micatally/sim/GangTest.kt
+++ b/src/test/kotlin/micatally/sim/GangTest.kt
@@ -34,7 +34,7 @@
         fleet.live
             .mapNotNull {
                 it?.jobManager?.job(jobId)
-            }.first { it.shard.mine }
+            }.first { it.shard.isLedHere }
 
     private fun Scenario.phase(jobId: String) = gangOf(jobId).gang!!.phase
 
--- a/src/test/kotlin/micatally/sim/IdempotentSubmissionTest.kt
+++ b/src/test/kotlin/micatally/sim/IdempotentSubmissionTest.kt
@@ -22,7 +22,7 @@
 
     /** The submission is repeated at node 0, which has its shard and is still loading it, since the state store is slow. */
     private fun Scenario.repeatWhileLoading(spec: JobSpec) {
-        val shard = fleet.live[0]!!.jobManager.own()!!
+        val shard = fleet.live[0]!!.jobManager.ownShard()!!
         fleet.scope.launch { fleet.users.askNode(0, "POST", "/work", spec.source.bytes()) }
         runUntil(2000, "it is being looked into") { spec.jobId in shard.jobs }
         assertEquals(ShardState.LOADING, shard.state)
@@ -66,7 +66,7 @@
             fleet.crash(0)
             fleet.net.slowMs["state"] = 600
             fleet.startNode(0)
-            while (fleet.live[0]!!.jobManager.own() == null) fleet.step(1)
+            while (fleet.live[0]!!.jobManager.ownShard() == null) fleet.step(1)
             repeatWhileLoading(spec)
             fleet.runFor(fleet.lease / 2)
             assertEquals(
@@ -90,7 +90,7 @@
         scenario(11, largeDeployment) {
             val spec = inSecondAttempt()
             val before = fleet.rules.starts
-            val first = fleet.live[0]!!.jobManager.own()
+            val first = fleet.live[0]!!.jobManager.ownShard()
             fleet.stateFaults.refusedHosts.add("n0")
             runUntil(fleet.lease * 2, "another one takes the shard") { others.any { isLeaderOf(it, 0) } }
             fleet.stateFaults.refusedHosts.clear()
@@ -98,7 +98,7 @@
             runUntil(fleet.lease * 2, "it is taken back") {
                 fleet.live[0]!!
                     .jobManager
-                    .own()
+                    .ownShard()
                     .let { it != null && it !== first }
             }
             repeatWhileLoading(spec)
--- a/src/test/kotlin/micatally/sim/Scenario.kt
+++ b/src/test/kotlin/micatally/sim/Scenario.kt
@@ -187,7 +187,7 @@
         ?.jobManager
         ?.shards
         ?.get("pitbox-$shard")
-        ?.mine == true
+        ?.isLedHere == true
 
     fun zoneOf(node: Int) =
         fleet.net.hosts
--- a/src/test/kotlin/micatally/sim/StaleMessageTest.kt
+++ b/src/test/kotlin/micatally/sim/StaleMessageTest.kt
@@ -10,7 +10,7 @@
  */
 class StaleMessageTest {
     /**
-     * Guard: a heartbeat that lacks a task is no termination evidence ([micatally.job.JobManager.gone]), and only a
+     * Guard: a heartbeat that lacks a task is no termination evidence ([micatally.job.JobManager.terminate]), and only a
      * newer (incarnation, sequence number) counts.
      */
     @Test
