--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -359,7 +359,7 @@
                 effortAt = now
                 cpuUsage.tell(
                     " machines=${machines.byName.size} waiting=${scheduler.unplaced.size} ${cpuUsage.news()} " +
-                        "allotmentOveruse=${quota.audit.overuseCount} writes=${writeBudget.tell()} requests=${requestBudget.tell()}",
+                        "allotmentOveruse=${quota.audit.overuseCount} writes=${writeBudget.describeWaits()} requests=${requestBudget.describeWaits()}",
                 )
             }
             if (round % 8 == 0) askForEnds(now)
--- a/src/main/kotlin/micatally/fleet/CloudClient.kt
+++ b/src/main/kotlin/micatally/fleet/CloudClient.kt
@@ -46,7 +46,7 @@
     ): Outcome {
         budget.take(1, urgency)
         val out = http.call(addr, method, target, body?.bytes(), timeoutMs)
-        if (out is Outcome.Answer && out.status == 429) budget.drained()
+        if (out is Outcome.Answer && out.status == 429) budget.markExhausted()
         return out
     }
 
--- a/src/main/kotlin/micatally/state/RateBudget.kt
+++ b/src/main/kotlin/micatally/state/RateBudget.kt
@@ -7,143 +7,162 @@
 import kotlin.coroutines.Continuation
 import kotlin.coroutines.resume
 
-/** A token bucket whose waiters are served by urgency, then in order. Work lands unevenly on the controllers, so what is
- * urgent also tries the share that others may have left unused, [lent] a second, until the service says no. */
+/**
+ * A token bucket for this controller's share of a service's rate limit. Those who wait are served by urgency, then in order.
+ *
+ * Load is uneven among the controllers. Urgent work may therefore also borrow from what the others leave of their shares, until
+ * the service refuses it.
+ *
+ * @param perSecond this controller's share; one second's worth may be taken at once
+ * @param borrowablePerSecond what may be borrowed beyond that
+ */
 class RateBudget(
     private val scope: CoroutineScope,
     private val perSecond: Double,
     private val nowMs: () -> Long,
-    private val lent: Double = 0.0,
+    private val borrowablePerSecond: Double = 0.0,
 ) {
     private class Waiter(
-        val n: Int,
-        val c: Continuation<Unit>,
+        val count: Int,
+        val continuation: Continuation<Unit>,
     ) {
-        var gone = false
+        var isCancelled = false
     }
 
-    private val counts = IntArray(Urgency.entries.size)
-    private val waits = LongArray(Urgency.entries.size)
-    private val longest = LongArray(Urgency.entries.size)
-    private var credit = lent
-    private var noLoanUntil = Long.MIN_VALUE / 2
-
+    private val statistics = WaitStatistics()
     private val queues = Urgency.entries.map { ArrayDeque<Waiter>() }
     private val burst = maxOf(1.0, perSecond)
     private var tokens = burst
-    private var filledAt = nowMs()
-    private var pumping = false
+    private var borrowableTokens = borrowablePerSecond
+    private var refilledAt = nowMs()
+    private var noBorrowingUntil = Long.MIN_VALUE / 2
+    private var isServing = false
 
-    /** How many wait; the measure of overload that admission looks at. */
+    /** How many wait; admission takes it as the measure of overload. */
     val waiting get() = queues.sumOf { it.size }
 
-    /** Waits until [n] may be taken; true if they are borrowed. */
+    /** Suspends until [count] may be taken from this controller's own share. */
     suspend fun take(
-        n: Int,
+        count: Int,
         urgency: Urgency,
-        mayBorrow: Boolean = false,
-    ): Boolean {
-        if (n == 0) return false
-        val began = nowMs()
-        val borrowed = mayBorrow && borrow(n, urgency)
-        if (!borrowed) await(n, urgency)
-        val waited = nowMs() - began
-        counts[urgency.ordinal]++
-        waits[urgency.ordinal] += waited
-        if (waited > longest[urgency.ordinal]) longest[urgency.ordinal] = waited
-        return borrowed
+    ) {
+        if (count == 0) return
+        val startedAt = nowMs()
+        await(count, urgency)
+        statistics.add(urgency, nowMs() - startedAt)
     }
 
-    private fun borrow(
-        n: Int,
+    /** Borrows [count] if that is possible and would save a wait, or else acts as [take]. Returns whether they are borrowed. */
+    suspend fun takeOrBorrow(
+        count: Int,
         urgency: Urgency,
     ): Boolean {
-        refill()
-        if (lent <= 0 || urgency > Urgency.INTENT || waiting == 0 && tokens >= n || credit < n ||
-            filledAt < noLoanUntil
-        ) {
+        if (count == 0) return false
+        if (!borrow(count, urgency)) {
+            take(count, urgency)
             return false
         }
-        credit -= n
+        statistics.add(urgency, 0)
         return true
     }
 
-    /** The service refused what was borrowed: the others use their shares. */
-    fun loanRefused() {
-        credit = 0.0
-        noLoanUntil = nowMs() + NO_LOAN_MS
+    /** To be called when the service refused what was borrowed: the other controllers use their shares. */
+    fun borrowingRefused() {
+        borrowableTokens = 0.0
+        noBorrowingUntil = nowMs() + NO_BORROWING_MS
     }
 
-    /** For each urgency: how many, and how long they waited on average and at the most, since the last call. */
-    fun tell(): String =
-        Urgency.entries
-            .filter { counts[it.ordinal] > 0 }
-            .joinToString(",") { u ->
-                val i = u.ordinal
-                "${u.name.lowercase()}:${counts[i]}x/${waits[i] / counts[i]}ms/${longest[i]}ms"
-            }.also {
-                counts.fill(0)
-                waits.fill(0)
-                longest.fill(0)
-            }
+    /** To be called when the service refused what was taken: by its count less is left than by this one's. */
+    fun markExhausted() {
+        refill()
+        tokens = minOf(tokens, 0.0)
+    }
+
+    /** For the log: how many took something since the last call, and how long they waited. See [WaitStatistics]. */
+    fun describeWaits(): String = statistics.describeAndReset()
+
+    private fun borrow(
+        count: Int,
+        urgency: Urgency,
+    ): Boolean {
+        refill()
+        val isUrgent = urgency <= Urgency.INTENT
+        val isOwnShareFree = waiting == 0 && tokens >= count
+        val isAvailable = borrowablePerSecond > 0 && borrowableTokens >= count && refilledAt >= noBorrowingUntil
+        if (!isUrgent || isOwnShareFree || !isAvailable) return false
+        borrowableTokens -= count
+        return true
+    }
 
     private suspend fun await(
-        n: Int,
+        count: Int,
         urgency: Urgency,
     ) {
         refill()
-        if (waiting == 0 && tokens >= minOf(n.toDouble(), burst)) {
-            tokens -= n
+        if (waiting == 0 && tokens >= needed(count)) {
+            tokens -= count
             return
         }
-        suspendCancellableCoroutine { c ->
-            val w = Waiter(n, c)
-            queues[urgency.ordinal].addLast(w)
-            c.invokeOnCancellation { w.gone = true }
-            pump()
+        suspendCancellableCoroutine { continuation ->
+            val waiter = Waiter(count, continuation)
+            queues[urgency.ordinal].addLast(waiter)
+            continuation.invokeOnCancellation { waiter.isCancelled = true }
+            serveWaiters()
         }
     }
 
-    /** After a 429 the service's own count is lower than ours. */
-    fun drained() {
-        refill()
-        tokens = minOf(tokens, 0.0)
-    }
+    /** More than the bucket holds is given when it is full, and the tokens are negative for a while. */
+    private fun needed(count: Int): Double = minOf(count.toDouble(), burst)
 
     private fun refill() {
         val now = nowMs()
-        tokens = minOf(burst, tokens + (now - filledAt) * perSecond / 1000.0)
-        credit = minOf(lent, credit + (now - filledAt) * lent / 1000.0)
-        filledAt = now
+        val elapsedMs = now - refilledAt
+        tokens = minOf(burst, tokens + elapsedMs * perSecond / MS_PER_SECOND)
+        borrowableTokens =
+            minOf(borrowablePerSecond, borrowableTokens + elapsedMs * borrowablePerSecond / MS_PER_SECOND)
+        refilledAt = now
     }
 
-    private fun pump() {
-        if (pumping) return
-        pumping = true
+    private fun serveWaiters() {
+        if (isServing) return
+        isServing = true
         scope.launch {
             try {
                 while (true) {
                     refill()
-                    for (q in queues) while (q.firstOrNull()?.gone == true) q.removeFirst()
-                    val q = queues.firstOrNull { it.isNotEmpty() } ?: break
-                    val w = q.first()
-                    val need = minOf(w.n.toDouble(), burst)
-                    if (tokens >= need) {
-                        q.removeFirst()
-                        tokens -= w.n
-                        w.c.resume(Unit)
-                    } else {
-                        delay(((need - tokens) * 1000.0 / perSecond).toLong() + 1)
-                    }
+                    val queue = mostUrgentQueue() ?: break
+                    serveFirst(queue)
                 }
             } finally {
-                pumping = false
+                isServing = false
             }
         }
     }
 
+    private fun mostUrgentQueue(): ArrayDeque<Waiter>? {
+        for (queue in queues) {
+            while (queue.firstOrNull()?.isCancelled == true) queue.removeFirst()
+        }
+        return queues.firstOrNull { it.isNotEmpty() }
+    }
+
+    /** Serves the queue's first waiter, or pauses until there may be enough for it. */
+    private suspend fun serveFirst(queue: ArrayDeque<Waiter>) {
+        val waiter = queue.first()
+        val missing = needed(waiter.count) - tokens
+        if (missing > 0) {
+            delay((missing * MS_PER_SECOND / perSecond).toLong() + 1)
+            return
+        }
+        queue.removeFirst()
+        tokens -= waiter.count
+        waiter.continuation.resume(Unit)
+    }
+
     private companion object {
-        /** The service's limits allow one second's worth at once, so after that long they may have room again. */
-        const val NO_LOAN_MS = 1000L
+        const val MS_PER_SECOND = 1000.0
+
+        /** A service allows one second's worth at once, so after that long it may have room again. */
+        const val NO_BORROWING_MS = 1000L
     }
 }
--- a/src/main/kotlin/micatally/state/StateStoreClient.kt
+++ b/src/main/kotlin/micatally/state/StateStoreClient.kt
@@ -122,18 +122,18 @@
         urgency: Urgency,
         build: () -> Transaction?,
     ): TransactionResult {
-        var isBorrowed = writes.take(count, urgency, true)
+        var isBorrowed = writes.takeOrBorrow(count, urgency)
         requests.take(1, urgency)
         while (true) {
             val transaction = build() ?: return TransactionResult.Refused
             val result = commit(transaction)
             if (result !is TransactionResult.Limited) return result
             if (!isBorrowed) {
-                writes.drained()
+                writes.markExhausted()
                 return result
             }
             // Nothing was carried out. It is repeated within this controller's own share.
-            writes.loanRefused()
+            writes.borrowingRefused()
             writes.take(count, urgency)
             requests.take(1, urgency)
             isBorrowed = false
@@ -234,7 +234,7 @@
     ): Outcome {
         val outcome = http.call(addr, method, target, body?.bytes(), timeout)
         val isOverRateLimit = outcome is Outcome.Answer && outcome.status == StoreStatus.OVER_RATE_LIMIT
-        if (isOverRateLimit) requests.drained()
+        if (isOverRateLimit) requests.markExhausted()
         return outcome
     }
 
