--- a/src/main/kotlin/micatally/state/StateLimits.kt
+++ b/src/main/kotlin/micatally/state/StateLimits.kt
@@ -47,6 +47,7 @@
         return minOf(wanted, if (isPlainEnough) plain else packed).coerceAtLeast(1)
     }
 
+    /** Sizes of what is stored. */
     companion object {
         /** Average size of an attempt in a record; attempts that do not fit after all are given up again. */
         private const val PLAIN_ATTEMPT_BYTES = 40
