--- a/src/main/kotlin/micatally/peer/PeerSummaries.kt
+++ b/src/main/kotlin/micatally/peer/PeerSummaries.kt
@@ -7,7 +7,6 @@
 import micatally.wire.HeldCapacity
 import micatally.wire.ResourceRequest
 import micatally.wire.Resources
-import micatally.wire.textOrNull
 import micatally.worker.Machine
 import micatally.worker.MachineRegistry
 
@@ -68,7 +67,7 @@
         if (s.host == settings.host) return
         // A former process of that host may have left pieces behind.
         val current =
-            membership.sharedKeys.value(Keys.live(s.host))?.textOrNull("process")
+            membership.sharedKeys.liveProcess(s.host)
                 ?: membership.sharedKeys
                     .shards()
                     .mapNotNull {
