--- a/src/main/kotlin/micatally/membership/ControllerLease.kt
+++ b/src/main/kotlin/micatally/membership/ControllerLease.kt
@@ -63,7 +63,7 @@
     fun checkLiveKey() {
         val isKeySeen = sharedKeys.revision >= liveKeyModRevision
         if (id == null || !isKeySeen || sharedKeys.modRevision(liveKey) == liveKeyModRevision) return
-        log.info("lease {}: the live key is not its own any more", id)
+        log.info("lease {} given up: the live key is not the one that this process wrote", id)
         id = null
     }
 
@@ -83,7 +83,7 @@
             id = granted
             provenAt = sentAt
             liveKeyModRevision = result.revision
-            log.info("live with lease {}", granted)
+            log.info("lease {} granted: this controller is live", granted)
             return
         }
         state.revoke(granted)
@@ -114,7 +114,7 @@
                 delay(settings.liveMs / RENEWALS_PER_LIVE_TIME)
             }
             RenewalResult.EXPIRED -> {
-                log.info("lease {} has ended", held)
+                log.info("lease {} expired", held)
                 id = null
             }
             RenewalResult.UNKNOWN -> delay(retryDelay.nextMs())
@@ -126,7 +126,7 @@
      * are conditional on the shards' revisions, which the next leader changes.
      */
     private suspend fun stepDown(held: Long) {
-        log.info("lease {} given up: others reach the workers and this node does not", held)
+        log.info("lease {} given up: other controllers reach the workers and this one does not", held)
         id = null
         state.revoke(held)
     }
--- a/src/main/kotlin/micatally/membership/ShardFailover.kt
+++ b/src/main/kotlin/micatally/membership/ShardFailover.kt
@@ -50,7 +50,7 @@
         val lostAt = ownShardLostAt ?: now.also { ownShardLostAt = now }
         if (now - lostAt <= settings.liveMs / 2) return
         ownShardLostAt = null
-        acquisition.acquire(settings.host, "taken back")
+        acquisition.acquire(settings.host, "lost while cut off")
     }
 
     private suspend fun acquireOrphans(now: Long) {
--- a/src/main/kotlin/micatally/state/StateStoreClient.kt
+++ b/src/main/kotlin/micatally/state/StateStoreClient.kt
@@ -171,7 +171,7 @@
         if (StateStoreMessages.isNoSuchLease(text)) return TransactionResult.NoSuchLease
         val key = transaction.changes.first().key
         val isFirstOfKind = refusedKinds.add(key.substringBefore('/'))
-        if (isFirstOfKind) log.warn("state service refuses {}: {}", key, text)
+        if (isFirstOfKind) log.warn("state store refuses {}: {}", key, text)
         return TransactionResult.TooLarge
     }
 
