--- a/src/test/kotlin/micatally/sim/MeetingsTest.kt
+++ b/src/test/kotlin/micatally/sim/MeetingsTest.kt
@@ -685,7 +685,7 @@
         }
 
     /** Guard: a holder is a process, not a host: what a host had taken over before it ended is taken over in its turn
-     * ([micatally.membership.Membership] `isOrphan`). */
+     * (`isOrphan` of `micatally.membership.ShardAcquisition`). */
     @Test
     fun `controllers hand over and back, all end, and one returns within a second`() =
         each(big) {
