--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -373,7 +373,7 @@
     private fun usageDetails() =
         " machines=${machines.byName.size} waiting=${scheduler.pendingRequests.size} ${cpuUsage.takeDeltaBytes()} " +
             "allotmentOveruse=${quota.audit.overuseCount} " +
-            "writes=${budgets.stateWrites.tell()} requests=${budgets.stateRequests.tell()}"
+            "writes=${budgets.stateWrites.describeWaits()} requests=${budgets.stateRequests.describeWaits()}"
 
     private fun removeDeletedMachines(nowMs: Long) {
         machines.byName.values.removeIf { machine ->
--- a/src/main/kotlin/micatally/fleet/CloudClient.kt
+++ b/src/main/kotlin/micatally/fleet/CloudClient.kt
@@ -49,7 +49,7 @@
     ): Outcome {
         budget.take(1, urgency)
         val outcome = http.call(addr, method, target, body?.bytes(), timeoutMs)
-        if (outcome is Outcome.Answer && outcome.status == TOO_MANY_REQUESTS) budget.drained()
+        if (outcome is Outcome.Answer && outcome.status == TOO_MANY_REQUESTS) budget.markExhausted()
         return outcome
     }
 
