--- a/src/main/kotlin/micatally/wire/JobMessages.kt
+++ b/src/main/kotlin/micatally/wire/JobSpec.kt
@@ -2,8 +2,6 @@
 
 import kotlinx.serialization.json.JsonElement
 import kotlinx.serialization.json.JsonObject
-import kotlinx.serialization.json.buildJsonObject
-import kotlinx.serialization.json.put
 
 /** What kind of job it is. [word] is the protocol's. */
 enum class Format(
@@ -29,47 +27,6 @@
     LOW("low"),
 }
 
-/** An amount of each resource: what a task takes of its machine, or what a machine has. */
-data class Resources(
-    val cores: Double,
-    val gpus: Double,
-    val memoryGb: Double,
-) {
-    operator fun plus(other: Resources) =
-        Resources(cores + other.cores, gpus + other.gpus, memoryGb + other.memoryGb)
-
-    operator fun minus(other: Resources) =
-        Resources(cores - other.cores, gpus - other.gpus, memoryGb - other.memoryGb)
-
-    operator fun times(factor: Int) = Resources(cores * factor, gpus * factor, memoryGb * factor)
-
-    /** Whether each amount is at most that of [capacity], but for [SLACK]. */
-    fun fitsIn(capacity: Resources) =
-        cores <= capacity.cores + SLACK && gpus <= capacity.gpus + SLACK && memoryGb <= capacity.memoryGb + SLACK
-
-    /** How many times it fits in [capacity]. A resource of which it takes nothing sets no bound. */
-    fun countIn(capacity: Resources): Int =
-        minOf(
-            count(cores, capacity.cores),
-            count(gpus, capacity.gpus),
-            count(memoryGb, capacity.memoryGb),
-        )
-
-    private fun count(
-        amount: Double,
-        capacity: Double,
-    ): Int {
-        if (amount <= 0) return Int.MAX_VALUE
-        return ((capacity + SLACK) / amount).toInt().coerceAtLeast(0)
-    }
-
-    companion object {
-        /** Allowance for rounding when sums of decimal amounts are compared. */
-        const val SLACK = 1e-6
-        val NONE = Resources(0.0, 0.0, 0.0)
-    }
-}
-
 /**
  * A job as its user submitted it: the body of the request that a user sends, checked field by field.
  *
@@ -208,40 +165,3 @@
         }
     }
 }
-
-/**
- * The status of a job. Sent to users in response to submissions, queries and cancellations.
- *
- * @property status [PENDING], [RUNNING], [DONE] or [CANCELLED]
- * @property doneCount number of completed tasks
- * @property runningCount number of running tasks
- */
-data class JobAnswer(
-    val jobId: String,
-    val status: String,
-    val doneCount: Int,
-    val runningCount: Int,
-) {
-    /** All fields. */
-    fun json() =
-        buildJsonObject {
-            put("ref", jobId)
-            put("status", status)
-            put("done", doneCount)
-            put("running", runningCount)
-        }
-
-    /** Id and status only. */
-    fun brief() =
-        buildJsonObject {
-            put("ref", jobId)
-            put("status", status)
-        }
-
-    companion object {
-        const val PENDING = "pending"
-        const val RUNNING = "running"
-        const val DONE = "done"
-        const val CANCELLED = "withdrawn"
-    }
-}
