--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -273,7 +273,7 @@
     }
 
     private fun sharedChanged(keys: Set<String>) {
-        upgrade.sharedChanged()
+        upgrade.sharedKeysChanged()
         configuration.sharedChanged()
         jobManager.checkShards()
         for (k in keys) {
--- a/src/main/kotlin/micatally/upgrade/Upgrade.kt
+++ b/src/main/kotlin/micatally/upgrade/Upgrade.kt
@@ -17,37 +17,44 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Carries an upgrade on: announces this host's version, raises the format once all hosts have announced it, and tells the
- * other parts when forms of the current version may be written.
+ * Carries out an upgrade of the stored forms: announces this host's version, raises the format once all hosts have announced it,
+ * and tells which forms may be written.
+ *
+ * What is known here may lag behind the state store, which only delays the use of newer forms.
+ *
+ * @param targetFormat the format that this host aims at, see [FormatVersion]
+ * @param onUniform called once, when forms of the current version may be written
  */
 class Upgrade(
     private val scope: CoroutineScope,
     private val settings: Settings,
     private val state: StateStoreClient,
     private val sharedKeys: SharedKeyCache,
-    /** The format that this host is ready for. */
-    private val wanted: Long,
+    private val targetFormat: Long,
     private val onUniform: () -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("micatally.upgrade")
     private val hosts = settings.peers.map { it.host } + settings.host
-    private val retryMs = settings.leaseMs / RETRIES_A_LEASE
+    private val retryDelayMs = settings.leaseMs / RETRIES_PER_LEASE
 
-    /** What this node knows; it may lag behind the state service, which only makes it more careful. */
+    /** Changes at most once, from [UpgradePhase.MIXED] to [UpgradePhase.UNIFORM]. */
     var phase = UpgradePhase.MIXED
         private set
+
+    /** Whether forms of the current version may be written. */
     val isUniform get() = phase == UpgradePhase.UNIFORM
 
-    /** Whether all controllers can read teams in the state service, so that they may be written. */
+    /** Whether all controllers can read teams in the state store, so that they may be written. */
     val mayStoreTeams get() = UpgradePlan.format(sharedKeys) >= FormatVersion.STORED_TEAMS
 
-    /** Whether this host has ever been ready for stored teams, so that others may have written them unseen. */
-    val mayTeamsBeStored
-        get() =
-            wanted >= FormatVersion.STORED_TEAMS ||
-                UpgradePlan.announced(sharedKeys, settings.host) >= FormatVersion.STORED_TEAMS
+    /** Whether this host has ever been ready for stored teams, so that others may have written them without its knowledge. */
+    val mayTeamsBeStored: Boolean
+        get() {
+            val announced = UpgradePlan.announced(sharedKeys, settings.host)
+            return targetFormat >= FormatVersion.STORED_TEAMS || announced >= FormatVersion.STORED_TEAMS
+        }
 
-    private var writing = false
+    private var isWriting = false
     private var lastStep: UpgradeStep? = null
     private var lastDowngraded: List<String> = emptyList()
 
@@ -60,26 +67,28 @@
         onUniform()
     }
 
-    /** Looks at the shared keys after a change. */
-    fun sharedChanged() {
-        if (sharedKeys.revision < 0) return
+    /** The shared keys have changed: takes the next step if there is one. Does not wait for the state store. */
+    fun sharedKeysChanged() {
+        val isLoaded = sharedKeys.revision >= 0
+        if (!isLoaded) return
         if (UpgradePlan.phase(sharedKeys) == UpgradePhase.UNIFORM) transitionTo(UpgradePhase.UNIFORM)
         warnOfDowngrades()
-        val step = UpgradePlan.next(sharedKeys, settings.host, hosts, wanted)
-        if (step != lastStep) report(step)
+        val step = nextStep()
+        if (step != lastStep) logProgress(step)
         lastStep = step
-        if (step == UpgradeStep.Announce || step == UpgradeStep.Raise) write()
+        if (step == UpgradeStep.Announce || step == UpgradeStep.Raise) launchWrite()
     }
 
-    private fun report(step: UpgradeStep) {
-        if (step is UpgradeStep.WaitFor) {
-            log.info(
-                "upgrade: {} of {} controllers are new, waiting for {}",
-                hosts.size - step.hosts.size,
-                hosts.size,
-                step.hosts,
-            )
-        }
+    private fun nextStep() = UpgradePlan.nextStep(sharedKeys, settings.host, hosts, targetFormat)
+
+    private fun logProgress(step: UpgradeStep) {
+        if (step !is UpgradeStep.WaitFor) return
+        log.info(
+            "upgrade: {} of {} controllers are new, waiting for {}",
+            hosts.size - step.hosts.size,
+            hosts.size,
+            step.hosts,
+        )
     }
 
     private fun warnOfDowngrades() {
@@ -90,38 +99,44 @@
         lastDowngraded = downgraded
     }
 
-    private fun write() {
-        if (writing) return
-        writing = true
+    /** At most one write is under way. After it the shared keys are looked at again, after a failed one with a delay. */
+    private fun launchWrite() {
+        if (isWriting) return
+        isWriting = true
         scope.launch {
             try {
-                val result = state.transact(1, Urgency.ACCEPTANCE) { transaction() }
-                if (result !is TransactionResult.Applied) delay(retryMs)
+                val result = state.transact(1, Urgency.ACCEPTANCE) { nextTransaction() }
+                if (result !is TransactionResult.Applied) delay(retryDelayMs)
             } finally {
-                writing = false
+                isWriting = false
             }
-            sharedChanged()
+            sharedKeysChanged()
         }
     }
 
     /**
-     * Conditional on the key's mark, so late and repeated writes change nothing. The announcements that a raise rests on
-     * need no condition: they are never taken back.
+     * The write of the present step; null if it has none any more.
+     *
+     * It is conditional on the key's revision, so late and repeated writes change nothing. The announcements that a raise
+     * relies on need no condition: they are never withdrawn.
      */
-    private fun transaction(): Transaction? {
-        val step = UpgradePlan.next(sharedKeys, settings.host, hosts, wanted)
-        val (key, version) =
-            when (step) {
-                UpgradeStep.Announce -> Keys.version(settings.host) to wanted
-                UpgradeStep.Raise -> Keys.FORMAT to UpgradePlan.common(sharedKeys, hosts)
-                else -> return null
-            }
+    private fun nextTransaction(): Transaction? =
+        when (nextStep()) {
+            UpgradeStep.Announce -> writeOf(Keys.version(settings.host), targetFormat)
+            UpgradeStep.Raise -> writeOf(Keys.FORMAT, UpgradePlan.common(sharedKeys, hosts))
+            else -> null
+        }
+
+    private fun writeOf(
+        key: String,
+        version: Long,
+    ): Transaction {
         log.info("upgrade: writing {} = {}", key, version)
         val value = buildJsonObject { put(UpgradePlan.VERSION_FIELD, version) }
         return Transaction(listOf(Compare(key, sharedKeys.modRevision(key))), listOf(Put(key, value)))
     }
 
     private companion object {
-        const val RETRIES_A_LEASE = 20
+        const val RETRIES_PER_LEASE = 20
     }
 }
--- a/src/main/kotlin/micatally/upgrade/UpgradePlan.kt
+++ b/src/main/kotlin/micatally/upgrade/UpgradePlan.kt
@@ -4,51 +4,63 @@
 import micatally.membership.SharedKeyCache
 import micatally.wire.longOrNull
 
+/** Which stored forms and messages the controllers may use. */
+enum class UpgradePhase {
+    /** Some controller may still run the previous version, so only forms that it understands are written. */
+    MIXED,
+
+    /** Every controller of the settings has started with the current version. Never left again. */
+    UNIFORM,
+}
+
 /**
- * Which stored forms and messages the controllers may use.
- *
- * MIXED: a controller may still run the previous version, so only forms that it understands are written.
- * UNIFORM: every controller of the settings has come up with the current version. Never left again.
+ * Versions of the stored forms; a higher one includes the lower ones. A program from before [PACKED_RECORDS] writes [FIRST] and
+ * announces nothing.
  */
-enum class UpgradePhase { MIXED, UNIFORM }
-
-/** Versions of the stored forms. The previous program writes [FIRST] and announces nothing. */
 object FormatVersion {
     const val FIRST = 1L
 
-    /** Records and kill lists may be packed, and gangs exist. */
+    /** Job records and lists of cancelled tasks may be packed, and there may be gangs. */
     const val PACKED_RECORDS = 2L
 
-    /** Teams may be stored in the state service; announced only where that is switched on. */
+    /** Teams may be stored in the state store. Announced only where that is switched on. */
     const val STORED_TEAMS = 3L
 
-    /** The newest that this program reads. */
+    /** The newest version that this program reads. */
     const val CURRENT = STORED_TEAMS
 }
 
-/** What a controller has to write next so that an upgrade proceeds. */
+/** What a controller has to do next so that an upgrade proceeds. */
 sealed interface UpgradeStep {
-    /** Record durably that this host has come up with the current version. */
+    /** Record durably that this host has started with the version it aims at. */
     data object Announce : UpgradeStep
 
-    /** All hosts have announced it: raise the format for good. */
+    /** All hosts have announced a newer version than the format: raise the format for good. */
     data object Raise : UpgradeStep
 
-    /** Wait for these hosts to come up with the current version. */
+    /** Wait for these hosts to start with the version that this host aims at. */
     data class WaitFor(
         val hosts: List<String>,
     ) : UpgradeStep
 
+    /** The format is the one that this host aims at, or newer. */
     data object Finished : UpgradeStep
 }
 
-/** Decides on the steps of an upgrade from the shared keys alone. */
+/**
+ * Decides on the steps of an upgrade from the shared keys alone.
+ *
+ * Keys that are missing stand for [FormatVersion.FIRST]. The keys may be older than the state store's: announcements and format
+ * only grow, so an older view delays a step and never takes a wrong one.
+ */
 object UpgradePlan {
+    /** The version that the host has announced. */
     fun announced(
         sharedKeys: SharedKeyCache,
         host: String,
     ): Long = version(sharedKeys, Keys.version(host))
 
+    /** The phase that the format stands for. */
     fun phase(sharedKeys: SharedKeyCache): UpgradePhase =
         if (format(sharedKeys) >= FormatVersion.PACKED_RECORDS) UpgradePhase.UNIFORM else UpgradePhase.MIXED
 
@@ -62,34 +74,38 @@
     ): Long = hosts.minOf { announced(sharedKeys, it) }
 
     /**
-     * The next step of [self], which wants the format [wanted]. An announcement is written by a process of the current version once it is live itself, and stays. A host that has once
-     * come up new does not return old, so a host that is merely away does not hold up the others.
+     * The next step of the host [self], which aims at the version [target].
+     *
+     * An announcement is written by a process of that version once it is live itself, and stays. A host that has started with
+     * a new version does not return to an old one, so a host that is only down does not delay the others.
      */
-    fun next(
+    fun nextStep(
         sharedKeys: SharedKeyCache,
         self: String,
         hosts: Collection<String>,
-        wanted: Long = FormatVersion.PACKED_RECORDS,
+        target: Long = FormatVersion.PACKED_RECORDS,
     ): UpgradeStep {
-        if (announced(sharedKeys, self) < wanted) {
+        if (announced(sharedKeys, self) < target) {
             // The live key may still be that of the former process.
-            val isLiveNew = running(sharedKeys, self) >= wanted
-            return if (isLiveNew) UpgradeStep.Announce else UpgradeStep.WaitFor(listOf(self))
+            val isLiveWithTarget = running(sharedKeys, self) >= target
+            return if (isLiveWithTarget) UpgradeStep.Announce else UpgradeStep.WaitFor(listOf(self))
         }
         if (common(sharedKeys, hosts) > format(sharedKeys)) return UpgradeStep.Raise
-        if (format(sharedKeys) >= wanted) return UpgradeStep.Finished
-        return UpgradeStep.WaitFor(hosts.filter { announced(sharedKeys, it) < wanted }.sorted())
+        if (format(sharedKeys) >= target) return UpgradeStep.Finished
+        return UpgradeStep.WaitFor(hosts.filter { announced(sharedKeys, it) < target }.sorted())
     }
 
-    /** Hosts that run an older version although they had announced the current one: an operator has gone back too late. */
+    /** Hosts that run an older version than they have announced: an operator has rolled them back too late. */
     fun downgraded(
         sharedKeys: SharedKeyCache,
         hosts: Collection<String>,
     ): List<String> =
-        hosts
-            .filter { host ->
-                sharedKeys.has(Keys.live(host)) && running(sharedKeys, host) < announced(sharedKeys, host)
-            }.sorted()
+        hosts.filter { isDowngraded(sharedKeys, it) }.sorted()
+
+    private fun isDowngraded(
+        sharedKeys: SharedKeyCache,
+        host: String,
+    ) = sharedKeys.has(Keys.live(host)) && running(sharedKeys, host) < announced(sharedKeys, host)
 
     /** The version of the process that the host's live key names. */
     private fun running(
--- a/src/test/kotlin/micatally/sim/RolloutTest.kt
+++ b/src/test/kotlin/micatally/sim/RolloutTest.kt
@@ -38,7 +38,7 @@
 
     private val Meeting.format get() = f.state.value(Keys.FORMAT)
 
-    /** Guard: [micatally.upgrade.UpgradePlan.next] raises only when no host is missing. */
+    /** Guard: [micatally.upgrade.UpgradePlan.nextStep] raises only when no host is missing. */
     @Test
     fun `the format is raised when the last host has come up new, also if a process came back old before`() =
         rollout(1) {
--- a/src/test/kotlin/micatally/upgrade/FormatTest.kt
+++ b/src/test/kotlin/micatally/upgrade/FormatTest.kt
@@ -187,7 +187,7 @@
         assertEquals(UpgradePhase.MIXED, UpgradePlan.phase(c))
         assertEquals(
             UpgradeStep.WaitFor(listOf("pitbox-0")),
-            UpgradePlan.next(c, "pitbox-0", listOf("pitbox-0", "pitbox-1")),
+            UpgradePlan.nextStep(c, "pitbox-0", listOf("pitbox-0", "pitbox-1")),
         )
         assertEquals(3L, c.fencingToken)
         assertEquals(listOf("pitbox-0", "pitbox-1", "pitbox-2"), c.shards().sorted())
@@ -197,18 +197,18 @@
     fun `the format is raised once every host has announced it, and never before`() {
         val hosts = listOf("n0", "n1", "n2")
         val live = "c/live/n0" to "{\"process\":\"p\",\"format\":2}"
-        assertEquals(UpgradeStep.Announce, UpgradePlan.next(sharedKeys(live), "n0", hosts))
+        assertEquals(UpgradeStep.Announce, UpgradePlan.nextStep(sharedKeys(live), "n0", hosts))
         // Found on a rollout: announced while the live key was the former process's, it looked like a downgrade.
         assertEquals(
             UpgradeStep.WaitFor(listOf("n0")),
-            UpgradePlan.next(sharedKeys("c/live/n0" to "{\"process\":\"old\"}"), "n0", hosts),
+            UpgradePlan.nextStep(sharedKeys("c/live/n0" to "{\"process\":\"old\"}"), "n0", hosts),
         )
         val two = arrayOf("c/version/n0" to "{\"n\":2}", "c/version/n1" to "{\"n\":2}")
-        assertEquals(UpgradeStep.WaitFor(listOf("n2")), UpgradePlan.next(sharedKeys(*two), "n0", hosts))
+        assertEquals(UpgradeStep.WaitFor(listOf("n2")), UpgradePlan.nextStep(sharedKeys(*two), "n0", hosts))
         val three = two + ("c/version/n2" to "{\"n\":2}")
-        assertEquals(UpgradeStep.Raise, UpgradePlan.next(sharedKeys(*three), "n0", hosts))
+        assertEquals(UpgradeStep.Raise, UpgradePlan.nextStep(sharedKeys(*three), "n0", hosts))
         val raised = three + ("c/format" to "{\"n\":2}")
-        assertEquals(UpgradeStep.Finished, UpgradePlan.next(sharedKeys(*raised), "n0", hosts))
+        assertEquals(UpgradeStep.Finished, UpgradePlan.nextStep(sharedKeys(*raised), "n0", hosts))
         assertEquals(UpgradePhase.UNIFORM, UpgradePlan.phase(sharedKeys(*raised)))
     }
 
