--- a/src/test/kotlin/micatally/upgrade/FormatTest.kt
+++ b/src/test/kotlin/micatally/upgrade/FormatTest.kt
@@ -39,11 +39,8 @@
     private val states = listOf("under cancellation", "a lease later").map { samples.getValue(it) as JsonObject }
 
     private fun under(prefix: String) =
-        states.flatMap { s ->
-            s.filterKeys { it.startsWith(prefix) }.map {
-                it.key to
-                    it.value as JsonObject
-            }
+        states.flatMap { state ->
+            state.filterKeys { it.startsWith(prefix) }.map { (key, value) -> key to value as JsonObject }
         }
 
     private fun shardOf(record: JsonObject): JobShard {
@@ -61,10 +58,21 @@
     ): Job {
         val job = JobRecord.decode(key.removePrefix(Keys.JOB), record, shardOf(record), 1)
         val machines = HashMap<String, Machine>()
-        for (p in JobRecord.placed(record)) {
-            val m = machines.getOrPut(p.machine) { Machine(p.machine, p.addr, p.type, p.zone, p.isSpot) }
-            job.attempts[p.taskIndex] =
-                Attempt(job, p.taskIndex, p.number, m, p.incarnation, job.service, AttemptState.DISPATCHED)
+        for (placed in JobRecord.placed(record)) {
+            val machine =
+                machines.getOrPut(placed.machine) {
+                    Machine(placed.machine, placed.addr, placed.type, placed.zone, placed.isSpot)
+                }
+            job.attempts[placed.taskIndex] =
+                Attempt(
+                    job,
+                    placed.taskIndex,
+                    placed.number,
+                    machine,
+                    placed.incarnation,
+                    job.service,
+                    AttemptState.DISPATCHED,
+                )
         }
         return job
     }
@@ -104,7 +112,7 @@
     }
 
     @Test
-    fun `kill lists of the previous program are read and written unchanged`() {
+    fun `lists of cancelled tasks of the previous program are read and written unchanged`() {
         val (key, list) = under(Keys.CANCELLED_TASKS).single()
         val job =
             decoded(
@@ -114,7 +122,7 @@
         assertEquals(list, JobRecord.encodeTasks(job))
         assertEquals(
             job.attempts.values.map { listOf<Any>(it.machine.name, it.taskIndex, it.number) },
-            formerKillList(list),
+            formerCancelledTasks(list),
         )
     }
 
@@ -158,39 +166,33 @@
     }
 
     private fun sharedKeys(vararg values: Pair<String, String>) =
-        SharedKeyCache().also { c ->
-            c.load(
-                Listing(
-                    values.mapIndexed {
-                        i,
-                        (k, v),
-                        ->
-                        KeyValue(k, Json.parseToJsonElement(v) as JsonObject, i + 1L)
-                    },
-                    100,
-                ),
-            )
+        SharedKeyCache().also { cache ->
+            val items =
+                values.mapIndexed { index, (key, json) ->
+                    KeyValue(key, Json.parseToJsonElement(json) as JsonObject, index + 1L)
+                }
+            cache.load(Listing(items, 100))
         }
 
     /** The state of the previous program holds no announcement, so nothing of a later format is written. */
     @Test
     fun `the shared keys of the previous program say that the fleet is mixed`() {
-        val c = SharedKeyCache()
-        c.load(
+        val cache = SharedKeyCache()
+        cache.load(
             Listing(
-                states[0].filterKeys { it.startsWith(Keys.PREFIX) }.map { (k, v) ->
-                    KeyValue(k, v as JsonObject, 1)
+                states[0].filterKeys { it.startsWith(Keys.PREFIX) }.map { (key, value) ->
+                    KeyValue(key, value as JsonObject, 1)
                 },
                 5,
             ),
         )
-        assertEquals(UpgradePhase.MIXED, UpgradePlan.phase(c))
+        assertEquals(UpgradePhase.MIXED, UpgradePlan.phase(cache))
         assertEquals(
             UpgradeStep.WaitFor(listOf("pitbox-0")),
-            UpgradePlan.nextStep(c, "pitbox-0", listOf("pitbox-0", "pitbox-1")),
+            UpgradePlan.nextStep(cache, "pitbox-0", listOf("pitbox-0", "pitbox-1")),
         )
-        assertEquals(3L, c.fencingToken)
-        assertEquals(listOf("pitbox-0", "pitbox-1", "pitbox-2"), c.shards().sorted())
+        assertEquals(3L, cache.fencingToken)
+        assertEquals(listOf("pitbox-0", "pitbox-1", "pitbox-2"), cache.shards().sorted())
     }
 
     @Test
@@ -214,13 +216,13 @@
 
     @Test
     fun `a host that returns with an older version than it had announced is named`() {
-        val c =
+        val cache =
             sharedKeys(
                 "c/version/n0" to "{\"n\":2}",
                 "c/live/n0" to "{\"process\":\"p\"}",
                 "c/live/n1" to "{\"process\":\"q\"}",
             )
-        assertEquals(listOf("n0"), UpgradePlan.downgraded(c, listOf("n0", "n1")))
+        assertEquals(listOf("n0"), UpgradePlan.downgraded(cache, listOf("n0", "n1")))
         assertTrue(
             UpgradePlan
                 .downgraded(
--- a/src/test/kotlin/micatally/upgrade/FormerRecordCodec.kt
+++ b/src/test/kotlin/micatally/upgrade/FormerRecord.kt
@@ -6,7 +6,7 @@
 import kotlinx.serialization.json.int
 import kotlinx.serialization.json.long
 
-/** Reads job records and kill lists as the previous program does, which knows no other fields than these. */
+/** Reads job records as the previous program does, which knows no other fields than these. */
 class FormerRecord(
     private val stored: JsonObject,
 ) {
@@ -26,7 +26,7 @@
             .chunked(2)
             .flatMap { (from, to) -> from until to }
 
-    /** Machine, session, task and attempt of each row. */
+    /** Machine, incarnation, task index and attempt number of each row. */
     val attempts: List<List<Any>> get() =
         (stored["a"] as? JsonArray ?: JsonArray(emptyList())).flatMap { row ->
             val fields = (row as JsonArray).map { it as JsonPrimitive }
@@ -41,7 +41,8 @@
         }
 }
 
-fun formerKillList(stored: JsonObject): List<List<Any>> =
+/** Reads lists of cancelled tasks as the previous program does: machine, task index and attempt number of each row. */
+fun formerCancelledTasks(stored: JsonObject): List<List<Any>> =
     (stored["tasks"] as? JsonArray ?: JsonArray(emptyList())).map { row ->
         val fields = (row as JsonArray).map { it as JsonPrimitive }
         listOf(fields[0].content, fields[1].int, fields[2].long)
