--- a/src/main/kotlin/micatally/api/UserApi.kt
+++ b/src/main/kotlin/micatally/api/UserApi.kt
@@ -284,7 +284,11 @@
         jobId: String,
     ): JobAnswer? {
         val host = membership.sharedKeys.leader(shard)?.host ?: return null
-        if (host == settings.host || !membership.sharedKeys.isLive(host) || !peers.contacts.isReachable(host)) return null
+        if (host == settings.host || !membership.sharedKeys.isLive(host) ||
+            !peers.contacts.isReachable(host)
+        ) {
+            return null
+        }
         val a = peers.jobClient.request(host, what, jobId, askMs) ?: return null
         return JobAnswer(jobId, a.status, a.doneCount, a.runningCount).also { jobManager.rememberFinal(it) }
     }
@@ -309,7 +313,8 @@
         }
         val shard = shardOf.getIfPresent(jobId) ?: return later("the job's owner is not known")
         withdrawHere(jobId)?.let { return brief(it) }
-        return askHolder(shard, PeerPaths.CANCEL_JOB, jobId)?.let { brief(it) } ?: later("the job's owner can't be reached")
+        return askHolder(shard, PeerPaths.CANCEL_JOB, jobId)?.let { brief(it) }
+            ?: later("the job's owner can't be reached")
     }
 
     private fun brief(a: JobAnswer) = HttpResponse(200, a.brief().bytes())
@@ -334,6 +339,8 @@
         local(jobId)?.let { PeerJobResponse(true, it.status, it.doneCount, it.runningCount) } ?: PeerJobResponse()
 
     suspend fun peerCancel(jobId: String): PeerJobResponse =
-        (jobManager.final(jobId) ?: withdrawHere(jobId))?.let { PeerJobResponse(true, it.status, it.doneCount, it.runningCount) }
+        (jobManager.final(jobId) ?: withdrawHere(jobId))?.let {
+            PeerJobResponse(true, it.status, it.doneCount, it.runningCount)
+        }
             ?: PeerJobResponse()
 }
--- a/src/main/kotlin/micatally/emulator/LoopbackFleet.kt
+++ b/src/main/kotlin/micatally/emulator/LoopbackFleet.kt
@@ -111,7 +111,10 @@
         val capacity = HashMap<Triple<String, String, Boolean>, Int>()
         for (zone in plan.zones) {
             for (flavor in plan.machineTypes) {
-                for (isSpot in listOf(true, false)) capacity[Triple(flavor.label, zone, isSpot)] = plan.machinesOfEachKind
+                for (isSpot in listOf(true, false)) {
+                    capacity[Triple(flavor.label, zone, isSpot)] =
+                        plan.machinesOfEachKind
+                }
             }
         }
         return capacity
--- a/src/main/kotlin/micatally/peer/PeerCapacitySummaries.kt
+++ b/src/main/kotlin/micatally/peer/PeerCapacitySummaries.kt
@@ -71,7 +71,14 @@
         val knownVersion = known?.version ?: 0L
         if (received.baseVersion > knownVersion) return false
         val isFull = received.baseVersion == 0L
-        val summary = if (known != null && received.baseVersion > 0) known else replaceProcess(received.host, received.process)
+        val summary =
+            if (known != null &&
+                received.baseVersion > 0
+            ) {
+                known
+            } else {
+                replaceProcess(received.host, received.process)
+            }
         summary.version = received.version
         summary.demand = received.demand
         summary.recentServices = received.recentServices
--- a/src/main/kotlin/micatally/peer/PeerContacts.kt
+++ b/src/main/kotlin/micatally/peer/PeerContacts.kt
@@ -10,7 +10,11 @@
     fun hasStateStoreContactSince(sinceMs: Long): Boolean = connections.any { it.stateStoreContactAt >= sinceMs }
 
     /** Whether some peer has reported just now that it reaches the state store. */
-    fun hasStateStoreContact(): Boolean = connections.any { nowMs() - it.stateStoreContactAt < timings.stateStoreContactMs }
+    fun hasStateStoreContact(): Boolean =
+        connections.any {
+            nowMs() - it.stateStoreContactAt <
+                timings.stateStoreContactMs
+        }
 
     /** Whether some peer has been heard lately, whatever it reaches itself. True if there are no peers. */
     fun isAnyPeerHeard(): Boolean =
--- a/src/main/kotlin/micatally/peer/PeerTimings.kt
+++ b/src/main/kotlin/micatally/peer/PeerTimings.kt
@@ -30,7 +30,8 @@
     val acknowledgedHeartbeatMs = leaseMs / 2
 
     /** How long to leave a peer alone after so many failures in a row. */
-    fun retryDelayMs(failuresInRow: Int): Long = minOf(failuresInRow, MAX_BACKOFF_STEPS) * leaseMs / BACKOFF_STEPS_PER_LEASE
+    fun retryDelayMs(failuresInRow: Int): Long =
+        minOf(failuresInRow, MAX_BACKOFF_STEPS) * leaseMs / BACKOFF_STEPS_PER_LEASE
 
     companion object {
         const val EXCHANGES_PER_HEARTBEAT = 8
--- a/src/main/kotlin/micatally/peer/StoredSummaryReader.kt
+++ b/src/main/kotlin/micatally/peer/StoredSummaryReader.kt
@@ -34,7 +34,8 @@
 
     private fun isCapacityOfPeer(key: String) = key.startsWith(Keys.CAPACITY) && !key.startsWith(localCapacityPrefix)
 
-    private fun isHeartbeatsOfPeer(key: String) = key.startsWith(Keys.HEARTBEATS) && !key.startsWith(localHeartbeatsPrefix)
+    private fun isHeartbeatsOfPeer(key: String) =
+        key.startsWith(Keys.HEARTBEATS) && !key.startsWith(localHeartbeatsPrefix)
 
     private fun bytesOf(key: String): ByteArray? = membership.summaries.value(key)?.let { SummaryPartitions.unpack(it) }
 
--- a/src/main/kotlin/micatally/upgrade/UpgradePlan.kt
+++ b/src/main/kotlin/micatally/upgrade/UpgradePlan.kt
@@ -99,8 +99,7 @@
     fun downgraded(
         sharedKeys: SharedKeyCache,
         hosts: Collection<String>,
-    ): List<String> =
-        hosts.filter { isDowngraded(sharedKeys, it) }.sorted()
+    ): List<String> = hosts.filter { isDowngraded(sharedKeys, it) }.sorted()
 
     private fun isDowngraded(
         sharedKeys: SharedKeyCache,
--- a/src/main/kotlin/micatally/wire/Resources.kt
+++ b/src/main/kotlin/micatally/wire/Resources.kt
@@ -6,11 +6,9 @@
     val gpus: Double,
     val memoryGb: Double,
 ) {
-    operator fun plus(other: Resources) =
-        Resources(cores + other.cores, gpus + other.gpus, memoryGb + other.memoryGb)
+    operator fun plus(other: Resources) = Resources(cores + other.cores, gpus + other.gpus, memoryGb + other.memoryGb)
 
-    operator fun minus(other: Resources) =
-        Resources(cores - other.cores, gpus - other.gpus, memoryGb - other.memoryGb)
+    operator fun minus(other: Resources) = Resources(cores - other.cores, gpus - other.gpus, memoryGb - other.memoryGb)
 
     operator fun times(factor: Int) = Resources(cores * factor, gpus * factor, memoryGb * factor)
 
--- a/src/main/kotlin/micatally/wire/WorkerMessages.kt
+++ b/src/main/kotlin/micatally/wire/WorkerMessages.kt
@@ -24,6 +24,7 @@
     val isSaved: Boolean,
 ) {
     val isEnded get() = status == ENDED
+
     /** Whether the task has ended by completing. */
     val isDone get() = isEnded && exitReason == ExitReason.DONE
 
--- a/src/test/kotlin/micatally/compatibility/MessagesTest.kt
+++ b/src/test/kotlin/micatally/compatibility/MessagesTest.kt
@@ -736,7 +736,10 @@
     fun `questions between controllers`() {
         assertEquals("j-000412", kept("peers/ask.hex", PeerJobRequest("j-000412")).jobId)
         val answer = kept("peers/answer.hex", PeerJobResponse(true, "running", 3, 13))
-        assertEquals(listOf(true, "running", 3, 13), listOf(answer.isKnown, answer.status, answer.doneCount, answer.runningCount))
+        assertEquals(
+            listOf(true, "running", 3, 13),
+            listOf(answer.isKnown, answer.status, answer.doneCount, answer.runningCount),
+        )
     }
 
     @Test
--- a/src/test/kotlin/micatally/fleet/ScaleOutPlanTest.kt
+++ b/src/test/kotlin/micatally/fleet/ScaleOutPlanTest.kt
@@ -16,7 +16,15 @@
     private fun gateway(
         count: Int,
         room: List<Int>,
-    ) = ResourceRequest(2.0, 0.0, 2.7, zones = listOf("a", "b", "c"), count = count, isService = true, zoneLimits = room)
+    ) = ResourceRequest(
+        2.0,
+        0.0,
+        2.7,
+        zones = listOf("a", "b", "c"),
+        count = count,
+        isService = true,
+        zoneLimits = room,
+    )
 
     private fun plan(
         demands: List<ResourceRequest>,
--- a/src/test/kotlin/micatally/peer/SummaryPartitionsTest.kt
+++ b/src/test/kotlin/micatally/peer/SummaryPartitionsTest.kt
@@ -32,7 +32,12 @@
     fun `a list goes in as many partitions as fit, and only those that have changed are written again`() =
         runTest {
             val partitions = partitions()
-            val write = suspend { partitions.write(machines, 100, { _, names -> names }) { _, names -> ByteArray(names.size * 200) } }
+            val write =
+                suspend {
+                    partitions.write(machines, 100, { _, names -> names }) { _, names ->
+                        ByteArray(names.size * 200)
+                    }
+                }
             write()
             assertTrue(partitions.partitionCount > 1)
             assertTrue(sent.all { it < valueBytes }, "$sent")
