--- a/src/main/kotlin/micatally/peer/LocalCapacitySummary.kt
+++ b/src/main/kotlin/micatally/peer/LocalCapacitySummary.kt
@@ -152,8 +152,7 @@
 
     /** The first requests, as many as fit in half a value. */
     private fun demandThatFits(): List<ResourceRequest> {
-        // A value is text: base64 turns three bytes into four characters.
-        val maxBytes = settings.valueBytes * 3 / 4 / 2
+        val maxBytes = settings.valueBytes * BASE64_BYTES / BASE64_CHARACTERS / 2
         var bytes = 0
         return demand.takeWhile {
             bytes += ProtoBuf.encodeToByteArray(it).size + NESTED_MESSAGE_OVERHEAD_BYTES
--- a/src/main/kotlin/micatally/peer/PeerCapacitySummaries.kt
+++ b/src/main/kotlin/micatally/peer/PeerCapacitySummaries.kt
@@ -15,7 +15,8 @@
 internal val HeldCapacity.isHeld get() = cores > 0 || gpus > 0 || memoryGb > 0
 
 /**
- * What the other controllers hold on machines and which requests wait there, as received directly or through the state store.
+ * What the other controllers hold on machines and which requests wait there, as received directly or through the state
+ * store.
  * What is held is entered in the [MachineRegistry], so that placement counts it as used.
  */
 internal class PeerCapacitySummaries(
--- a/src/main/kotlin/micatally/peer/Peers.kt
+++ b/src/main/kotlin/micatally/peer/Peers.kt
@@ -82,7 +82,8 @@
         while (true) {
             delay(timings.exchangeIntervalMs)
             peerSummaries.removeOrphans()
-            // Before its shards are loaded a controller does not know what it holds, and an empty summary reads as free capacity.
+            // Before its shards are loaded a controller does not know what it holds, and an empty summary reads as free
+            // capacity.
             if (jobManager.settled) localSummary.refresh()
             for (connection in connections) if (deltaSender.isDeltaDue(connection)) startExchange(connection)
         }
--- a/src/main/kotlin/micatally/peer/SummaryPartitions.kt
+++ b/src/main/kotlin/micatally/peer/SummaryPartitions.kt
@@ -11,6 +11,10 @@
 import micatally.wire.textOrNull
 import java.util.Base64
 
+/** Base64 turns so many bytes into [BASE64_CHARACTERS]. */
+internal const val BASE64_BYTES = 3
+internal const val BASE64_CHARACTERS = 4
+
 /** The partition, of [partitionCount], that a machine belongs to. */
 internal fun partitionOf(
     machineName: String,
@@ -100,8 +104,8 @@
         return result is TransactionResult.Applied
     }
 
-    /** Whether the bytes fit in a value: base64 turns three bytes into four characters, with the JSON object around them. */
-    private fun fits(bytes: ByteArray) = bytes.size * 4 / 3 + ENVELOPE_BYTES <= valueBytes
+    /** Whether the bytes fit in a value as base64, with the JSON object around them. */
+    private fun fits(bytes: ByteArray) = bytes.size * BASE64_CHARACTERS / BASE64_BYTES + ENVELOPE_BYTES <= valueBytes
 
     companion object {
         private const val ENVELOPE_BYTES = 64
--- a/src/main/kotlin/micatally/upgrade/Upgrade.kt
+++ b/src/main/kotlin/micatally/upgrade/Upgrade.kt
@@ -17,8 +17,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Carries out an upgrade of the stored forms: announces this host's version, raises the format once all hosts have announced it,
- * and tells which forms may be written.
+ * Carries out an upgrade of the stored forms: announces this host's version, raises the format once all hosts have
+ * announced it, and tells which forms may be written.
  *
  * What is known here may lag behind the state store, which only delays the use of newer forms.
  *
@@ -47,7 +47,10 @@
     /** Whether all controllers can read teams in the state store, so that they may be written. */
     val mayStoreTeams get() = UpgradePlan.format(sharedKeys) >= FormatVersion.STORED_TEAMS
 
-    /** Whether this host has ever been ready for stored teams, so that others may have written them without its knowledge. */
+    /**
+     * Whether this host has ever been ready for stored teams, so that others may have written them without its
+     * knowledge.
+     */
     val mayTeamsBeStored: Boolean
         get() {
             val announced = UpgradePlan.announced(sharedKeys, settings.host)
--- a/src/main/kotlin/micatally/upgrade/UpgradePlan.kt
+++ b/src/main/kotlin/micatally/upgrade/UpgradePlan.kt
@@ -14,8 +14,8 @@
 }
 
 /**
- * Versions of the stored forms; a higher one includes the lower ones. A program from before [PACKED_RECORDS] writes [FIRST] and
- * announces nothing.
+ * Versions of the stored forms; a higher one includes the lower ones. A program from before [PACKED_RECORDS] writes
+ * [FIRST] and announces nothing.
  */
 object FormatVersion {
     const val FIRST = 1L
@@ -50,8 +50,8 @@
 /**
  * Decides on the steps of an upgrade from the shared keys alone.
  *
- * Keys that are missing stand for [FormatVersion.FIRST]. The keys may be older than the state store's: announcements and format
- * only grow, so an older view delays a step and never takes a wrong one.
+ * Keys that are missing stand for [FormatVersion.FIRST]. The keys may be older than the state store's: announcements
+ * and format only grow, so an older view delays a step and never takes a wrong one.
  */
 object UpgradePlan {
     /** The version that the host has announced. */
@@ -76,8 +76,8 @@
     /**
      * The next step of the host [self], which aims at the version [target].
      *
-     * An announcement is written by a process of that version once it is live itself, and stays. A host that has started with
-     * a new version does not return to an old one, so a host that is only down does not delay the others.
+     * An announcement is written by a process of that version once it is live itself, and stays. A host that has
+     * started with a new version does not return to an old one, so a host that is only down does not delay the others.
      */
     fun nextStep(
         sharedKeys: SharedKeyCache,
--- a/src/main/kotlin/micatally/wire/CloudMessages.kt
+++ b/src/main/kotlin/micatally/wire/CloudMessages.kt
@@ -25,6 +25,7 @@
     /** Price of an hour. */
     fun price(isSpot: Boolean) = if (isSpot) spotHourly else hourly
 
+    /** Reads the cloud's list of machine types. */
     companion object {
         /** @throws MalformedMessage naming the first field that is missing or wrong */
         fun parseAll(response: JsonObject): List<MachineType> {
@@ -63,6 +64,7 @@
     val status: String,
     val ageS: Double,
 ) {
+    /** The values of [status], and reading an entry. */
     companion object {
         const val STARTING = "starting"
         const val RUNNING = "running"
--- a/src/main/kotlin/micatally/wire/ConfigurationMessages.kt
+++ b/src/main/kotlin/micatally/wire/ConfigurationMessages.kt
@@ -78,8 +78,8 @@
 /**
  * Response to a [ConfigurationChange] or a [RollbackRequest].
  *
- * @property version version of the configuration: the one that holds the change if it was applied, else the present one; 0 if
- *   not known
+ * @property version version of the configuration: the one that holds the change if it was applied, else the present
+ *   one; 0 if not known
  * @property errors what is wrong with an invalid change
  */
 @Serializable
--- a/src/main/kotlin/micatally/wire/JobAnswer.kt
+++ b/src/main/kotlin/micatally/wire/JobAnswer.kt
@@ -32,6 +32,7 @@
             put("status", status)
         }
 
+    /** The values of [status]. */
     companion object {
         const val PENDING = "pending"
         const val RUNNING = "running"
--- a/src/main/kotlin/micatally/wire/JobSpec.kt
+++ b/src/main/kotlin/micatally/wire/JobSpec.kt
@@ -35,13 +35,15 @@
  * @property imageGb size of the image, in gigabytes
  * @property types labels of the machine types that its tasks may run on; null for all
  * @property zone the only zone that its tasks may run in; null for all
- * @property together whether all its tasks have to be in the same zone; the waiting ones of a service are then placed at once
+ * @property together whether all its tasks have to be in the same zone; the waiting ones of a service are then placed
+ *   at once
  * @property scatter whether a zone may hold at most half of its tasks, rounded up
  * @property isSpot whether its tasks may run on spot instances
  * @property estimateS expected run time of one task, in seconds
  * @property checkpointS interval between checkpoints, in seconds; 0 if its tasks save none
  * @property saveS time that it takes to save a checkpoint, in seconds
- * @property deadlineS time from the submission within which the job should be done, in seconds; null for none. Stored, not acted on.
+ * @property deadlineS time from the submission within which the job should be done, in seconds; null for none. Stored,
+ *   not acted on.
  * @property source the known fields as they were submitted, to be stored
  */
 class JobSpec(
@@ -71,6 +73,7 @@
     /** Whether its waiting tasks are placed all at once or not at all. */
     val isPlacedWhole get() = isGang || isService && together
 
+    /** Reads a submitted job. */
     companion object {
         const val MAX_TASKS = 100_000
         private const val MAX_WORD_LENGTH = 200
--- a/src/main/kotlin/micatally/wire/PeerMessages.kt
+++ b/src/main/kotlin/micatally/wire/PeerMessages.kt
@@ -35,7 +35,8 @@
  * @property spotNoticeS time until the spot instance is reclaimed, in seconds; negative without a notice
  * @property tasks empty in heartbeat acknowledgements
  * @property ageMs how long ago the heartbeat arrived, in milliseconds
- * @property changedAtSequence sequence of the heartbeat in which the tasks last changed: who knows none as recent has missed a change
+ * @property changedAtSequence sequence of the heartbeat in which the tasks last changed: who knows none as recent has
+ *   missed a change
  */
 @Serializable
 class MachineStatus(
@@ -79,7 +80,8 @@
  * @property priority ordinal of the [Priority]: 0 is the most important
  * @property estimateS expected run time of one task, in seconds
  * @property zoneLimits for each of [zones], how many of the tasks may go there at most; empty for any number
- * @property isGang whether they start only all together; a controller of the previous version takes them for independent tasks
+ * @property isGang whether they start only all together; a controller of the previous version takes them for
+ *   independent tasks
  */
 @Serializable
 data class ResourceRequest(
@@ -173,7 +175,10 @@
     @ProtoNumber(4) val attempt: Long,
 )
 
-/** All tasks of a cancelled job. Sent by the leader of its shard to each other controller, which confirms with an empty response. */
+/**
+ * All tasks of a cancelled job. Sent by the leader of its shard to each other controller, which confirms with an empty
+ * response.
+ */
 @Serializable
 class CancelledTaskList(
     @ProtoNumber(1) val cancelledTasks: List<CancelledTask>,
--- a/src/main/kotlin/micatally/wire/Resources.kt
+++ b/src/main/kotlin/micatally/wire/Resources.kt
@@ -32,6 +32,7 @@
         return ((capacity + SLACK) / amount).toInt().coerceAtLeast(0)
     }
 
+    /** Common amounts. */
     companion object {
         /** Allowance for rounding when sums of decimal amounts are compared. */
         const val SLACK = 1e-6
--- a/src/main/kotlin/micatally/wire/WorkerMessages.kt
+++ b/src/main/kotlin/micatally/wire/WorkerMessages.kt
@@ -31,6 +31,7 @@
     /** Null if the task has not ended, or for a reason that this program does not know. */
     val exitReason get() = ExitReason.of(exitReasonText)
 
+    /** The values of [status]. */
     companion object {
         /** The image is being pulled. */
         const val PULLING = "pulling"
@@ -73,6 +74,7 @@
     ALONE("alone"),
     ;
 
+    /** Finds a reason by its word. */
     companion object {
         /** Null for a word that is not known. */
         fun of(word: String?): ExitReason? = entries.find { it.word == word }
@@ -105,6 +107,7 @@
     val spotNoticeS: Double?,
     val tasks: List<ListedTask>,
 ) {
+    /** Reads a heartbeat. */
     companion object {
         /** @throws MalformedMessage naming the first field that is missing or wrong */
         fun parse(json: JsonObject): Heartbeat =
