--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -338,7 +338,7 @@
 
     /** Parts that rest on others come after them: the format, the configuration, then the shards, then single keys. */
     private fun applySharedKeyChanges(keys: Set<String>) {
-        upgrade.sharedChanged()
+        upgrade.sharedKeysChanged()
         configuration.sharedChanged()
         jobManager.checkShards()
         sharedKeyEvents.handleChanges(keys)
--- a/src/main/kotlin/micatally/peer/PeerCapacitySummaries.kt
+++ b/src/main/kotlin/micatally/peer/PeerCapacitySummaries.kt
@@ -15,7 +15,8 @@
 internal val HeldCapacity.isHeld get() = cores > 0 || gpus > 0 || memoryGb > 0
 
 /**
- * What the other controllers hold on machines and which requests wait there, as received directly or through the state store.
+ * What the other controllers hold on machines and which requests wait there, as received directly or through the state
+ * store.
  * What is held is entered in the [MachineRegistry], so that placement counts it as used.
  */
 internal class PeerCapacitySummaries(
@@ -71,7 +72,14 @@
         val knownVersion = known?.version ?: 0L
         if (received.baseVersion > knownVersion) return false
         val isFull = received.baseVersion == 0L
-        val summary = if (known != null && received.baseVersion > 0) known else replaceProcess(received.host, received.process)
+        val summary =
+            if (known != null &&
+                received.baseVersion > 0
+            ) {
+                known
+            } else {
+                replaceProcess(received.host, received.process)
+            }
         summary.version = received.version
         summary.demand = received.demand
         summary.recentServices = received.recentServices
--- a/src/main/kotlin/micatally/wire/JobMessages.kt
+++ b/src/main/kotlin/micatally/wire/JobSpec.kt
@@ -2,8 +2,6 @@
 
 import kotlinx.serialization.json.JsonElement
 import kotlinx.serialization.json.JsonObject
-import kotlinx.serialization.json.buildJsonObject
-import kotlinx.serialization.json.put
 
 /** What kind of job it is. [word] is the protocol's. */
 enum class Format(
@@ -29,47 +27,6 @@
     LOW("low"),
 }
 
-/** An amount of each resource: what a task takes of its machine, or what a machine has. */
-data class Resources(
-    val cores: Double,
-    val gpus: Double,
-    val memoryGb: Double,
-) {
-    operator fun plus(other: Resources) =
-        Resources(cores + other.cores, gpus + other.gpus, memoryGb + other.memoryGb)
-
-    operator fun minus(other: Resources) =
-        Resources(cores - other.cores, gpus - other.gpus, memoryGb - other.memoryGb)
-
-    operator fun times(factor: Int) = Resources(cores * factor, gpus * factor, memoryGb * factor)
-
-    /** Whether each amount is at most that of [capacity], but for [SLACK]. */
-    fun fitsIn(capacity: Resources) =
-        cores <= capacity.cores + SLACK && gpus <= capacity.gpus + SLACK && memoryGb <= capacity.memoryGb + SLACK
-
-    /** How many times it fits in [capacity]. A resource of which it takes nothing sets no bound. */
-    fun countIn(capacity: Resources): Int =
-        minOf(
-            count(cores, capacity.cores),
-            count(gpus, capacity.gpus),
-            count(memoryGb, capacity.memoryGb),
-        )
-
-    private fun count(
-        amount: Double,
-        capacity: Double,
-    ): Int {
-        if (amount <= 0) return Int.MAX_VALUE
-        return ((capacity + SLACK) / amount).toInt().coerceAtLeast(0)
-    }
-
-    companion object {
-        /** Allowance for rounding when sums of decimal amounts are compared. */
-        const val SLACK = 1e-6
-        val NONE = Resources(0.0, 0.0, 0.0)
-    }
-}
-
 /**
  * A job as its user submitted it: the body of the request that a user sends, checked field by field.
  *
@@ -78,13 +35,15 @@
  * @property imageGb size of the image, in gigabytes
  * @property types labels of the machine types that its tasks may run on; null for all
  * @property zone the only zone that its tasks may run in; null for all
- * @property together whether all its tasks have to be in the same zone; the waiting ones of a service are then placed at once
+ * @property together whether all its tasks have to be in the same zone; the waiting ones of a service are then placed
+ *   at once
  * @property scatter whether a zone may hold at most half of its tasks, rounded up
  * @property isSpot whether its tasks may run on spot instances
  * @property estimateS expected run time of one task, in seconds
  * @property checkpointS interval between checkpoints, in seconds; 0 if its tasks save none
  * @property saveS time that it takes to save a checkpoint, in seconds
- * @property deadlineS time from the submission within which the job should be done, in seconds; null for none. Stored, not acted on.
+ * @property deadlineS time from the submission within which the job should be done, in seconds; null for none. Stored,
+ *   not acted on.
  * @property source the known fields as they were submitted, to be stored
  */
 class JobSpec(
@@ -114,6 +73,7 @@
     /** Whether its waiting tasks are placed all at once or not at all. */
     val isPlacedWhole get() = isGang || isService && together
 
+    /** Reads a submitted job. */
     companion object {
         const val MAX_TASKS = 100_000
         private const val MAX_WORD_LENGTH = 200
@@ -208,40 +168,3 @@
         }
     }
 }
-
-/**
- * The status of a job. Sent to users in response to submissions, queries and cancellations.
- *
- * @property status [PENDING], [RUNNING], [DONE] or [CANCELLED]
- * @property doneCount number of completed tasks
- * @property runningCount number of running tasks
- */
-data class JobAnswer(
-    val jobId: String,
-    val status: String,
-    val doneCount: Int,
-    val runningCount: Int,
-) {
-    /** All fields. */
-    fun json() =
-        buildJsonObject {
-            put("ref", jobId)
-            put("status", status)
-            put("done", doneCount)
-            put("running", runningCount)
-        }
-
-    /** Id and status only. */
-    fun brief() =
-        buildJsonObject {
-            put("ref", jobId)
-            put("status", status)
-        }
-
-    companion object {
-        const val PENDING = "pending"
-        const val RUNNING = "running"
-        const val DONE = "done"
-        const val CANCELLED = "withdrawn"
-    }
-}
--- a/src/test/kotlin/micatally/upgrade/FormatTest.kt
+++ b/src/test/kotlin/micatally/upgrade/FormatTest.kt
@@ -41,11 +41,8 @@
     private val states = listOf("under cancellation", "a lease later").map { samples.getValue(it) as JsonObject }
 
     private fun under(prefix: String) =
-        states.flatMap { s ->
-            s.filterKeys { it.startsWith(prefix) }.map {
-                it.key to
-                    it.value as JsonObject
-            }
+        states.flatMap { state ->
+            state.filterKeys { it.startsWith(prefix) }.map { (key, value) -> key to value as JsonObject }
         }
 
     private fun shardOf(record: JsonObject): JobShard {
@@ -63,20 +60,20 @@
     ): Job {
         val job = JobRecordCodec.decode(key.removePrefix(Keys.JOB), JobRecord(record), shardOf(record), 1)
         val machines = HashMap<String, Machine>()
-        for (attempt in JobRecord(record).attempts) {
-            val m =
-                attempt.machine.let { described ->
+        for (placed in JobRecord(record).attempts) {
+            val machine =
+                placed.machine.let { described ->
                     machines.getOrPut(described.name) {
                         Machine(described.name, described.addr, described.type, described.zone, described.isSpot)
                     }
                 }
-            job.attempts[attempt.taskIndex] =
+            job.attempts[placed.taskIndex] =
                 Attempt(
                     job,
-                    attempt.taskIndex,
-                    attempt.number,
-                    m,
-                    attempt.machine.incarnation,
+                    placed.taskIndex,
+                    placed.number,
+                    machine,
+                    placed.machine.incarnation,
                     job.service,
                     AttemptState.DISPATCHED,
                 )
@@ -119,7 +116,7 @@
     }
 
     @Test
-    fun `kill lists of the previous program are read and written unchanged`() {
+    fun `lists of cancelled tasks of the previous program are read and written unchanged`() {
         val (key, list) = under(Keys.CANCELLED_TASKS).single()
         val job =
             decoded(
@@ -129,7 +126,7 @@
         assertEquals(list, CancelledTasksValue.encode(job.cancelledTasks()))
         assertEquals(
             job.attempts.values.map { listOf<Any>(it.machine.name, it.taskIndex, it.number) },
-            formerKillList(list),
+            formerCancelledTasks(list),
         )
     }
 
@@ -173,69 +170,63 @@
     }
 
     private fun sharedKeys(vararg values: Pair<String, String>) =
-        SharedKeyCache().also { c ->
-            c.load(
-                Listing(
-                    values.mapIndexed {
-                        i,
-                        (k, v),
-                        ->
-                        KeyValue(k, Json.parseToJsonElement(v) as JsonObject, i + 1L)
-                    },
-                    100,
-                ),
-            )
+        SharedKeyCache().also { cache ->
+            val items =
+                values.mapIndexed { index, (key, json) ->
+                    KeyValue(key, Json.parseToJsonElement(json) as JsonObject, index + 1L)
+                }
+            cache.load(Listing(items, 100))
         }
 
     /** The state of the previous program holds no announcement, so nothing of a later format is written. */
     @Test
     fun `the shared keys of the previous program say that the fleet is mixed`() {
-        val c = SharedKeyCache()
-        c.load(
+        val cache = SharedKeyCache()
+        cache.load(
             Listing(
-                states[0].filterKeys { it.startsWith(Keys.PREFIX) }.map { (k, v) ->
-                    KeyValue(k, v as JsonObject, 1)
+                states[0].filterKeys { it.startsWith(Keys.PREFIX) }.map { (key, value) ->
+                    KeyValue(key, value as JsonObject, 1)
                 },
                 5,
             ),
         )
-        assertEquals(UpgradePhase.MIXED, UpgradePlan.phase(c))
+        assertEquals(UpgradePhase.MIXED, UpgradePlan.phase(cache))
         assertEquals(
             UpgradeStep.WaitFor(listOf("pitbox-0")),
-            UpgradePlan.next(c, "pitbox-0", listOf("pitbox-0", "pitbox-1")),
+            UpgradePlan.nextStep(cache, "pitbox-0", listOf("pitbox-0", "pitbox-1")),
         )
-        assertEquals(3L, c.fencingToken)
-        assertEquals(listOf("pitbox-0", "pitbox-1", "pitbox-2"), c.shards().sorted())
+        assertEquals(3L, cache.fencingToken)
+        assertEquals(listOf("pitbox-0", "pitbox-1", "pitbox-2"), cache.shards().sorted())
     }
 
     @Test
     fun `the format is raised once every host has announced it, and never before`() {
         val hosts = listOf("n0", "n1", "n2")
         val live = "c/live/n0" to "{\"process\":\"p\",\"format\":2}"
-        assertEquals(UpgradeStep.Announce, UpgradePlan.next(sharedKeys(live), "n0", hosts))
+        assertEquals(UpgradeStep.Announce, UpgradePlan.nextStep(sharedKeys(live), "n0", hosts))
         // Found on a rollout: announced while the live key was the former process's, it looked like a downgrade.
         assertEquals(
             UpgradeStep.WaitFor(listOf("n0")),
-            UpgradePlan.next(sharedKeys("c/live/n0" to "{\"process\":\"old\"}"), "n0", hosts),
+            UpgradePlan.nextStep(sharedKeys("c/live/n0" to "{\"process\":\"old\"}"), "n0", hosts),
         )
         val two = arrayOf("c/version/n0" to "{\"n\":2}", "c/version/n1" to "{\"n\":2}")
-        assertEquals(UpgradeStep.WaitFor(listOf("n2")), UpgradePlan.next(sharedKeys(*two), "n0", hosts))
+        assertEquals(UpgradeStep.WaitFor(listOf("n2")), UpgradePlan.nextStep(sharedKeys(*two), "n0", hosts))
         val three = two + ("c/version/n2" to "{\"n\":2}")
-        assertEquals(UpgradeStep.Raise, UpgradePlan.next(sharedKeys(*three), "n0", hosts))
+        assertEquals(UpgradeStep.Raise, UpgradePlan.nextStep(sharedKeys(*three), "n0", hosts))
         val raised = three + ("c/format" to "{\"n\":2}")
-        assertEquals(UpgradeStep.Finished, UpgradePlan.next(sharedKeys(*raised), "n0", hosts))
+        assertEquals(UpgradeStep.Finished, UpgradePlan.nextStep(sharedKeys(*raised), "n0", hosts))
         assertEquals(UpgradePhase.UNIFORM, UpgradePlan.phase(sharedKeys(*raised)))
     }
 
     @Test
     fun `a host that returns with an older version than it had announced is named`() {
-        val c =
+        val cache =
             sharedKeys(
                 "c/version/n0" to "{\"n\":2}",
                 "c/live/n0" to "{\"process\":\"p\"}",
                 "c/live/n1" to "{\"process\":\"q\"}",
             )
-        assertEquals(listOf("n0"), UpgradePlan.downgraded(c, listOf("n0", "n1")))
+        assertEquals(listOf("n0"), UpgradePlan.downgraded(cache, listOf("n0", "n1")))
         assertTrue(
             UpgradePlan
                 .downgraded(
