--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -280,7 +280,7 @@
                 PeriodicTask("state review", 1) { now -> cpuUsage.of(CpuUsage.Kind.PERIODIC_TASKS) { review.run(now) } },
                 PeriodicTask("spot evacuation", 1) { now -> spotEvacuation.run(now) },
                 PeriodicTask("fencing token raise", 1) { now -> fencingTokenRaise.run(now) },
-                PeriodicTask("allotment release", 20) { quota.handBack() },
+                PeriodicTask("allotment release", 20) { quota.releaseUnused() },
                 PeriodicTask("deletion record removal", 20) { scope.launch { fleetManager.prune() } },
                 PeriodicTask("cancellation confirmation", 4) { now -> jobManager.cancellations.follow(now) },
                 PeriodicTask("CPU usage report", 1) { now -> usageReport.run(now) },
--- a/src/main/kotlin/micatally/controller/SharedKeyEvents.kt
+++ b/src/main/kotlin/micatally/controller/SharedKeyEvents.kt
@@ -61,7 +61,7 @@
                 machines.of(event.machine)?.let { jobManager.deleted(it) }
             }
             is SharedKeyEvent.CancelledTasksChanged -> jobManager.cancellations.published(event.key)
-            is SharedKeyEvent.AllotmentsChanged -> quota.teamChanged(event.team)
+            is SharedKeyEvent.AllotmentsChanged -> quota.allotmentsChanged(event.team)
             is SharedKeyEvent.DrainChanged -> machines.of(event.machine)?.draining = event.isDraining
         }
     }
--- a/src/main/kotlin/micatally/job/JobManager.kt
+++ b/src/main/kotlin/micatally/job/JobManager.kt
@@ -160,7 +160,7 @@
     /** An attempt counts from now on: on its machine, and against the limit of its team. */
     internal fun attach(a: Attempt) {
         a.machine.attach(a)
-        quota.take(a.job)
+        quota.addUsage(a.job)
     }
 
     // Attempts
@@ -246,7 +246,7 @@
         attempt.machine.detach(attempt, now)
         job.attempts.remove(attempt.taskIndex, attempt)
         // What a shard used is forgotten with it; its next holder has counted anew.
-        if (job.shard.mine) quota.release(job)
+        if (job.shard.mine) quota.removeUsage(job)
         log.info("task {} terminated: {}", attempt, end)
         if (job.state == JobState.DROPPED) return
         if (end.proof == TerminationEvidence.COMPLETED) {
--- a/src/main/kotlin/micatally/quota/AllotmentAudit.kt
+++ b/src/main/kotlin/micatally/quota/AllotmentAudit.kt
@@ -5,15 +5,15 @@
 /**
  * One applied change of a shard's allotment and what it rested on.
  *
- * @property decidedOn mark of the team's key from which the new share was computed and which the write was conditional on
- * @property revision revision of the state service at which it was applied
+ * @property decidedAtRevision mark of the team's key from which the new share was computed and which the write was conditional on
+ * @property appliedAtRevision revision of the state service at which it was applied
  * @property use what the shard used when the share was computed
  */
 class AllotmentChange(
     val team: String,
     val shard: String,
-    val decidedOn: Long,
-    val revision: Long,
+    val decidedAtRevision: Long,
+    val appliedAtRevision: Long,
     val before: Share,
     val after: Share,
     val use: Share,
@@ -27,7 +27,7 @@
     var overuseCount = 0L
         private set
 
-    fun changed(change: AllotmentChange) {
+    fun logChange(change: AllotmentChange) {
         log.info(
             "team {} shard {} allotment {} -> {} use {} decided on {} written at {}",
             change.team,
@@ -35,12 +35,12 @@
             change.before,
             change.after,
             change.use,
-            change.decidedOn,
-            change.revision,
+            change.decidedAtRevision,
+            change.appliedAtRevision,
         )
     }
 
-    fun overused(
+    fun logOveruse(
         team: String,
         shard: String,
         modRevision: Long,
--- a/src/main/kotlin/micatally/quota/AllotmentRule.kt
+++ b/src/main/kotlin/micatally/quota/AllotmentRule.kt
@@ -3,29 +3,29 @@
 import micatally.settings.Team
 
 /** What the holder of a shard wants of its allotment. */
-sealed interface AllotmentWish {
+sealed interface AllotmentRequest {
     /** Room for more tasks beside what is in use: at least one, at best [tasks] of them. */
-    class MoreRoom(
+    class Raise(
         val task: Share,
         val tasks: Int,
-    ) : AllotmentWish
+    ) : AllotmentRequest
 
     /** Nothing more: what is not in use may go to the other shards. */
-    data object HandBack : AllotmentWish
+    data object ReleaseUnused : AllotmentRequest
 }
 
 /**
  * What a shard's holder knows when it decides; all of it has to be from the moment at which the row is written.
  *
  * @property use what all attempts take that are not proven gone, also those that are decided and not stored yet
- * @property wasShort whether the shard was found short of the team's limit lately
+ * @property wasStarved whether the shard was found short of the team's limit lately
  */
-class AllotmentView(
+class AllotmentSnapshot(
     val team: Team,
     val shard: String,
     val stored: TeamAllotments,
     val use: Share,
-    val wasShort: Boolean,
+    val wasStarved: Boolean,
 )
 
 /**
@@ -45,7 +45,7 @@
     private val raises get() = row.share.exceeds(stored.share)
 
     /** Whether the decision differs from what is stored, so that it is worth a write. */
-    val isWorthWriting get() = raises || lowers || row.isShort != stored.isShort
+    val isWorthWriting get() = raises || lowers || row.isStarved != stored.isStarved
 }
 
 /**
@@ -59,42 +59,42 @@
 ) {
     /** The row to be written in place of the stored one. */
     fun decide(
-        view: AllotmentView,
-        wish: AllotmentWish,
+        snapshot: AllotmentSnapshot,
+        request: AllotmentRequest,
     ): AllotmentDecision =
-        when (wish) {
-            is AllotmentWish.MoreRoom -> moreRoom(view, wish)
-            AllotmentWish.HandBack -> handBack(view)
+        when (request) {
+            is AllotmentRequest.Raise -> raise(snapshot, request)
+            AllotmentRequest.ReleaseUnused -> releaseUnused(snapshot)
         }
 
-    private fun moreRoom(
-        view: AllotmentView,
-        wish: AllotmentWish.MoreRoom,
+    private fun raise(
+        snapshot: AllotmentSnapshot,
+        request: AllotmentRequest.Raise,
     ): AllotmentDecision {
-        val team = view.team
-        val stored = view.stored.of(view.shard)
+        val team = snapshot.team
+        val stored = snapshot.stored.of(snapshot.shard)
         // Where another owner waits for the limit, nothing is taken that is not needed now.
-        val isContested = view.stored.isAnotherShort(view.shard)
+        val isContested = snapshot.stored.isAnotherStarved(snapshot.shard)
         val slack = if (isContested) 0.0 else slackOfOne
-        val tasks = if (isContested) 1 else wish.tasks.coerceIn(1, TASKS_AT_ONCE)
-        val free = team.limit - view.stored.totalOfOthers(view.shard)
-        val wanted = (view.use + wish.task * tasks + team.limit * slack).atMost(free)
+        val tasks = if (isContested) 1 else request.tasks.coerceIn(1, TASKS_AT_ONCE)
+        val free = team.limit - snapshot.stored.totalOfOthers(snapshot.shard)
+        val wanted = (snapshot.use + request.task * tasks + team.limit * slack).atMost(free)
         val raised = team.limitedPart(wanted).atLeast(stored.share)
-        val isEnough = team.covers(raised, view.use + wish.task)
+        val isEnough = team.covers(raised, snapshot.use + request.task)
         // Of what does not suffice for a task nothing is taken: two owners would each hold half of what one of them needs.
         val share = if (isEnough) raised else stored.share
-        return AllotmentDecision(stored, AllotmentRow(share, view.wasShort || !isEnough), isEnough)
+        return AllotmentDecision(stored, AllotmentRow(share, snapshot.wasStarved || !isEnough), isEnough)
     }
 
-    private fun handBack(view: AllotmentView): AllotmentDecision {
-        val team = view.team
-        val stored = view.stored.of(view.shard)
-        val isWanted = view.stored.isAnotherShort(view.shard) || view.stored.isOver(team)
+    private fun releaseUnused(snapshot: AllotmentSnapshot): AllotmentDecision {
+        val team = snapshot.team
+        val stored = snapshot.stored.of(snapshot.shard)
+        val isWanted = snapshot.stored.isAnotherStarved(snapshot.shard) || snapshot.stored.exceedsLimit(team)
         val slack = team.limit * (if (isWanted) 0.0 else slackOfOne)
-        val kept = team.limitedPart(view.use) + slack
+        val kept = team.limitedPart(snapshot.use) + slack
         val isWorthLowering = stored.share.exceeds(kept + slack)
         val share = if (isWorthLowering) stored.share.atMost(kept) else stored.share
-        return AllotmentDecision(stored, AllotmentRow(share, view.wasShort), isEnough = true)
+        return AllotmentDecision(stored, AllotmentRow(share, snapshot.wasStarved), isEnough = true)
     }
 
     private companion object {
--- a/src/main/kotlin/micatally/quota/AllotmentWriter.kt
+++ b/src/main/kotlin/micatally/quota/AllotmentWriter.kt
@@ -31,105 +31,105 @@
     private val teams: TeamDirectory,
     private val rule: AllotmentRule,
     private val audit: AllotmentAudit,
-    private val view: (JobShard, Team) -> AllotmentView,
-    private val changed: () -> Unit,
+    private val snapshot: (JobShard, Team) -> AllotmentSnapshot,
+    private val onChanged: () -> Unit,
 ) {
     /** The change of a team that is under way. */
-    private val underWay = HashMap<String, Change>()
+    private val inFlight = HashMap<String, Change>()
 
     /** What an allotment is about to be lowered to. */
-    private val bounds = HashMap<AllotmentId, Share>()
+    private val pendingBounds = HashMap<AllotmentId, Share>()
 
     /** The share that the shard may use of its [stored] one. */
     fun usable(
         id: AllotmentId,
         stored: Share,
-    ) = bounds[id]?.let { stored.atMost(it) } ?: stored
+    ) = pendingBounds[id]?.let { stored.atMost(it) } ?: stored
 
     fun forget(shard: String) {
-        bounds.keys.removeIf { it.shard == shard }
+        pendingBounds.keys.removeIf { it.shard == shard }
     }
 
     /**
      * One change from the wish to the moment at which this node's copy shows its outcome.
      *
-     * @property isSeen whether the copy shows it, once there is an outcome
+     * @property isVisible whether the copy shows it, once there is an outcome
      */
     private class Change(
         val shard: JobShard,
         val id: AllotmentId,
-        val wish: AllotmentWish,
+        val request: AllotmentRequest,
     ) {
-        var isSeen: () -> Boolean = { false }
+        var isVisible: () -> Boolean = { false }
     }
 
     /** Asks for a change; nothing happens while another one of the team is under way. */
-    fun request(
+    fun submit(
         shard: JobShard,
         team: Team,
-        wish: AllotmentWish,
+        request: AllotmentRequest,
         urgency: Urgency,
     ) {
-        underWay[team.name]?.let { former ->
-            if (!former.isSeen()) return
+        inFlight[team.name]?.let { former ->
+            if (!former.isVisible()) return
             end(former)
         }
-        val change = Change(shard, AllotmentId(shard.name, team.name), wish)
-        underWay[team.name] = change
+        val change = Change(shard, AllotmentId(shard.name, team.name), request)
+        inFlight[team.name] = change
         scope.launch {
             try {
-                carryOut(change, urgency)
+                execute(change, urgency)
             } finally {
-                if (end(change)) changed()
+                if (end(change)) onChanged()
             }
         }
     }
 
     /** The one place where a change ends, and with it what it bound. False if it had ended before. */
     private fun end(change: Change): Boolean {
-        if (!underWay.remove(change.id.team, change)) return false
-        bounds.remove(change.id)
+        if (!inFlight.remove(change.id.team, change)) return false
+        pendingBounds.remove(change.id)
         return true
     }
 
     /** A decided row on its way, with the readings that it rests on. */
     private class Pending(
-        val transact: Transaction,
-        val view: AllotmentView,
+        val transaction: Transaction,
+        val snapshot: AllotmentSnapshot,
         val decision: AllotmentDecision,
     )
 
-    private suspend fun carryOut(
+    private suspend fun execute(
         change: Change,
         urgency: Urgency,
     ) {
         var pending: Pending? = null
         val result =
             state.transact(1, urgency) {
-                bounds.remove(change.id)
+                pendingBounds.remove(change.id)
                 pending = decide(change)
-                pending?.let { bind(change.id, it) }
-                pending?.transact
+                pending?.let { applyBound(change.id, it) }
+                pending?.transaction
             }
         val sent = pending ?: return
         when (result) {
             is TransactionResult.Applied -> {
-                tell(sent, result.revision)
+                logApplied(sent, result.revision)
                 // Until the copy shows it, any other change of this node would be refused.
-                endsWhen(change) { sharedKeys.revision >= result.revision }
-                awaitSeen(change)
+                visibleWhen(change) { sharedKeys.revision >= result.revision }
+                awaitVisible(change)
             }
             // After silence a lowering may yet be carried out; a raise that is carried out late is conditional on its mark.
             is TransactionResult.Unknown ->
                 if (sent.decision.lowers) {
-                    endsWhen(change) { hasOtherMark(sent) }
-                    repeatUntilAnswered(change, sent)
-                    awaitSeen(change)
+                    visibleWhen(change) { hasNewRevision(sent) }
+                    retryUntilAnswered(change, sent)
+                    awaitVisible(change)
                 }
             // The key has another mark than in the copy: until that shows it, any other change would be refused too.
             is TransactionResult.Failed -> {
-                endsWhen(change) { hasOtherMark(sent) }
-                awaitSeen(change)
+                visibleWhen(change) { hasNewRevision(sent) }
+                awaitVisible(change)
             }
             else -> {}
         }
@@ -140,79 +140,79 @@
         val shard = change.shard
         if (shard.state != ShardState.ACTIVE || !teams.isCurrent) return null
         val team = teams.team(change.id.team)?.takeIf { it.isLimited } ?: return null
-        val view = view(shard, team)
-        val decision = rule.decide(view, change.wish)
+        val snapshot = snapshot(shard, team)
+        val decision = rule.decide(snapshot, change.request)
         if (!decision.isWorthWriting) return null
-        return Pending(transaction(shard, view, decision), view, decision)
+        return Pending(buildTransaction(shard, snapshot, decision), snapshot, decision)
     }
 
-    private fun transaction(
+    private fun buildTransaction(
         shard: JobShard,
-        view: AllotmentView,
+        snapshot: AllotmentSnapshot,
         decision: AllotmentDecision,
     ): Transaction {
-        val key = Keys.team(view.team.name)
+        val key = Keys.team(snapshot.team.name)
         val conditions =
-            listOf(Compare(Keys.shard(shard.name), shard.leader.modRevision), Compare(key, view.stored.modRevision))
-        return Transaction(conditions, listOf(Put(key, view.stored.encodeWith(shard.name, decision.row))))
+            listOf(Compare(Keys.shard(shard.name), shard.leader.modRevision), Compare(key, snapshot.stored.modRevision))
+        return Transaction(conditions, listOf(Put(key, snapshot.stored.encodeWith(shard.name, decision.row))))
     }
 
-    private fun bind(
+    private fun applyBound(
         id: AllotmentId,
         pending: Pending,
     ) {
-        if (pending.decision.lowers) bounds[id] = pending.decision.row.share
+        if (pending.decision.lowers) pendingBounds[id] = pending.decision.row.share
     }
 
-    private fun tell(
+    private fun logApplied(
         sent: Pending,
         revision: Long,
     ) {
-        val view = sent.view
-        audit.changed(
+        val snapshot = sent.snapshot
+        audit.logChange(
             AllotmentChange(
-                view.team.name,
-                view.shard,
-                view.stored.modRevision,
+                snapshot.team.name,
+                snapshot.shard,
+                snapshot.stored.modRevision,
                 revision,
                 sent.decision.stored.share,
                 sent.decision.row.share,
-                view.use,
+                snapshot.use,
             ),
         )
     }
 
     /** From now on the change counts as seen when the copy shows it, or when the shard is not this node's any more. */
-    private fun endsWhen(
+    private fun visibleWhen(
         change: Change,
-        isShown: () -> Boolean,
+        isShownByCache: () -> Boolean,
     ) {
-        change.isSeen = { !change.shard.mine || isShown() }
+        change.isVisible = { !change.shard.mine || isShownByCache() }
     }
 
-    private suspend fun awaitSeen(change: Change) {
-        while (!change.isSeen()) delay(SEEN_EVERY_MS)
+    private suspend fun awaitVisible(change: Change) {
+        while (!change.isVisible()) delay(VISIBILITY_POLL_MS)
     }
 
-    private fun hasOtherMark(sent: Pending) =
-        sharedKeys.modRevision(Keys.team(sent.view.team.name)) != sent.view.stored.modRevision
+    private fun hasNewRevision(sent: Pending) =
+        sharedKeys.modRevision(Keys.team(sent.snapshot.team.name)) != sent.snapshot.stored.modRevision
 
     /** The same transaction again until there is an answer, or the change is seen. An answer alone does not end the change:
      * this node's copy may still hold the former allotment. */
-    private suspend fun repeatUntilAnswered(
+    private suspend fun retryUntilAnswered(
         change: Change,
         sent: Pending,
     ) {
         val shard = change.shard
-        while (!change.isSeen()) {
-            val again = state.transact(1, Urgency.SUMMARY) { sent.transact.takeIf { shard.state == ShardState.ACTIVE } }
+        while (!change.isVisible()) {
+            val again = state.transact(1, Urgency.SUMMARY) { sent.transaction.takeIf { shard.state == ShardState.ACTIVE } }
             if (again is TransactionResult.Applied || again is TransactionResult.Failed) return
-            delay(REPEAT_MS)
+            delay(RETRY_MS)
         }
     }
 
     private companion object {
-        const val SEEN_EVERY_MS = 50L
-        const val REPEAT_MS = 1000L
+        const val VISIBILITY_POLL_MS = 50L
+        const val RETRY_MS = 1000L
     }
 }
--- a/src/main/kotlin/micatally/quota/Quota.kt
+++ b/src/main/kotlin/micatally/quota/Quota.kt
@@ -18,46 +18,46 @@
     state: StateStoreClient,
     private val sharedKeys: SharedKeyCache,
     private val teams: TeamDirectory,
-    private val held: () -> Collection<JobShard>,
+    private val ledShards: () -> Collection<JobShard>,
     controllers: Int,
-    changed: () -> Unit,
+    onChanged: () -> Unit,
 ) {
     /** Reports changes of allotments, and use above them. */
     val audit = AllotmentAudit()
-    private val use = ShardUsage()
+    private val usage = ShardUsage()
     private val rule = AllotmentRule(SLACK / controllers)
     private val writer =
-        AllotmentWriter(scope, state, sharedKeys, teams, rule, audit, { shard, team -> view(shard, team) }, changed)
+        AllotmentWriter(scope, state, sharedKeys, teams, rule, audit, { shard, team -> snapshot(shard, team) }, onChanged)
 
     fun used(
         shard: String,
         team: String,
-    ) = use.of(AllotmentId(shard, team))
+    ) = usage.of(AllotmentId(shard, team))
 
-    fun take(job: Job) = use.take(job)
+    fun addUsage(job: Job) = usage.add(job)
 
-    fun release(job: Job) = use.release(job)
+    fun removeUsage(job: Job) = usage.remove(job)
 
     fun forget(shard: String) {
-        use.forget(shard)
+        usage.forget(shard)
         writer.forget(shard)
     }
 
-    private val read = HashMap<String, TeamAllotments>()
+    private val cachedAllotments = HashMap<String, TeamAllotments>()
 
     /** Asked for each task that is placed, and changed far more rarely: so the key is read once for each change of it. */
     private fun allotments(team: String): TeamAllotments {
         val modRevision = sharedKeys.modRevision(Keys.team(team))
-        read[team]?.let { if (it.modRevision == modRevision) return it }
-        return TeamAllotments.decode(modRevision, sharedKeys.value(Keys.team(team))).also { read[team] = it }
+        cachedAllotments[team]?.let { if (it.modRevision == modRevision) return it }
+        return TeamAllotments.decode(modRevision, sharedKeys.value(Keys.team(team))).also { cachedAllotments[team] = it }
     }
 
-    private fun view(
+    private fun snapshot(
         shard: JobShard,
         team: Team,
-    ): AllotmentView {
+    ): AllotmentSnapshot {
         val id = AllotmentId(shard.name, team.name)
-        return AllotmentView(team, shard.name, allotments(team.name), use.of(id), isShort(id))
+        return AllotmentSnapshot(team, shard.name, allotments(team.name), usage.of(id), isStarved(id))
     }
 
     /** Whether the shard's allotment has room for so many more tasks of this job at once. If not, more is asked for. */
@@ -72,86 +72,86 @@
         // Until its jobs are loaded nobody knows what a shard uses.
         if (job.shard.state != ShardState.ACTIVE) return false
         val stored = allotments(team.name)
-        if (stored.isOver(team)) return false
+        if (stored.exceedsLimit(team)) return false
         val id = AllotmentId(job.shard.name, team.name)
         val need = spec.taskShare * tasks
-        val hasRoom = team.covers(writer.usable(id, stored.of(id.shard).share), use.of(id) + need)
-        if (!hasRoom) askForMore(job.shard, team, AllotmentWish.MoreRoom(need, job.pendingCount / tasks))
+        val hasRoom = team.covers(writer.usable(id, stored.of(id.shard).share), usage.of(id) + need)
+        if (!hasRoom) requestRaise(job.shard, team, AllotmentRequest.Raise(need, job.pendingCount / tasks))
         return hasRoom
     }
 
     /** Whether nothing of this team may be started: it was removed, or its limit lowered below what is allotted. */
-    fun isSuspended(teamName: String): Boolean = teams.team(teamName)?.let { allotments(it.name).isOver(it) } ?: true
+    fun isSuspended(teamName: String): Boolean = teams.team(teamName)?.let { allotments(it.name).exceedsLimit(it) } ?: true
 
-    private fun askForMore(
+    private fun requestRaise(
         shard: JobShard,
         team: Team,
-        wish: AllotmentWish,
+        request: AllotmentRequest,
     ) {
-        val view = view(shard, team)
-        val decision = rule.decide(view, wish)
-        if (!decision.isEnough) shortAt[AllotmentId(shard.name, team.name)] = looks
-        if (decision.isWorthWriting) writer.request(shard, team, wish, Urgency.INTENT)
+        val snapshot = snapshot(shard, team)
+        val decision = rule.decide(snapshot, request)
+        if (!decision.isEnough) starvedAtReview[AllotmentId(shard.name, team.name)] = reviews
+        if (decision.isWorthWriting) writer.submit(shard, team, request, Urgency.INTENT)
     }
 
-    /** The look of [handBack] in which a shard was last found short of a team's limit. */
-    private val shortAt = HashMap<AllotmentId, Int>()
-    private var looks = 0
+    /** The look of [releaseUnused] in which a shard was last found short of a team's limit. */
+    private val starvedAtReview = HashMap<AllotmentId, Int>()
+    private var reviews = 0
 
-    private fun isShort(id: AllotmentId) = shortAt[id]?.let { it >= looks - 1 } == true
+    private fun isStarved(id: AllotmentId) = starvedAtReview[id]?.let { it >= reviews - 1 } == true
 
     /** Hands back what is not in use, beyond one slack kept for the next job; all of it while another owner is short, or its
      * job would wait beside room that its team is allowed. */
-    fun handBack() {
-        looks++
-        release()
+    fun releaseUnused() {
+        reviews++
+        requestRelease()
     }
 
     /** Limits have changed: what is allotted beyond use goes back at once where a limit is exceeded. */
-    fun limitsChanged() = release()
+    fun limitsChanged() = requestRelease()
 
-    private fun release() {
-        for (shard in held().filter { it.state == ShardState.ACTIVE }) {
-            for (team in teams.all().filter { it.isLimited }) release(shard, team)
+    private fun requestRelease() {
+        for (shard in ledShards().filter { it.state == ShardState.ACTIVE }) {
+            for (team in teams.all().filter { it.isLimited }) requestRelease(shard, team)
         }
     }
 
-    private fun release(
+    private fun requestRelease(
         shard: JobShard,
         team: Team,
     ) {
-        val view = view(shard, team)
-        if (!view.stored.has(shard.name)) return
-        val decision = rule.decide(view, AllotmentWish.HandBack)
-        val isShortOver = decision.stored.isShort && !decision.row.isShort
-        if (!decision.lowers && !isShortOver) return
-        writer.request(
+        val snapshot = snapshot(shard, team)
+        if (!snapshot.stored.has(shard.name)) return
+        val decision = rule.decide(snapshot, AllotmentRequest.ReleaseUnused)
+        val isStarvationOver = decision.stored.isStarved && !decision.row.isStarved
+        if (!decision.lowers && !isStarvationOver) return
+        writer.submit(
             shard,
             team,
-            AllotmentWish.HandBack,
+            AllotmentRequest.ReleaseUnused,
             if (decision.lowers) Urgency.SUMMARY else Urgency.INTENT,
         )
     }
 
-    private val shortKnown = HashMap<String, Set<String>>()
+    private val knownStarved = HashMap<String, Set<String>>()
 
-    /** The team's key has changed. An owner that has only now become short is served at once; others at the next [handBack], or
+    /** The team's key has changed. An owner that has only now become short is served at once; others at the next [releaseUnused], or
      * two owners would hand the same share to and fro as fast as the state service writes. */
-    fun teamChanged(team: String) {
+    fun allotmentsChanged(team: String) {
         reportOveruse(team)
-        val mine = held().mapTo(HashSet()) { it.name }
-        val short = allotments(team).shortShards() - mine
-        val known = shortKnown.put(team, short) ?: emptySet()
-        if (!known.containsAll(short)) release()
+        val ledNames = ledShards().mapTo(HashSet()) { it.name }
+        val starved = allotments(team).starvedShards() - ledNames
+        val known = knownStarved.put(team, starved) ?: emptySet()
+        if (!known.containsAll(starved)) requestRelease()
     }
 
     private fun reportOveruse(teamName: String) {
         val team = teams.team(teamName)?.takeIf { it.isLimited } ?: return
         val stored = allotments(teamName)
-        for (shard in held().filter { it.state == ShardState.ACTIVE }) {
+        for (shard in ledShards().filter { it.state == ShardState.ACTIVE }) {
             val allotted = stored.of(shard.name).share
             val used = used(shard.name, teamName)
-            if (!team.covers(allotted, used)) audit.overused(teamName, shard.name, stored.modRevision, allotted, used)
+            if (!team.covers(allotted, used)) audit.logOveruse(teamName, shard.name, stored.modRevision, allotted, used)
         }
     }
 
--- a/src/main/kotlin/micatally/quota/ShardUsage.kt
+++ b/src/main/kotlin/micatally/quota/ShardUsage.kt
@@ -14,9 +14,9 @@
 
     fun of(id: AllotmentId) = used[id] ?: Share.NONE
 
-    fun take(job: Job) = change(job, 1)
+    fun add(job: Job) = change(job, 1)
 
-    fun release(job: Job) = change(job, -1)
+    fun remove(job: Job) = change(job, -1)
 
     private fun change(
         job: Job,
--- a/src/main/kotlin/micatally/quota/TeamAllotments.kt
+++ b/src/main/kotlin/micatally/quota/TeamAllotments.kt
@@ -9,11 +9,11 @@
 /**
  * One shard's part of a team's limit.
  *
- * @property isShort its holder has tasks that wait for nothing but the team's limit
+ * @property isStarved its holder has tasks that wait for nothing but the team's limit
  */
 data class AllotmentRow(
     val share: Share,
-    val isShort: Boolean,
+    val isStarved: Boolean,
 )
 
 /** The allotments of one team, as its key held them at [modRevision]. */
@@ -31,12 +31,12 @@
     fun totalOfOthers(shard: String) =
         rows.filterKeys { it != shard }.values.fold(Share.NONE) { sum, row -> sum + row.share }
 
-    fun shortShards(): Set<String> = rows.filterValues { it.isShort }.keys
+    fun starvedShards(): Set<String> = rows.filterValues { it.isStarved }.keys
 
-    fun isAnotherShort(shard: String) = rows.any { (name, row) -> row.isShort && name != shard }
+    fun isAnotherStarved(shard: String) = rows.any { (name, row) -> row.isStarved && name != shard }
 
     /** Whether more is allotted than the team's limit, which was lowered. */
-    fun isOver(team: Team) = !team.covers(team.limit + MARGIN, total())
+    fun exceedsLimit(team: Team) = !team.covers(team.limit + MARGIN, total())
 
     /** The value of the team's key with this one row changed. */
     fun encodeWith(
@@ -51,8 +51,8 @@
         private val MARGIN = Share(Share.ROUNDING, Share.ROUNDING)
 
         private const val CORES = 0
-        private const val CARDS = 1
-        private const val SHORT = 2
+        private const val GPUS = 1
+        private const val STARVED = 2
 
         fun decode(
             modRevision: Long,
@@ -61,7 +61,7 @@
 
         private fun decodeRow(row: JsonArray): AllotmentRow {
             fun number(index: Int) = (row.getOrNull(index) as? JsonPrimitive)?.doubleOrNull ?: 0.0
-            return AllotmentRow(Share(number(CORES), number(CARDS)), number(SHORT) > 0)
+            return AllotmentRow(Share(number(CORES), number(GPUS)), number(STARVED) > 0)
         }
 
         private fun encode(row: AllotmentRow) =
@@ -69,7 +69,7 @@
                 listOfNotNull(
                     JsonPrimitive(row.share.cores),
                     JsonPrimitive(row.share.gpus),
-                    if (row.isShort) JsonPrimitive(1) else null,
+                    if (row.isStarved) JsonPrimitive(1) else null,
                 ),
             )
     }
--- a/src/test/kotlin/micatally/quota/QuotaFleet.kt
+++ b/src/test/kotlin/micatally/quota/QuotaFleet.kt
@@ -71,7 +71,7 @@
     private val scheduler = TestCoroutineScheduler()
     private val dispatcher = StandardTestDispatcher(scheduler)
     private var failure: Throwable? = null
-    private val handler = CoroutineExceptionHandler { _, e -> if (failure == null) failure = e }
+    private val handler = CoroutineExceptionHandler { _, thrown -> if (failure == null) failure = thrown }
     private val scope = CoroutineScope(SupervisorJob() + dispatcher + handler)
     val now get() = scheduler.currentTime
     val service = StateStoreEmulator(nowMs = { now })
@@ -92,7 +92,7 @@
     )
 
     /** A task that a controller has decided to start. */
-    class Placed(
+    class PlacedTask(
         val key: String,
         val job: Job,
     ) {
@@ -103,21 +103,21 @@
         private val index: Int,
     ) {
         private val thread = Stoppable(dispatcher)
-        private val own = CoroutineScope(SupervisorJob() + thread + handler)
+        private val controllerScope = CoroutineScope(SupervisorJob() + thread + handler)
         private val sharedKeys = SharedKeyCache()
         private val state =
             StateStoreClient(
                 HttpCaller { _, method, target, body, timeoutMs -> call(method, target, body, timeoutMs) },
                 "state",
-                RateBudget(own, changesPerSecond * 10, { now }),
-                RateBudget(own, changesPerSecond, { now }, changesPerSecond / 2),
+                RateBudget(controllerScope, changesPerSecond * 10, { now }),
+                RateBudget(controllerScope, changesPerSecond, { now }, changesPerSecond / 2),
                 500,
             )
         val shards = HashMap<String, JobShard>()
-        private val placed = HashMap<String, Placed>()
+        private val placed = HashMap<String, PlacedTask>()
         val quota =
             Quota(
-                own,
+                controllerScope,
                 state,
                 sharedKeys,
                 FixedTeams(teams.associateBy { it.name }),
@@ -132,13 +132,13 @@
             }
 
         /** A listing as it is now arrives after a while. */
-        fun look(afterMs: Long) {
-            own.launch {
+        fun refreshCache(afterMs: Long) {
+            controllerScope.launch {
                 val listing = plain.list(Keys.PREFIX, Urgency.LEASE) ?: return@launch
                 delay(afterMs)
                 val changed = sharedKeys.load(listing)
                 checkShards()
-                for (key in changed.filter { it.startsWith(Keys.TEAM) }) quota.teamChanged(key.removePrefix(Keys.TEAM))
+                for (key in changed.filter { it.startsWith(Keys.TEAM) }) quota.allotmentsChanged(key.removePrefix(Keys.TEAM))
             }
         }
 
@@ -151,7 +151,7 @@
                 if (leader.host == "host-$index" && name !in shards) {
                     val shard = JobShard(name, leader, now)
                     shards[name] = shard
-                    own.launch { load(shard) }
+                    controllerScope.launch { load(shard) }
                 }
             }
         }
@@ -179,8 +179,8 @@
         ) {
             val spec = spec(teamOf(key), value.number("cores"), value.number("cards"))
             val job = Job(spec.jobId, spec, shard, 1, 0, JobState.OPEN)
-            placed[key] = Placed(key, job)
-            quota.take(job)
+            placed[key] = PlacedTask(key, job)
+            quota.addUsage(job)
         }
 
         /** Starts tasks of one job of a shard and a team, if its allotment allows it. */
@@ -195,17 +195,17 @@
             repeat(count) {
                 if (!quota.allows(job)) return
                 val key = runPrefix(shard.name) + "$team/${nextTask++}"
-                placed[key] = Placed(key, job).also { start(it, task) }
+                placed[key] = PlacedTask(key, job).also { start(it, task) }
             }
         }
 
         private fun start(
-            task: Placed,
+            task: PlacedTask,
             share: Share,
         ) {
             val shard = task.job.shard
-            quota.take(task.job)
-            own.launch {
+            quota.addUsage(task.job)
+            controllerScope.launch {
                 val value =
                     JsonObject(
                         mapOf(
@@ -221,30 +221,30 @@
                 when (result) {
                     is TransactionResult.Applied -> {}
                     is TransactionResult.Unknown -> {
-                        delay(LATEST_MS)
-                        if (service.value(task.key) == null) told(task.key)
+                        delay(MAX_EXECUTION_DELAY_MS)
+                        if (service.value(task.key) == null) taskEnded(task.key)
                     }
-                    else -> told(task.key)
+                    else -> taskEnded(task.key)
                 }
             }
         }
 
         /** This controller hears that a task is not on a machine any more. */
-        fun told(key: String) {
+        fun taskEnded(key: String) {
             val task = placed.remove(key) ?: return
             if (task.isReleased) return
             task.isReleased = true
-            if (task.job.shard.mine) quota.release(task.job)
+            if (task.job.shard.mine) quota.removeUsage(task.job)
         }
 
         /** The end of a task is told when the controller gets to it. */
-        fun tellLater(
+        fun reportEndLater(
             key: String,
             afterMs: Long,
         ) {
-            own.launch {
+            controllerScope.launch {
                 delay(afterMs)
-                told(key)
+                taskEnded(key)
             }
         }
 
@@ -256,12 +256,12 @@
         ): Outcome {
             val request = HttpRequest(method, target, body ?: ByteArray(0))
             val luck = random.nextDouble()
-            val f = faults
+            val current = faults
             return when {
-                luck < f.late -> unanswered(request, random.nextLong(timeoutMs, LATEST_MS - timeoutMs), timeoutMs)
-                luck < f.late + f.answerLost -> unanswered(request, 1, timeoutMs)
-                luck < f.late + f.answerLost + f.refused -> Outcome.Answer(503, ByteArray(0))
-                luck < f.late + f.answerLost + f.refused + f.limited -> Outcome.Answer(429, ByteArray(0))
+                luck < current.late -> unanswered(request, random.nextLong(timeoutMs, MAX_EXECUTION_DELAY_MS - timeoutMs), timeoutMs)
+                luck < current.late + current.answerLost -> unanswered(request, 1, timeoutMs)
+                luck < current.late + current.answerLost + current.refused -> Outcome.Answer(503, ByteArray(0))
+                luck < current.late + current.answerLost + current.refused + current.limited -> Outcome.Answer(429, ByteArray(0))
                 else -> {
                     delay(random.nextLong(1, 20))
                     val response = service.handle(request)
@@ -271,7 +271,7 @@
             }
         }
 
-        fun end() = own.cancel()
+        fun end() = controllerScope.cancel()
     }
 
     private suspend fun unanswered(
@@ -307,7 +307,7 @@
     private var fencingToken = 0
 
     /** The shard is in another controller's hands from now on, whether or not the former holder has heard of it. */
-    fun giveLedger(
+    fun transferShard(
         name: String,
         to: Int,
     ) {
@@ -323,13 +323,13 @@
     }
 
     /** A task that runs ends on its machine; its owner hears of it later. */
-    fun endOne() {
+    fun endRandomTask() {
         val running = service.keysUnder(RUN)
         if (running.isEmpty()) return
         val key = running.random(random)
-        val told = random.nextLong(1, 1500)
+        val reportedAfterMs = random.nextLong(1, 1500)
         change(Delete(key))
-        for (controller in controllers) controller.tellLater(key, told)
+        for (controller in controllers) controller.reportEndLater(key, reportedAfterMs)
     }
 
     fun runFor(ms: Long) {
@@ -339,7 +339,7 @@
     }
 
     /** What the state service holds for a shard. */
-    fun row(
+    fun storedRow(
         team: String,
         shard: String,
     ): Share {
@@ -348,7 +348,7 @@
     }
 
     /** What the tasks of a shard that may be on machines take. */
-    fun onMachines(
+    fun runningShare(
         team: String,
         shard: String,
     ): Share =
@@ -369,7 +369,7 @@
         private const val RUN = "run/"
 
         /** A transaction without an answer is carried out by then, or never. */
-        private const val LATEST_MS = 6000L
+        private const val MAX_EXECUTION_DELAY_MS = 6000L
 
         private fun runPrefix(shard: String) = "$RUN$shard/"
 
--- a/src/test/kotlin/micatally/quota/QuotaScheduleTest.kt
+++ b/src/test/kotlin/micatally/quota/QuotaScheduleTest.kt
@@ -27,7 +27,7 @@
         private val frozenUntil = LongArray(size)
 
         fun play(seconds: Int) {
-            for (i in 0 until size) fleet.giveLedger("ledger-$i", i)
+            for (i in 0 until size) fleet.transferShard("ledger-$i", i)
             val untilMs = seconds * 1000L
             while (fleet.now < untilMs) step(fleet.now < untilMs * 3 / 4)
             checkRoomIsFound()
@@ -42,15 +42,15 @@
                 if (random.nextInt(12) ==
                     0
                 ) {
-                    controller.look(random.nextLong(1, if (random.nextInt(20) == 0) 3000 else 80))
+                    controller.refreshCache(random.nextLong(1, if (random.nextInt(20) == 0) 3000 else 80))
                 }
-                if (random.nextInt(50) == 0) controller.quota.handBack()
+                if (random.nextInt(50) == 0) controller.quota.releaseUnused()
                 if (random.nextInt(3) == 0) demand(controller)
                 if (isTroubled && random.nextInt(1500) == 0) freeze(i)
             }
-            if (random.nextInt(2) == 0) fleet.endOne()
+            if (random.nextInt(2) == 0) fleet.endRandomTask()
             if (isTroubled && random.nextInt(300) == 0) {
-                fleet.giveLedger("ledger-${random.nextInt(size)}", random.nextInt(size))
+                fleet.transferShard("ledger-${random.nextInt(size)}", random.nextInt(size))
             }
             fleet.runFor(STEP_MS)
             check()
@@ -70,10 +70,10 @@
 
         private fun check() {
             for (team in teams) {
-                val rows = (0 until size).map { fleet.row(team.name, "ledger-$it") }
+                val rows = (0 until size).map { fleet.storedRow(team.name, "ledger-$it") }
                 val sum = rows.fold(Share.NONE) { total, row -> total + row }
                 assertTrue(
-                    team.covers(team.limit + SLIP, sum),
+                    team.covers(team.limit + ROUNDING, sum),
                 ) { "seed $seed at ${fleet.now}: ${team.name} has $sum allotted" }
                 for ((i, row) in rows.withIndex()) checkUse(team, "ledger-$i", row)
             }
@@ -84,8 +84,8 @@
             shard: String,
             row: Share,
         ) {
-            val used = fleet.onMachines(team.name, shard)
-            assertTrue(team.covers(row + SLIP, used)) {
+            val used = fleet.runningShare(team.name, shard)
+            assertTrue(team.covers(row + ROUNDING, used)) {
                 "seed $seed at ${fleet.now}: ${team.name} has $used of $shard on machines, allotted $row"
             }
         }
@@ -95,17 +95,17 @@
             val team = teams.first()
             val whole = Share(1.0, team.gpusMax)
             repeat(QUIET_STEPS) {
-                repeat(10) { fleet.endOne() }
+                repeat(10) { fleet.endRandomTask() }
                 for (controller in fleet.controllers) {
                     controller.isFrozen = false
-                    controller.look(1)
-                    if (random.nextInt(20) == 0) controller.quota.handBack()
+                    controller.refreshCache(1)
+                    if (random.nextInt(20) == 0) controller.quota.releaseUnused()
                 }
                 val leader = fleet.controllers.first { it.shards["ledger-0"]?.state == ShardState.ACTIVE }
                 leader.tryToStart(leader.shards.getValue("ledger-0"), team.name, whole, 1)
                 fleet.runFor(STEP_MS)
                 check()
-                if (fleet.onMachines(team.name, "ledger-0").gpus >= team.gpusMax) return
+                if (fleet.runningShare(team.name, "ledger-0").gpus >= team.gpusMax) return
             }
             assertTrue(
                 false,
@@ -135,6 +135,6 @@
         const val FIRST_SOAK_SEED = 1000
 
         /** Rows are sums of parts that are no whole numbers. */
-        val SLIP = Share(1e-4, 1e-4)
+        val ROUNDING = Share(1e-4, 1e-4)
     }
 }
--- a/src/test/kotlin/micatally/quota/QuotaTest.kt
+++ b/src/test/kotlin/micatally/quota/QuotaTest.kt
@@ -44,18 +44,18 @@
     ) {
         private val now = { scope.testScheduler.currentTime }
         val service = StateStoreEmulator(nowMs = now)
-        var loseShard = false
+        var losesNextAnswer = false
         private val http =
-            HttpCaller { _, m, t, b, ms ->
-                val r = service.handle(HttpRequest(m, t, b ?: ByteArray(0)))
-                if (loseShard &&
-                    t == "/txn"
+            HttpCaller { _, method, target, body, timeoutMs ->
+                val response = service.handle(HttpRequest(method, target, body ?: ByteArray(0)))
+                if (losesNextAnswer &&
+                    target == "/txn"
                 ) {
-                    loseShard = false
-                    kotlinx.coroutines.delay(ms)
+                    losesNextAnswer = false
+                    kotlinx.coroutines.delay(timeoutMs)
                     Outcome.Silence
                 } else {
-                    Outcome.Answer(r.status, r.body)
+                    Outcome.Answer(response.status, response.body)
                 }
             }
         val state =
@@ -81,7 +81,7 @@
                     ),
                 )
             }
-            seeAll()
+            refreshAllCaches()
             for (i in 0..1) {
                 shards.add(
                     JobShard("l$i", copies[i].leader("l$i")!!).also { it.transitionTo(ShardState.ACTIVE) },
@@ -96,146 +96,146 @@
             (service.value(Keys.team("vision"))?.get("l$i") as? JsonArray)?.get(0)?.jsonPrimitive?.double ?: 0.0
 
         /** The copy of one node catches up. */
-        suspend fun see(i: Int) {
+        suspend fun refreshCache(i: Int) {
             copies[i].load(state.list(Keys.PREFIX, Urgency.LEASE)!!)
         }
 
         /** The copies of both nodes catch up. */
-        suspend fun seeAll() {
-            see(0)
-            see(1)
+        suspend fun refreshAllCaches() {
+            refreshCache(0)
+            refreshCache(1)
         }
 
         fun job(
             i: Int,
             cores: Double,
-            n: Int,
+            number: Int,
         ) = JobSpec
             .parse(
-                JsonObject(Rehearsal.job(n, "sweep", 4) + ("cores" to JsonPrimitive(cores))),
+                JsonObject(Rehearsal.job(number, "sweep", 4) + ("cores" to JsonPrimitive(cores))),
             ).let { Job(it.jobId, it, shards[i], it.taskCount, 0, JobState.OPEN) }
     }
 
-    private fun setup(
+    private fun quotaTest(
         changesPerSecond: Double = 1000.0,
         test: suspend TestScope.(Setup) -> Unit,
     ) = runTest {
-        val s = Setup(this, changesPerSecond)
-        s.start(this)
-        test(s)
+        val setup = Setup(this, changesPerSecond)
+        setup.start(this)
+        test(setup)
     }
 
     /** After a lowering without an answer the repeat found the key changed, and the former allotment bound again, though
      * another owner could take what had been given back. */
     @Test
     fun `a lowering without an answer binds until it is seen`() =
-        setup { s ->
-            val big = s.job(0, 16.0, 1)
-            assertFalse(s.quotas[0].allows(big))
+        quotaTest { setup ->
+            val big = setup.job(0, 16.0, 1)
+            assertFalse(setup.quotas[0].allows(big))
             advanceTimeBy(100)
-            s.seeAll()
-            assertTrue(s.quotas[0].allows(big))
-            s.loseShard = true
-            s.quotas[0].handBack()
+            setup.refreshAllCaches()
+            assertTrue(setup.quotas[0].allows(big))
+            setup.losesNextAnswer = true
+            setup.quotas[0].releaseUnused()
             advanceTimeBy(5000)
-            assertFalse(s.quotas[0].allows(big), "given back, whether or not this node has seen it")
-            s.see(0)
+            assertFalse(setup.quotas[0].allows(big), "given back, whether or not this node has seen it")
+            setup.refreshCache(0)
             advanceTimeBy(200)
-            assertFalse(s.quotas[0].allows(big), "only what is allotted counts")
+            assertFalse(setup.quotas[0].allows(big), "only what is allotted counts")
         }
 
     /** A shard that had just changed hands was taken for unused until its jobs were loaded: its allotment was handed back, and
      * what was submitted meanwhile was placed on top of what ran (seed 15 of the seeded days). */
     @Test
     fun `a ledger that is not loaded neither uses its allotment nor hands it back`() =
-        setup { s ->
-            val job = s.job(0, 16.0, 1)
-            assertFalse(s.quotas[0].allows(job))
+        quotaTest { setup ->
+            val job = setup.job(0, 16.0, 1)
+            assertFalse(setup.quotas[0].allows(job))
             advanceTimeBy(100)
-            s.seeAll()
-            val before = s.service.value(Keys.team("vision"))
-            s.shards[0] = JobShard("l0", s.shards[0].leader)
-            assertFalse(s.quotas[0].allows(s.job(0, 1.0, 2)))
-            s.quotas[0].handBack()
+            setup.refreshAllCaches()
+            val before = setup.service.value(Keys.team("vision"))
+            setup.shards[0] = JobShard("l0", setup.shards[0].leader)
+            assertFalse(setup.quotas[0].allows(setup.job(0, 1.0, 2)))
+            setup.quotas[0].releaseUnused()
             advanceTimeBy(1000)
-            assertEquals(before, s.service.value(Keys.team("vision")))
+            assertEquals(before, setup.service.value(Keys.team("vision")))
         }
 
     /** Each owner kept a slack for its next job while another one's job waited for the team's limit, for good. */
     @Test
     fun `while an owner is short the others keep nothing that they don't use`() =
-        setup { s ->
-            val small = s.job(0, 1.0, 1)
-            assertFalse(s.quotas[0].allows(small))
+        quotaTest { setup ->
+            val small = setup.job(0, 1.0, 1)
+            assertFalse(setup.quotas[0].allows(small))
             advanceTimeBy(100)
-            s.seeAll()
-            s.quotas[0].take(small)
-            val whole = s.job(1, 39.0, 2)
-            assertFalse(s.quotas[1].allows(whole))
+            setup.refreshAllCaches()
+            setup.quotas[0].addUsage(small)
+            val whole = setup.job(1, 39.0, 2)
+            assertFalse(setup.quotas[1].allows(whole))
             advanceTimeBy(100)
-            s.seeAll()
-            s.quotas[0].teamChanged("vision")
+            setup.refreshAllCaches()
+            setup.quotas[0].allotmentsChanged("vision")
             advanceTimeBy(100)
-            s.seeAll()
+            setup.refreshAllCaches()
             advanceTimeBy(100)
-            assertFalse(s.quotas[1].allows(whole), "not allotted yet")
+            assertFalse(setup.quotas[1].allows(whole), "not allotted yet")
             advanceTimeBy(100)
-            s.seeAll()
-            assertTrue(s.quotas[1].allows(whole))
-            assertEquals(1.0, s.quotas[0].used("l0", "vision").cores)
+            setup.refreshAllCaches()
+            assertTrue(setup.quotas[1].allows(whole))
+            assertEquals(1.0, setup.quotas[0].used("l0", "vision").cores)
         }
 
     /** Found on a drawn day of hcmc (fresh-5e44): two owners short of one limit handed the same share to and fro as fast as the state
      * service wrote, twice the writes of the day. */
     @Test
     fun `two owners that are short don't hand a share to and fro`() =
-        setup { s ->
-            val jobs = listOf(s.job(0, 25.0, 1), s.job(1, 25.0, 2))
-            val before = s.service.changesMade
+        quotaTest { setup ->
+            val jobs = listOf(setup.job(0, 25.0, 1), setup.job(1, 25.0, 2))
+            val before = setup.service.changesMade
             repeat(100) {
                 for (i in 0..1) {
-                    s.quotas[i].allows(jobs[i])
+                    setup.quotas[i].allows(jobs[i])
                     advanceTimeBy(20)
-                    s.seeAll()
-                    for (q in s.quotas) q.teamChanged("vision")
+                    setup.refreshAllCaches()
+                    for (quota in setup.quotas) quota.allotmentsChanged("vision")
                 }
             }
-            assertTrue(s.service.changesMade - before <= 8, "${s.service.changesMade - before} writes")
+            assertTrue(setup.service.changesMade - before <= 8, "${setup.service.changesMade - before} writes")
         }
 
     /** The incident of 2 December: a raise decided before the node saw its former one, and put together after, lowered the
      * allotment below what had been placed in between; another owner was then given the same cards. */
     @Test
     fun `a raise that waited does not lower what was taken meanwhile`() =
-        setup(changesPerSecond = 1.0) { s ->
-            val big = s.job(0, 16.0, 1)
-            assertFalse(s.quotas[0].allows(big))
+        quotaTest(changesPerSecond = 1.0) { setup ->
+            val big = setup.job(0, 16.0, 1)
+            assertFalse(setup.quotas[0].allows(big))
             advanceTimeBy(100)
-            assertFalse(s.quotas[0].allows(s.job(0, 1.0, 2)), "this node has not seen its first raise yet")
-            s.see(0)
-            assertTrue(s.quotas[0].allows(big))
-            s.quotas[0].take(big)
+            assertFalse(setup.quotas[0].allows(setup.job(0, 1.0, 2)), "this node has not seen its first raise yet")
+            setup.refreshCache(0)
+            assertTrue(setup.quotas[0].allows(big))
+            setup.quotas[0].addUsage(big)
             advanceTimeBy(2000)
-            assertTrue(s.allottedCores(0) >= 16.0, "allotted ${s.allottedCores(0)}, in use 16")
+            assertTrue(setup.allottedCores(0) >= 16.0, "allotted ${setup.allottedCores(0)}, in use 16")
         }
 
     /** Found on reading for the incident: with the limit lowered below what two shards held, neither could hand back, since
      * the sum was still above the limit after each one's change; the team stood still for good. */
     @Test
     fun `a limit lowered below what two ledgers hold brings both to hand back`() =
-        setup { s ->
+        quotaTest { setup ->
             for (i in 0..1) {
-                assertFalse(s.quotas[i].allows(s.job(i, 4.0, i)))
+                assertFalse(setup.quotas[i].allows(setup.job(i, 4.0, i)))
                 advanceTimeBy(100)
-                s.seeAll()
+                setup.refreshAllCaches()
             }
             limits["vision"] = Team("vision", 0.0, 8.0, 0.0, 0.0)
             for (i in 0..1) {
-                s.quotas[i].limitsChanged()
+                setup.quotas[i].limitsChanged()
                 advanceTimeBy(100)
-                s.seeAll()
+                setup.refreshAllCaches()
             }
-            val left = s.allottedCores(0) + s.allottedCores(1)
+            val left = setup.allottedCores(0) + setup.allottedCores(1)
             assertTrue(left <= 8.0, "$left still allotted")
         }
 }
