--- a/src/main/kotlin/micatally/quota/AllotmentAudit.kt
+++ b/src/main/kotlin/micatally/quota/AllotmentAudit.kt
@@ -3,11 +3,12 @@
 import org.slf4j.LoggerFactory
 
 /**
- * One applied change of a shard's allotment and what it rested on.
+ * An applied change of a shard's allotment, with what it was decided on.
  *
- * @property decidedAtRevision mark of the team's key from which the new share was computed and which the write was conditional on
- * @property appliedAtRevision revision of the state service at which it was applied
- * @property use what the shard used when the share was computed
+ * @property decidedAtRevision the modRevision of the team's key that the decision rests on; the write was
+ * conditional on it
+ * @property appliedAtRevision the revision of the state store at which the write was applied
+ * @property use what the shard used at the time of the decision
  */
 class AllotmentChange(
     val team: String,
@@ -19,14 +20,15 @@
     val use: Share,
 )
 
-/** Logs what operators need to follow a team's limit: every change of an allotment, and use above one, which must never be. */
+/** Logs every change of an allotment, and each use above an allotment, which must never happen. */
 class AllotmentAudit {
     private val log = LoggerFactory.getLogger("micatally.quota")
 
-    /** How often a shard was seen to use more than its allotment since the start of this process. */
+    /** How often a shard was found to use more than its allotment, since the start of this process. */
     var overuseCount = 0L
         private set
 
+    /** Logs a change that the state store has applied. */
     fun logChange(change: AllotmentChange) {
         log.info(
             "team {} shard {} allotment {} -> {} use {} decided on {} written at {}",
@@ -40,6 +42,7 @@
         )
     }
 
+    /** Logs as an error that a shard uses more than the allotment that its team's key held at [modRevision]. */
     fun logOveruse(
         team: String,
         shard: String,
--- a/src/main/kotlin/micatally/quota/AllotmentRule.kt
+++ b/src/main/kotlin/micatally/quota/AllotmentRule.kt
@@ -2,23 +2,31 @@
 
 import micatally.settings.Team
 
-/** What the holder of a shard wants of its allotment. */
+/** What the leader of a shard asks of its allotment. */
 sealed interface AllotmentRequest {
-    /** Room for more tasks beside what is in use: at least one, at best [tasks] of them. */
+    /**
+     * Free capacity for more tasks beside what is in use: for at least one, at best for [tasks] of them.
+     *
+     * @property task what one task takes; for a gang, what all its tasks take together
+     */
     class Raise(
         val task: Share,
         val tasks: Int,
     ) : AllotmentRequest
 
-    /** Nothing more: what is not in use may go to the other shards. */
+    /** Nothing more: what is not in use may be released to the other shards. */
     data object ReleaseUnused : AllotmentRequest
 }
 
 /**
- * What a shard's holder knows when it decides; all of it has to be from the moment at which the row is written.
+ * What a decision about a shard's allotment rests on. It has to be taken at the moment at which the row is written,
+ * since both the stored rows and the use change while a write waits for its turn.
  *
- * @property use what all attempts take that are not proven gone, also those that are decided and not stored yet
- * @property wasStarved whether the shard was found short of the team's limit lately
+ * @property stored all rows of the team, as this controller's cache of the shared keys holds them
+ * @property use what all attempts take for which there is no termination evidence, also those that are decided and
+ * not stored yet
+ * @property wasStarved whether the limit had no free capacity for a task of the shard at its last request or the one
+ * before
  */
 class AllotmentSnapshot(
     val team: Team,
@@ -29,17 +37,17 @@
 )
 
 /**
- * The row that a shard's holder writes.
+ * The row to be written for a shard.
  *
- * @property stored the row that it is to replace
- * @property isEnough false if the wish was for a task that the limit has no room for now
+ * @property stored the row that it replaces
+ * @property isEnough false if a raise was requested and the limit has no free capacity for even one task now
  */
 class AllotmentDecision(
     val stored: AllotmentRow,
     val row: AllotmentRow,
     val isEnough: Boolean,
 ) {
-    /** Whether the row holds less than the stored one in some dimension. */
+    /** Whether the new row grants less than the stored one in some dimension. */
     val lowers get() = stored.share.exceeds(row.share)
 
     private val raises get() = row.share.exceeds(stored.share)
@@ -49,15 +57,15 @@
 }
 
 /**
- * The one place where a row is decided. What it returns keeps two promises, whatever is wished: the shard's use stays
- * covered as far as the stored row covers it, and the sum of all rows does not grow beyond the limit.
+ * The one place where a row is decided. Whatever is requested, two invariants hold: the shard's use stays covered as
+ * far as the stored row covers it, and the sum of all rows does not grow beyond the limit.
  *
- * @param slackOfOne the part of a team's limit that a shard keeps for its next job
+ * @param slackOfOne the part of a team's limit, from 0 to 1, that a shard keeps unused for its next job
  */
 class AllotmentRule(
     private val slackOfOne: Double,
 ) {
-    /** The row to be written in place of the stored one. */
+    /** Decides the row to be written in place of the stored one; it may be the same. */
     fun decide(
         snapshot: AllotmentSnapshot,
         request: AllotmentRequest,
@@ -73,7 +81,7 @@
     ): AllotmentDecision {
         val team = snapshot.team
         val stored = snapshot.stored.of(snapshot.shard)
-        // Where another owner waits for the limit, nothing is taken that is not needed now.
+        // While another shard is starved, nothing is taken that is not needed now.
         val isContested = snapshot.stored.isAnotherStarved(snapshot.shard)
         val slack = if (isContested) 0.0 else slackOfOne
         val tasks = if (isContested) 1 else request.tasks.coerceIn(1, TASKS_AT_ONCE)
@@ -81,7 +89,8 @@
         val wanted = (snapshot.use + request.task * tasks + team.limit * slack).atMost(free)
         val raised = team.limitedPart(wanted).atLeast(stored.share)
         val isEnough = team.covers(raised, snapshot.use + request.task)
-        // Of what does not suffice for a task nothing is taken: two owners would each hold half of what one of them needs.
+        // Less than one task needs is not taken at all: otherwise two shards could each hold half of what one of
+        // them needs.
         val share = if (isEnough) raised else stored.share
         return AllotmentDecision(stored, AllotmentRow(share, snapshot.wasStarved || !isEnough), isEnough)
     }
@@ -89,8 +98,8 @@
     private fun releaseUnused(snapshot: AllotmentSnapshot): AllotmentDecision {
         val team = snapshot.team
         val stored = snapshot.stored.of(snapshot.shard)
-        val isWanted = snapshot.stored.isAnotherStarved(snapshot.shard) || snapshot.stored.exceedsLimit(team)
-        val slack = team.limit * (if (isWanted) 0.0 else slackOfOne)
+        val isNeededElsewhere = snapshot.stored.isAnotherStarved(snapshot.shard) || snapshot.stored.exceedsLimit(team)
+        val slack = team.limit * (if (isNeededElsewhere) 0.0 else slackOfOne)
         val kept = team.limitedPart(snapshot.use) + slack
         val isWorthLowering = stored.share.exceeds(kept + slack)
         val share = if (isWorthLowering) stored.share.atMost(kept) else stored.share
@@ -98,7 +107,7 @@
     }
 
     private companion object {
-        /** For so many tasks an allotment is asked at the most. */
+        /** An allotment is raised for at most so many tasks at once. */
         const val TASKS_AT_ONCE = 64
     }
 }
--- a/src/main/kotlin/micatally/quota/AllotmentWriter.kt
+++ b/src/main/kotlin/micatally/quota/AllotmentWriter.kt
@@ -17,12 +17,15 @@
 import micatally.state.Urgency
 
 /**
- * Brings this node's allotments to the state service, one change of a team at a time.
+ * Writes the allotments of this controller's shards to the state store, one change per team at a time.
  *
- * A change waits for its turn, and meanwhile both the stored rows and the use may change. So nothing is kept from before
- * the wait but the wish: the row is decided when the transaction is put together, from the reading whose mark the
- * transaction is conditional on. A lowered share binds this node from before the transaction leaves until the copy of the
- * shared keys shows the outcome.
+ * A write waits for its turn in the budget, and meanwhile both the stored rows and the use may change. So only the
+ * request is kept during the wait: the row is decided when the transaction is built, from the value whose
+ * modRevision the transaction compares. A lowered share limits this controller from before the transaction is sent
+ * until the cache of the shared keys shows the outcome.
+ *
+ * @param snapshot takes what a decision about the shard and the team rests on, as it is now
+ * @param onChanged called after each change has ended, whether it was applied or not
  */
 class AllotmentWriter(
     private val scope: CoroutineScope,
@@ -34,26 +37,27 @@
     private val snapshot: (JobShard, Team) -> AllotmentSnapshot,
     private val onChanged: () -> Unit,
 ) {
-    /** The change of a team that is under way. */
+    /** The change in flight of each team. */
     private val inFlight = HashMap<String, Change>()
 
-    /** What an allotment is about to be lowered to. */
+    /** What an allotment is being lowered to. */
     private val pendingBounds = HashMap<AllotmentId, Share>()
 
-    /** The share that the shard may use of its [stored] one. */
+    /** Returns what the shard may use of its [stored] share: less while the share is being lowered. */
     fun usable(
         id: AllotmentId,
         stored: Share,
     ) = pendingBounds[id]?.let { stored.atMost(it) } ?: stored
 
+    /** Drops what was noted for a shard that this controller does not lead any more. */
     fun forget(shard: String) {
         pendingBounds.keys.removeIf { it.shard == shard }
     }
 
     /**
-     * One change from the wish to the moment at which this node's copy shows its outcome.
+     * A change, from the request until the cache of the shared keys shows the outcome.
      *
-     * @property isVisible whether the copy shows it, once there is an outcome
+     * @property isVisible whether the cache shows the outcome; false as long as there is none
      */
     private class Change(
         val shard: JobShard,
@@ -63,7 +67,7 @@
         var isVisible: () -> Boolean = { false }
     }
 
-    /** Asks for a change; nothing happens while another one of the team is under way. */
+    /** Starts a change and returns at once. The request is dropped while another change of the team is in flight. */
     fun submit(
         shard: JobShard,
         team: Team,
@@ -85,14 +89,14 @@
         }
     }
 
-    /** The one place where a change ends, and with it what it bound. False if it had ended before. */
+    /** The one place where a change ends, and with it the bound that it set. Returns false if it had ended before. */
     private fun end(change: Change): Boolean {
         if (!inFlight.remove(change.id.team, change)) return false
         pendingBounds.remove(change.id)
         return true
     }
 
-    /** A decided row on its way, with the readings that it rests on. */
+    /** The transaction of a change, with the decision and what it rests on. */
     private class Pending(
         val transaction: Transaction,
         val snapshot: AllotmentSnapshot,
@@ -115,18 +119,20 @@
         when (result) {
             is TransactionResult.Applied -> {
                 logApplied(sent, result.revision)
-                // Until the copy shows it, any other change of this node would be refused.
+                // Until the cache shows it, any other change from here would fail its comparison.
                 visibleWhen(change) { sharedKeys.revision >= result.revision }
                 awaitVisible(change)
             }
-            // After silence a lowering may yet be carried out; a raise that is carried out late is conditional on its mark.
+            // The transaction may still be applied. A late raise does no harm, since it grants only what was free at
+            // the modRevision that it compares; but a lowered share must not be used again.
             is TransactionResult.Unknown ->
                 if (sent.decision.lowers) {
                     visibleWhen(change) { hasNewRevision(sent) }
                     retryUntilAnswered(change, sent)
                     awaitVisible(change)
                 }
-            // The key has another mark than in the copy: until that shows it, any other change would be refused too.
+            // The key has changed since the cache was filled: until the cache shows that, any other change would
+            // fail too.
             is TransactionResult.Failed -> {
                 visibleWhen(change) { hasNewRevision(sent) }
                 awaitVisible(change)
@@ -135,7 +141,7 @@
         }
     }
 
-    /** Null if there is nothing to be written any more, or nothing may be. */
+    /** Returns null if there is nothing to write any more, or nothing may be written. */
     private fun decide(change: Change): Pending? {
         val shard = change.shard
         if (shard.state != ShardState.ACTIVE || !teams.isCurrent) return null
@@ -182,7 +188,9 @@
         )
     }
 
-    /** From now on the change counts as seen when the copy shows it, or when the shard is not this node's any more. */
+    /**
+     * From now on the change counts as visible when the cache shows it, or when this controller has lost the shard.
+     */
     private fun visibleWhen(
         change: Change,
         isShownByCache: () -> Boolean,
@@ -197,8 +205,10 @@
     private fun hasNewRevision(sent: Pending) =
         sharedKeys.modRevision(Keys.team(sent.snapshot.team.name)) != sent.snapshot.stored.modRevision
 
-    /** The same transaction again until there is an answer, or the change is seen. An answer alone does not end the change:
-     * this node's copy may still hold the former allotment. */
+    /**
+     * Repeats the transaction until there is an answer, or the change is visible. An answer alone does not end the
+     * change, since the cache may still hold the former allotment.
+     */
     private suspend fun retryUntilAnswered(
         change: Change,
         sent: Pending,
--- a/src/main/kotlin/micatally/quota/Quota.kt
+++ b/src/main/kotlin/micatally/quota/Quota.kt
@@ -11,8 +11,16 @@
 import micatally.state.StateStoreClient
 import micatally.state.Urgency
 
-/** A team's limit is split among the shards. A shard's holder places within its allotment and changes only that one;
- * an intent is written under the shard's mark, so a holder that has lost the shard can't use it up any more. */
+/**
+ * Keeps teams within their limits. A team's limit is split into one allotment per shard, and the leader of a shard
+ * starts tasks only within the shard's allotment and changes no other one. Since the intent to start a task is
+ * written on the condition that the shard's term has not changed, a leader that has lost the shard can't use its
+ * allotment any more.
+ *
+ * @param ledShards the shards that this controller leads, also those that are still loading
+ * @param controllers the number of controllers, among which the slack is divided
+ * @param onChanged called when an allotment may have changed, so that it is worth trying to schedule again
+ */
 class Quota(
     scope: CoroutineScope,
     state: StateStoreClient,
@@ -22,22 +30,26 @@
     controllers: Int,
     onChanged: () -> Unit,
 ) {
-    /** Reports changes of allotments, and use above them. */
+    /** Logs changes of allotments, and use above them. */
     val audit = AllotmentAudit()
     private val usage = ShardUsage()
     private val rule = AllotmentRule(SLACK / controllers)
     private val writer =
         AllotmentWriter(scope, state, sharedKeys, teams, rule, audit, { shard, team -> snapshot(shard, team) }, onChanged)
 
+    /** Returns what the attempts of a team in a shard take for which there is no termination evidence. */
     fun used(
         shard: String,
         team: String,
     ) = usage.of(AllotmentId(shard, team))
 
+    /** Counts one more attempt of the job against the allotment of its shard. */
     fun addUsage(job: Job) = usage.add(job)
 
+    /** Counts one attempt of the job less, once it is proven to have ended. */
     fun removeUsage(job: Job) = usage.remove(job)
 
+    /** Drops the usage of a shard that this controller does not lead any more; the next leader counts anew. */
     fun forget(shard: String) {
         usage.forget(shard)
         writer.forget(shard)
@@ -45,7 +57,10 @@
 
     private val cachedAllotments = HashMap<String, TeamAllotments>()
 
-    /** Asked for each task that is placed, and changed far more rarely: so the key is read once for each change of it. */
+    /**
+     * Needed for each task that is placed, but changed far more rarely: so the key is decoded once for each change
+     * of it.
+     */
     private fun allotments(team: String): TeamAllotments {
         val modRevision = sharedKeys.modRevision(Keys.team(team))
         cachedAllotments[team]?.let { if (it.modRevision == modRevision) return it }
@@ -60,7 +75,10 @@
         return AllotmentSnapshot(team, shard.name, allotments(team.name), usage.of(id), isStarved(id))
     }
 
-    /** Whether the shard's allotment has room for so many more tasks of this job at once. If not, more is asked for. */
+    /**
+     * Returns whether the allotment of the job's shard has free capacity for [tasks] more tasks of the job at once.
+     * If not, a raise is requested, and a later call may return true.
+     */
     fun allows(
         job: Job,
         tasks: Int = 1,
@@ -69,7 +87,7 @@
         val team = teams.team(spec.team) ?: return false
         if (!teams.isCurrent) return false
         if (!team.isLimited) return true
-        // Until its jobs are loaded nobody knows what a shard uses.
+        // Until the jobs of a shard are loaded it is not known what it uses.
         if (job.shard.state != ShardState.ACTIVE) return false
         val stored = allotments(team.name)
         if (stored.exceedsLimit(team)) return false
@@ -94,20 +112,24 @@
         if (decision.isWorthWriting) writer.submit(shard, team, request, Urgency.INTENT)
     }
 
-    /** The look of [releaseUnused] in which a shard was last found short of a team's limit. */
+    /** The number of the review in which a team's limit last had no free capacity for a task of a shard. */
     private val starvedAtReview = HashMap<AllotmentId, Int>()
+
+    /** How often [releaseUnused] has reviewed the allotments. */
     private var reviews = 0
 
     private fun isStarved(id: AllotmentId) = starvedAtReview[id]?.let { it >= reviews - 1 } == true
 
-    /** Hands back what is not in use, beyond one slack kept for the next job; all of it while another owner is short, or its
-     * job would wait beside room that its team is allowed. */
+    /**
+     * Releases what is not in use, except for a slack that each shard keeps for its next job. While another shard is
+     * starved the slack is released too; otherwise a job would wait although its team's limit has free capacity.
+     */
     fun releaseUnused() {
         reviews++
         requestRelease()
     }
 
-    /** Limits have changed: what is allotted beyond use goes back at once where a limit is exceeded. */
+    /** Limits have changed: where the allotments exceed one, what is not in use is released at once. */
     fun limitsChanged() = requestRelease()
 
     private fun requestRelease() {
@@ -133,10 +155,14 @@
         )
     }
 
+    /** The starved shards of other controllers, by team, at the last change of the team's key. */
     private val knownStarved = HashMap<String, Set<String>>()
 
-    /** The team's key has changed. An owner that has only now become short is served at once; others at the next [releaseUnused], or
-     * two owners would hand the same share to and fro as fast as the state service writes. */
+    /**
+     * The key of the team has changed. If a shard has become starved just now, unused shares are released for it at
+     * once. Shards that were starved before wait for the next [releaseUnused]; otherwise two of them would pass the
+     * same share back and forth as fast as the state store can write.
+     */
     fun allotmentsChanged(team: String) {
         reportOveruse(team)
         val ledNames = ledShards().mapTo(HashSet()) { it.name }
@@ -156,7 +182,7 @@
     }
 
     private companion object {
-        /** The slack of all allotments together, as a share of the team's limit. */
+        /** The slack of all controllers' shards together, as a part of the team's limit. */
         const val SLACK = 1.0 / 8
     }
 }
--- a/src/main/kotlin/micatally/quota/ShardUsage.kt
+++ b/src/main/kotlin/micatally/quota/ShardUsage.kt
@@ -2,20 +2,23 @@
 
 import micatally.job.Job
 
-/** A team's allotment in one shard. */
+/** Names the allotment of a team in one shard. */
 data class AllotmentId(
     val shard: String,
     val team: String,
 )
 
-/** What the attempts of this node's shards take, by shard and team. */
+/** What the attempts of this controller's shards take, by shard and team. */
 class ShardUsage {
     private val used = HashMap<AllotmentId, Share>()
 
+    /** Returns [Share.NONE] if there are no attempts. */
     fun of(id: AllotmentId) = used[id] ?: Share.NONE
 
+    /** Adds what one attempt of the job takes. */
     fun add(job: Job) = change(job, 1)
 
+    /** Subtracts what one attempt of the job takes. */
     fun remove(job: Job) = change(job, -1)
 
     private fun change(
@@ -28,6 +31,7 @@
         used[id] = of(id) + spec.taskShare * tasks
     }
 
+    /** Drops the usage of all teams in the shard. */
     fun forget(shard: String) {
         used.keys.removeIf { it.shard == shard }
     }
--- a/src/main/kotlin/micatally/quota/Share.kt
+++ b/src/main/kotlin/micatally/quota/Share.kt
@@ -3,7 +3,7 @@
 import micatally.settings.Team
 import micatally.wire.JobSpec
 
-/** Cores and cards, the two things that teams are limited in. */
+/** An amount of the two resources that teams are limited in. May be negative in a dimension, as a difference. */
 data class Share(
     val cores: Double,
     val gpus: Double,
@@ -28,9 +28,12 @@
     override fun toString() = "$cores/$gpus"
 
     companion object {
+        /** Neither cores nor GPUs. */
         val NONE = Share(0.0, 0.0)
 
-        /** Sums of shares differ by less than this when they mean the same. */
+        /**
+         * Two amounts that differ by less than this count as equal; sums of the same shares may differ by rounding.
+         */
         const val ROUNDING = 1e-6
     }
 }
@@ -38,16 +41,16 @@
 /** What one task of this job takes of its team's limit. */
 val JobSpec.taskShare get() = Share(resources.cores, resources.gpus)
 
-/** Whether the team is limited at all. */
+/** Whether the team has a limit in some dimension. */
 val Team.isLimited get() = coresMax > 0 || gpusMax > 0
 
-/** The limit; 0 in a dimension in which there is none. */
+/** The team's limit; 0 in a dimension in which there is none. */
 val Team.limit get() = Share(maxOf(coresMax, 0.0), maxOf(gpusMax, 0.0))
 
-/** The part of [share] that the team is limited in: the other dimension has no allotment. */
+/** Returns [share] with 0 in each dimension in which the team has no limit, and so no allotment. */
 fun Team.limitedPart(share: Share) = Share(if (coresMax > 0) share.cores else 0.0, if (gpusMax > 0) share.gpus else 0.0)
 
-/** Whether [allotted] has room for [use]. */
+/** Whether [use] is within [allotted] in each dimension in which the team has a limit. */
 fun Team.covers(
     allotted: Share,
     use: Share,
--- a/src/main/kotlin/micatally/quota/TeamAllotments.kt
+++ b/src/main/kotlin/micatally/quota/TeamAllotments.kt
@@ -7,38 +7,43 @@
 import micatally.settings.Team
 
 /**
- * One shard's part of a team's limit.
+ * The part of a team's limit that is allotted to one shard.
  *
- * @property isStarved its holder has tasks that wait for nothing but the team's limit
+ * @property isStarved whether the shard has tasks that wait only because the team's limit has no free capacity
  */
 data class AllotmentRow(
     val share: Share,
     val isStarved: Boolean,
 )
 
-/** The allotments of one team, as its key held them at [modRevision]. */
+/** The allotments of one team by shard, as the team's key held them at [modRevision]. */
 class TeamAllotments(
     val modRevision: Long,
     private val rows: Map<String, AllotmentRow>,
 ) {
-    /** The row of a shard; an empty one if there is none. */
+    /** Returns the row of a shard, or an empty one if there is none. */
     fun of(shard: String) = rows[shard] ?: NO_ROW
 
+    /** Whether there is a row for the shard, even an empty one. */
     fun has(shard: String) = shard in rows
 
+    /** Returns the sum of all shards' shares. */
     fun total() = rows.values.fold(Share.NONE) { sum, row -> sum + row.share }
 
+    /** Returns the sum of the shares of all shards except [shard]. */
     fun totalOfOthers(shard: String) =
         rows.filterKeys { it != shard }.values.fold(Share.NONE) { sum, row -> sum + row.share }
 
+    /** Returns the names of all starved shards. */
     fun starvedShards(): Set<String> = rows.filterValues { it.isStarved }.keys
 
+    /** Whether some shard other than [shard] is starved. */
     fun isAnotherStarved(shard: String) = rows.any { (name, row) -> row.isStarved && name != shard }
 
-    /** Whether more is allotted than the team's limit, which was lowered. */
+    /** Whether more is allotted than the team's limit, as happens after the limit was lowered. */
     fun exceedsLimit(team: Team) = !team.covers(team.limit + MARGIN, total())
 
-    /** The value of the team's key with this one row changed. */
+    /** Encodes the value of the team's key, with the row of [shard] replaced. */
     fun encodeWith(
         shard: String,
         row: AllotmentRow,
@@ -47,13 +52,17 @@
     companion object {
         private val NO_ROW = AllotmentRow(Share.NONE, false)
 
-        /** A sum may differ from the limit by the rounding of its parts. */
+        /** The sum of the shares may differ from the limit by rounding. */
         private val MARGIN = Share(Share.ROUNDING, Share.ROUNDING)
 
         private const val CORES = 0
         private const val GPUS = 1
         private const val STARVED = 2
 
+        /**
+         * Decodes the value of a team's key; null stands for a key that does not exist. Unreadable numbers count as
+         * 0.
+         */
         fun decode(
             modRevision: Long,
             value: JsonObject?,
