--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -41,9 +41,9 @@
 import kotlin.random.Random
 
 /**
- * One controller: creates all parts and connects them. Requests leave through the [HttpCaller], and time and randomness come
- * from outside, so that several controllers can run in one simulation. All calls have to come from the coroutine scope's one
- * thread.
+ * One controller: creates all parts and connects them. Requests leave through the [HttpCaller], and time and
+ * randomness come from outside, so that several controllers can run in one simulation. All calls have to come from
+ * the coroutine scope's one thread.
  *
  * @param nowMs the controller's monotonic clock in milliseconds
  * @param wallMs the time of day, in milliseconds since 1970
@@ -240,13 +240,18 @@
         scope.launch { periodicTasks().runForever() }
     }
 
-    /** All controllers read the new record format now: a record that was full may have room for more attempts in it. */
+    /**
+     * All controllers read the new record format now: a record that was full may have room for more attempts in it.
+     */
     private fun recordFormatRaised() {
         for (job in jobManager.openJobs()) job.attemptLimit = Int.MAX_VALUE
         scheduler.requestCycle()
     }
 
-    /** Attempts that were decided but not sent end where a limit is exceeded now, before the version counts as applied. */
+    /**
+     * Attempts that were decided but not sent end where a limit is exceeded now, before the version counts as
+     * applied.
+     */
     private fun configurationApplied(
         former: Configuration,
         next: Configuration,
@@ -256,7 +261,9 @@
         scheduler.requestCycle()
     }
 
-    /** Parts that rest on others come after them: the format, the configuration, then the shards, then single keys. */
+    /**
+     * Parts that rest on others come after them: the format, the configuration, then the shards, then single keys.
+     */
     private fun sharedKeysChanged(keys: Set<String>) {
         upgrade.sharedChanged()
         configuration.sharedChanged()
--- a/src/main/kotlin/micatally/controller/CpuUsage.kt
+++ b/src/main/kotlin/micatally/controller/CpuUsage.kt
@@ -3,8 +3,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Measures the time that a controller spends on each kind of work, for operators; nothing is decided by it. The time is that
- * between the beginning and the end of the work, which is CPU time as long as the work does not suspend.
+ * Measures the time that a controller spends on each kind of work, for operators; nothing is decided by it. The time
+ * is that between the beginning and the end of the work, which is CPU time as long as the work does not suspend.
  *
  * @param nowNs a monotonic clock in nanoseconds
  */
@@ -82,8 +82,8 @@
     }
 
     /**
-     * Logs one line for the time since the last one, and begins anew. Each kind of work is shown as its count, its time in all
-     * and the longest time of one; [details] follows.
+     * Logs one line for the time since the last one, and begins anew. Each kind of work is shown as its count, its
+     * time in all and the longest time of one; [details] follows.
      */
     fun logUsage(details: String) {
         log.info("cpu usage {}{}", usages.entries.joinToString(" ") { (kind, usage) -> field(kind, usage) }, details)
--- a/src/main/kotlin/micatally/controller/FencingTokenRaise.kt
+++ b/src/main/kotlin/micatally/controller/FencingTokenRaise.kt
@@ -4,8 +4,8 @@
 import micatally.worker.CommandDispatcher
 
 /**
- * Raises the fencing token when a start command was left without an answer: a worker that knows the higher token refuses the
- * command if it still arrives.
+ * Raises the fencing token when a start command was left without an answer: a worker that knows the higher token
+ * refuses the command if it still arrives.
  *
  * @param minIntervalMs the token is raised at most once in this time
  * @param startedAtMs when this controller started, on its own clock; counts as the time of the last raise
--- a/src/main/kotlin/micatally/controller/PeriodicTask.kt
+++ b/src/main/kotlin/micatally/controller/PeriodicTask.kt
@@ -17,8 +17,8 @@
 )
 
 /**
- * Runs tasks one after another in a single coroutine. The tasks of a tick run in the order of the list and all get the
- * same time; the next tick begins [tickMs] milliseconds after the last of them has returned.
+ * Runs tasks one after another in a single coroutine. The tasks of a tick run in the order of the list and all get
+ * the same time; the next tick begins [tickMs] milliseconds after the last of them has returned.
  */
 class PeriodicTasks(
     private val tickMs: Long,
--- a/src/main/kotlin/micatally/controller/RequestBudgets.kt
+++ b/src/main/kotlin/micatally/controller/RequestBudgets.kt
@@ -5,8 +5,8 @@
 import micatally.state.RateBudget
 
 /**
- * How many requests this controller may make. The platform's limits hold for all controllers together, so each of them
- * keeps to an equal share, below the limit by a margin.
+ * How many requests this controller may make. The platform's limits hold for all controllers together, so each of
+ * them keeps to an equal share, below the limit by a margin.
  *
  * @param nowMs time in milliseconds on the controller's clock
  */
--- a/src/main/kotlin/micatally/controller/SpotEvacuation.kt
+++ b/src/main/kotlin/micatally/controller/SpotEvacuation.kt
@@ -8,7 +8,9 @@
 import micatally.worker.Machine
 import micatally.worker.MachineRegistry
 
-/** Stops the tasks on spot instances that the cloud is about to take back, so that they can save a checkpoint in time. */
+/**
+ * Stops the tasks on spot instances that the cloud is about to take back, so that they can save a checkpoint in time.
+ */
 class SpotEvacuation(
     private val machines: MachineRegistry,
     private val jobManager: JobManager,
--- a/src/main/kotlin/micatally/controller/UnreachableMachineSearch.kt
+++ b/src/main/kotlin/micatally/controller/UnreachableMachineSearch.kt
@@ -7,8 +7,9 @@
 import micatally.worker.MachineRegistry
 
 /**
- * Finds machines that hold attempts of this controller but send heartbeats to nobody, and asks for their deletion. A task
- * may run again elsewhere only when its former attempt is proven to have ended, and the deletion of its machine proves it.
+ * Finds machines that hold attempts of this controller but send heartbeats to nobody, and asks for their deletion. A
+ * task may run again elsewhere only when its former attempt is proven to have ended, and the deletion of its machine
+ * proves it.
  */
 class UnreachableMachineSearch(
     private val machines: MachineRegistry,
@@ -19,8 +20,8 @@
     private val leaseMs = settings.leaseMs
 
     /**
-     * Two leases of its worker, and the time for which a controller that is cut off from the state store may still answer
-     * its heartbeats.
+     * Two leases of its worker, and the time for which a controller that is cut off from the state store may still
+     * answer its heartbeats.
      */
     private val silenceMs = leaseMs + settings.leadershipMs + leaseMs
 
--- a/src/main/kotlin/micatally/controller/UserWorkerRouter.kt
+++ b/src/main/kotlin/micatally/controller/UserWorkerRouter.kt
@@ -12,7 +12,9 @@
     private val workers: WorkerApi,
     private val cpuUsage: CpuUsage,
 ) {
-    /** Returns the response of the resource that [request] names, 404 if there is none, 405 if it has another method. */
+    /**
+     * Returns the response of the resource that [request] names, 404 if there is none, 405 if it has another method.
+     */
     suspend fun route(request: HttpRequest): HttpResponse {
         val path = request.path
         return when {
