--- a/src/main/kotlin/micatally/settings/Settings.kt
+++ b/src/main/kotlin/micatally/settings/Settings.kt
@@ -1,29 +1,28 @@
 package micatally.settings
 
-import kotlinx.serialization.json.JsonObject
 import micatally.state.StateLimits
-import micatally.wire.MalformedMessage
-import micatally.wire.asObject
-import micatally.wire.asText
-import micatally.wire.child
-import micatally.wire.listOrNull
-import micatally.wire.number
-import micatally.wire.numberOrNull
-import micatally.wire.parseObject
-import micatally.wire.text
-
-/** A setting that is missing or makes no sense; the text names the field. */
+
+/** A setting that is missing or makes no sense; the message names the field. */
 class SettingsError(
     message: String,
-) : Exception(message)
+    cause: Throwable? = null,
+) : Exception(message, cause)
 
+/** Another controller of the deployment; [addr] is its address for controllers, as host:port. */
 class Peer(
     val host: String,
     val zone: String,
     val addr: String,
 )
 
-/** A team's guarantee and limit. As the deployment page says, 0 means none: no guarantee, no limit. */
+/**
+ * A team's quota. In each field 0 means none, as the deployment page says: no guarantee, no limit.
+ *
+ * @property cores guaranteed cores
+ * @property coresMax limit of cores
+ * @property gpus guaranteed GPUs
+ * @property gpusMax limit of GPUs
+ */
 class Team(
     val name: String,
     val cores: Double,
@@ -32,12 +31,42 @@
     val gpusMax: Double,
 )
 
+/**
+ * A service-level objective of the deployment.
+ *
+ * @property jobClass the class of jobs that it is for; null: all
+ * @property withinS its time limit in seconds, if it has one
+ */
 class Objective(
     val kind: String,
     val jobClass: String?,
     val withinS: Double?,
 )
 
+/**
+ * The settings that the platform hands over to a controller. Times are in milliseconds; addresses are host:port.
+ *
+ * @property host name of this controller's host; its peers know it by that name
+ * @property zone the zone that the host is in
+ * @property listen the address on which users and workers are served
+ * @property back the address on which other controllers are served
+ * @property peers the other controllers of the deployment
+ * @property cloudAddr the cloud's API for instances
+ * @property stateAddr the state store
+ * @property zones all zones in which machines may be
+ * @property teams the teams by name; not in force once the teams are stored in the state store
+ * @property objectives the deployment's service-level objectives; they are checked, but nothing is decided by them
+ * @property heartbeatIntervalMs how often a worker sends a heartbeat
+ * @property leaseMs how long a worker keeps its tasks running after its last answered heartbeat
+ * @property cancelMs how long after its cancellation was confirmed to the user a task may run at the most
+ * @property gangWaitMs how long a gang's task waits for the other tasks to start
+ * @property gangPeerMs how long a gang's task goes on without one of the others
+ * @property stateLimits the limits to keep to: for each, the smaller of the present one and the one to come
+ * @property cloudRps requests a second that all controllers together may send to the cloud
+ * @property listLagMs how far the cloud's list of instances may lag behind
+ * @property maxSockets sockets that a controller may have open
+ * @property coreShare the share of a core that a controller may use; it is checked, but nothing is decided by it
+ */
 class Settings(
     val host: String,
     val zone: String,
@@ -54,185 +83,88 @@
     val cancelMs: Long,
     val gangWaitMs: Long,
     val gangPeerMs: Long,
-    /** What this program keeps to: the smaller of the present limits and of those to come. */
     val stateLimits: StateLimits,
     val cloudRps: Double,
     val listLagMs: Long,
     val maxSockets: Int,
     val coreShare: Double,
 ) {
+    /** The number of controllers, with this one. */
     val controllers get() = peers.size + 1
+
+    /** Puts and deletes a second that all controllers together may make in the state store. */
     val stateWriteRps get() = stateLimits.writeRps
+
+    /** The largest value that the state store takes, in bytes. */
     val valueBytes get() = stateLimits.valueBytes
+
+    /** Puts and deletes that one transaction may hold. */
     val maxOperationsPerTransaction get() = stateLimits.maxOperationsPerTransaction
 
-    /** How long a cancellation that some controller has not confirmed lies in the state service before its user is told. */
+    /**
+     * How long a cancellation that some controller has not confirmed is kept in the state store before it is confirmed to
+     * its user.
+     */
     val cancellationDelayMs get() = leaseMs
 
-    /** For how long after its last contact a controller may start tasks, on its own clock. */
-    val startBoundMs get() = cancellationDelayMs * 9 / 10
+    /** For how long after its last contact with the state store a controller may start tasks, on its own clock. */
+    val startBoundMs get() = cancellationDelayMs * START_BOUND_PERCENT / 100
 
-    /** For how long a node may answer reports after its last proof of contact with the state service. What it has not heard of
-     * by then is told [cancellationDelayMs] later at the earliest; from there the worker's lease and a margin of a tenth of it fit in
-     * the time that a cancellation has. */
-    val leadershipMs get() = maxOf(leaseMs / 2, cancellationDelayMs + cancelMs - leaseMs * 11 / 10)
+    /**
+     * For how long a controller may answer heartbeats after its last proof of contact with the state store. A cancellation
+     * that it has not seen by then is confirmed to its user [cancellationDelayMs] later at the earliest; from there the
+     * worker's lease and a margin of a tenth of it fit in [cancelMs].
+     */
+    val leadershipMs
+        get() = maxOf(leaseMs / 2, cancellationDelayMs + cancelMs - leaseMs * LEASE_WITH_MARGIN_PERCENT / 100)
 
-    /** A node's own lease at the state service. */
-    val liveMs get() = leaseMs * 8 / 10
+    /** The time to live of a controller's own lease in the state store. */
+    val liveMs get() = leaseMs * LIVE_PERCENT / 100
 
-    /** How often a watch of shared keys is opened at the most: it takes this share of the requests that a controller may make. */
-    val watchEveryMs get() = (1000.0 * controllers / stateLimits.rps * WATCH_SHARE).toLong()
+    /** The shortest time between two watch requests for the shared keys, so that they leave requests for all else. */
+    val watchEveryMs get() = (MILLIS_PER_SECOND * controllers / stateLimits.rps * REQUESTS_PER_WATCH).toLong()
 
-    /** Sockets that this node opens itself, for requests to machines, the state service, the cloud and other controllers. */
+    /** Sockets that a controller opens itself: for requests to machines, the state store, the cloud and its peers. */
     val outgoingSockets get() = outgoingSockets(maxSockets)
 
-    /** Requests with orders that may be under way at once. Together with the probes of silent machines they leave a part of
-     * [outgoingSockets] to the state service, the cloud and the other controllers, however many machines don't answer. */
+    /**
+     * Commands to machines that may be in flight at once. However many machines don't answer, they and the probes of silent
+     * machines leave a part of [outgoingSockets] to the state store, the cloud and the other controllers.
+     */
     val maxConcurrentCommands get() = maxOf(1, outgoingSockets / 2)
 
-    /** Probes of silent machines that may be under way at once. */
-    val maxConcurrentProbes get() = maxSockets / 8
+    /** Probes of silent machines that may be in flight at once. */
+    val maxConcurrentProbes get() = maxSockets / SOCKETS_PER_PROBE
 
-    /** How long room counts as held after its owner has changed, until the new one has loaded the shard and told. */
-    val handOverMs get() = leaseMs / 4
+    /**
+     * How long capacity counts as in use after the leader of its shard has changed, until the new one has loaded the shard
+     * and announced what it uses.
+     */
+    val handOverMs get() = leaseMs / HAND_OVERS_PER_LEASE
 
     companion object {
-        /** Half of a controller's sockets are for users and workers, a few for the questions of other controllers. */
+        private const val MILLIS_PER_SECOND = 1000.0
+        private const val START_BOUND_PERCENT = 90
+        private const val LEASE_WITH_MARGIN_PERCENT = 110
+        private const val LIVE_PERCENT = 80
+        private const val HAND_OVERS_PER_LEASE = 4
+
+        /** One request in so many goes to the watch of the shared keys. */
+        private const val REQUESTS_PER_WATCH = 3.0
+
+        private const val SOCKETS_PER_PROBE = 8
+
+        /** Half of a controller's sockets are for users and workers, a few for requests of other controllers. */
         private const val OUTGOING_SHARE_PERCENT = 42
 
+        /** Returns how many of [maxSockets] a controller may open itself. */
         fun outgoingSockets(maxSockets: Int) = maxSockets * OUTGOING_SHARE_PERCENT / 100
 
-        fun parse(body: ByteArray): Settings =
-            try {
-                read(parseObject(body))
-            } catch (e: MalformedMessage) {
-                throw SettingsError(e.message ?: "bad settings")
-            }
-
-        private fun read(o: JsonObject): Settings {
-            val services = need(o, "services")
-            val params = need(o, "params")
-            val workers = need(params, "workers")
-            val state = need(params, "state")
-            val cloud = need(params, "cloud")
-            val limits = need(params, "machine_limits")
-            val teams =
-                (params.listOrNull("teams") ?: throw SettingsError("params.teams is missing"))
-                    .map { TeamJson.decode(it.asObject()) }
-            return Settings(
-                o.text("host_name"),
-                o.text("location"),
-                address(o, "listen"),
-                address(o, "back"),
-                (o.listOrNull("seeds") ?: emptyList()).map {
-                    val p = it.asObject()
-                    Peer(p.text("host_name"), p.text("location"), address(p, "peer_addr"))
-                },
-                address(services, "cloud"),
-                address(services, "state"),
-                (params.listOrNull("zones") ?: emptyList()).map { it.asText() },
-                teams.associateBy { it.name },
-                (params.listOrNull("objectives") ?: emptyList()).map {
-                    val t = it.asObject()
-                    Objective(t.text("kind"), (t["class"])?.asText(), t.numberOrNull("within_s"))
-                },
-                millis(workers, "report_s"),
-                millis(workers, "lease_s"),
-                millis(workers, "cancel_s"),
-                gangMillis(workers, "gang_wait_s", GANG_WAIT_LEASES),
-                gangMillis(workers, "gang_peer_s", GANG_PEER_LEASES),
-                stateLimits(state),
-                positive(cloud, "rps"),
-                millis(cloud, "list_lag_s"),
-                positive(limits, "max_sockets").toInt(),
-                positive(limits, "core_share"),
-            )
-        }
-
-        /** Limits to come may be left out, each by itself; then the present one stays. */
-        private fun stateLimits(state: JsonObject): StateLimits {
-            val now =
-                StateLimits(
-                    positive(state, "rps"),
-                    positive(state, "write_rps"),
-                    valueBytes(positive(state, "value_kb")),
-                    positive(state, "txn_ops").toInt(),
-                )
-            val next = state.child("next") ?: return now
-
-            fun later(
-                name: String,
-                present: Double,
-            ): Double {
-                val limit = next.numberOrNull(name) ?: return present
-                val least = if (name == "txn_ops") LEAST_TXN_OPS else 0.0
-                if (limit <= 0 ||
-                    limit < least
-                ) {
-                    throw SettingsError(
-                        "state.next.$name must be ${if (least > 0) "at least ${least.toInt()}" else "above 0"}",
-                    )
-                }
-                return limit
-            }
-            return now.smallerOf(
-                StateLimits(
-                    later("rps", now.rps),
-                    later("write_rps", now.writeRps),
-                    valueBytes(later("value_kb", state.number("value_kb"))),
-                    later("txn_ops", now.maxOperationsPerTransaction.toDouble()).toInt(),
-                ),
-            )
-        }
-
-        private fun valueBytes(kibibytes: Double) = (kibibytes * 1024).toInt()
-
-        private fun need(
-            o: JsonObject,
-            name: String,
-        ) = o.child(name) ?: throw SettingsError("$name is missing")
-
-        private fun positive(
-            o: JsonObject,
-            name: String,
-        ) = o.number(name).also {
-            if (it <= 0) throw SettingsError("$name must be above 0")
-        }
-
-        private fun millis(
-            o: JsonObject,
-            name: String,
-        ) = (positive(o, name) * 1000).toLong()
-
-        /** Deployments from before the gangs don't name these times; then a cautious share of a worker's lease is taken. */
-        private fun gangMillis(
-            workers: JsonObject,
-            name: String,
-            leases: Double,
-        ): Long {
-            if (workers.numberOrNull(name) != null) return millis(workers, name)
-            return (workers.number("lease_s") * 1000 * leases).toLong()
-        }
-
-        /** One request in so many goes to the watch of the shared keys. */
-        private const val WATCH_SHARE = 3.0
-
-        /** A takeover changes two keys at once. */
-        private const val LEAST_TXN_OPS = 2.0
-
-        private const val GANG_WAIT_LEASES = 2.0
-        private const val GANG_PEER_LEASES = 0.2
-
-        private fun address(
-            o: JsonObject,
-            name: String,
-        ) = o.text(name).also {
-            val port = it.substringAfterLast(':', "").toIntOrNull()
-            if (port == null || port !in 0..65535 ||
-                it.substringBeforeLast(':').isEmpty()
-            ) {
-                throw SettingsError("$name must look like 10.0.0.1:8080")
-            }
-        }
+        /**
+         * Reads the settings file.
+         *
+         * @throws SettingsError if [body] is not JSON, or a setting is missing or makes no sense
+         */
+        fun parse(body: ByteArray): Settings = SettingsReader.read(body)
     }
 }
