--- a/src/main/kotlin/micatally/settings/NearestName.kt
+++ b/src/main/kotlin/micatally/settings/NearestName.kt
@@ -1,25 +1,25 @@
 package micatally.settings
 
-/** The one of the [known] names that takes the fewest changed letters to make of [name]; null if none is known. */
+/** Returns the one of the [known] names with the smallest edit distance to [name]; null if none is known. */
 fun nearestName(
     name: String,
     known: Collection<String>,
 ): String? = known.minByOrNull { editDistance(name, it) }
 
-/** How many letters have to change to make one word of the other. */
+/** The Levenshtein distance: how many letters have to be inserted, deleted or replaced to make one word of the other. */
 private fun editDistance(
-    a: String,
-    b: String,
+    from: String,
+    to: String,
 ): Int {
-    var row = IntArray(b.length + 1) { it }
-    for (i in 1..a.length) {
-        val next = IntArray(b.length + 1)
-        next[0] = i
-        for (j in 1..b.length) {
-            val replaced = row[j - 1] + if (a[i - 1] == b[j - 1]) 0 else 1
-            next[j] = minOf(row[j] + 1, next[j - 1] + 1, replaced)
+    var previousRow = IntArray(to.length + 1) { it }
+    for (i in 1..from.length) {
+        val row = IntArray(to.length + 1)
+        row[0] = i
+        for (j in 1..to.length) {
+            val replaced = previousRow[j - 1] + if (from[i - 1] == to[j - 1]) 0 else 1
+            row[j] = minOf(previousRow[j] + 1, row[j - 1] + 1, replaced)
         }
-        row = next
+        previousRow = row
     }
-    return row[b.length]
+    return previousRow[to.length]
 }
--- a/src/main/kotlin/micatally/settings/Operator.kt
+++ b/src/main/kotlin/micatally/settings/Operator.kt
@@ -3,87 +3,104 @@
 import micatally.archive.ArchiveMode
 import java.util.Properties
 
-/** Operators' own settings, beyond the file that the platform hands over. Durations are multiples of a worker's lease or of a machine's boot. */
+/**
+ * Settings that operators may change in the properties file, beside the settings that the platform hands over.
+ *
+ * @property queueBounds the service times at which the priority queues split, rising, in multiples of a worker's lease
+ * @property promotionRatio the ratio of a job's wait to its service time beyond which it is promoted by one queue
+ * @property fleetHeadroom free capacity that scaling in leaves, as a part of the capacity in use
+ * @property fleetIdleBoots how long a machine is idle before it is returned, in multiples of its type's boot time
+ * @property storesTeams whether the teams move from the settings file to the state store once all controllers can read
+ * them there
+ * @property archiveMode whether the records of jobs that are over are kept apart from those of open jobs
+ */
 class Operator(
     val queueBounds: List<Double>,
     val promotionRatio: Double,
     val fleetHeadroom: Double,
     val fleetIdleBoots: Double,
-    /** Whether the teams move from the settings file to the state service once all controllers are ready for it. */
     val storesTeams: Boolean = false,
-    /** Whether records of jobs that are over are kept apart from open ones. */
     val archiveMode: ArchiveMode = ArchiveMode.OFF,
 ) {
     companion object {
-        private fun flag(
-            p: Properties,
-            key: String,
-        ): Boolean =
-            when (p.getProperty(key)?.trim()) {
-                null, "false" -> false
-                "true" -> true
-                else -> throw SettingsError("$key must be true or false")
-            }
-
-        private fun archiveMode(p: Properties): ArchiveMode {
-            val name = p.getProperty(ARCHIVE)?.trim() ?: return ArchiveMode.OFF
-            return ArchiveMode.entries.find { it.name.lowercase() == name }
-                ?: throw SettingsError("$ARCHIVE must be off, on or restore")
-        }
-
-        private const val BOUNDS = "queue.bounds-leases"
-        private const val LIFT = "queue.lift"
+        private const val QUEUE_BOUNDS = "queue.bounds-leases"
+        private const val PROMOTION_RATIO = "queue.lift"
         private const val HEADROOM = "fleet.headroom"
-        private const val IDLE = "fleet.idle-boots"
+        private const val IDLE_BOOTS = "fleet.idle-boots"
         private const val STORED_TEAMS = "config.stored-teams"
         private const val ARCHIVE = "recovery.archive"
-        private val KEYS = listOf(BOUNDS, LIFT, HEADROOM, IDLE, STORED_TEAMS, ARCHIVE)
+        private val KEYS = listOf(QUEUE_BOUNDS, PROMOTION_RATIO, HEADROOM, IDLE_BOOTS, STORED_TEAMS, ARCHIVE)
+        private val QUEUE_BOUND_COUNTS = 1..8
+
+        /**
+         * What holds without a properties file. The split of queues in the scheduler's source would put tasks of a minute
+         * into the top queue, beside the services that wait for their machines; so the bounds here are lower.
+         */
+        val DEFAULT =
+            Operator(
+                queueBounds = listOf(0.1, 1.0, 10.0),
+                promotionRatio = 2.0,
+                fleetHeadroom = 0.1,
+                fleetIdleBoots = 1.3,
+            )
+
+        /**
+         * Reads the properties file; what it leaves out keeps its default.
+         *
+         * @throws SettingsError if a name is unknown or a value makes no sense
+         */
+        fun parse(properties: Properties): Operator {
+            refuseUnknownKeys(properties)
+            return Operator(
+                queueBounds = properties.queueBounds() ?: DEFAULT.queueBounds,
+                promotionRatio = properties.number(PROMOTION_RATIO, 0.1..100.0) ?: DEFAULT.promotionRatio,
+                fleetHeadroom = properties.number(HEADROOM, 0.0..1.0) ?: DEFAULT.fleetHeadroom,
+                fleetIdleBoots = properties.number(IDLE_BOOTS, 0.1..100.0) ?: DEFAULT.fleetIdleBoots,
+                storesTeams = properties.flag(STORED_TEAMS),
+                archiveMode = properties.archiveMode(),
+            )
+        }
 
-        /** The queues' bounds: the source's own split leaves tasks of a minute in the top queue, beside the services that
-         * wait for their machines. */
-        val DEFAULT = Operator(listOf(0.1, 1.0, 10.0), 2.0, 0.1, 1.3)
+        private fun refuseUnknownKeys(properties: Properties) {
+            val unknown = properties.stringPropertyNames().firstOrNull { it !in KEYS } ?: return
+            throw SettingsError("unknown property $unknown; did you mean ${nearestName(unknown, KEYS)}?")
+        }
 
-        fun parse(p: Properties): Operator {
-            for (key in p.stringPropertyNames()) {
-                if (key !in KEYS) {
-                    throw SettingsError(
-                        "unknown property $key; did you mean ${nearestName(key, KEYS)}?",
-                    )
-                }
+        private fun Properties.queueBounds(): List<Double>? {
+            val bounds = getProperty(QUEUE_BOUNDS)?.split(',')?.map { queueBound(it) } ?: return null
+            val isRising = bounds == bounds.sorted().distinct()
+            if (bounds.size !in QUEUE_BOUND_COUNTS || bounds.any { it <= 0 } || !isRising) {
+                throw SettingsError("$QUEUE_BOUNDS must be 1 to 8 rising numbers above 0")
             }
+            return bounds
+        }
+
+        private fun queueBound(text: String): Double =
+            text.trim().toDoubleOrNull() ?: throw SettingsError("$QUEUE_BOUNDS must be numbers with commas between")
 
-            fun number(
-                key: String,
-                default: Double,
-                range: ClosedFloatingPointRange<Double>,
-            ): Double {
-                val text = p.getProperty(key) ?: return default
-                val n = text.trim().toDoubleOrNull()
-                if (n == null ||
-                    n !in range
-                ) {
-                    throw SettingsError("$key must be a number from ${range.start} to ${range.endInclusive}")
-                }
-                return n
+        private fun Properties.number(
+            key: String,
+            range: ClosedFloatingPointRange<Double>,
+        ): Double? {
+            val text = getProperty(key) ?: return null
+            val number = text.trim().toDoubleOrNull()
+            if (number == null || number !in range) {
+                throw SettingsError("$key must be a number from ${range.start} to ${range.endInclusive}")
             }
-            val bounds =
-                p.getProperty(BOUNDS)?.split(',')?.map {
-                    it.trim().toDoubleOrNull()
-                        ?: throw SettingsError("$BOUNDS must be numbers with commas between")
-                }
-            if (bounds != null &&
-                (bounds.size !in 1..8 || bounds.any { it <= 0 } || bounds != bounds.sorted().distinct())
-            ) {
-                throw SettingsError("$BOUNDS must be 1 to 8 rising numbers above 0")
+            return number
+        }
+
+        private fun Properties.flag(key: String): Boolean =
+            when (getProperty(key)?.trim()) {
+                null, "false" -> false
+                "true" -> true
+                else -> throw SettingsError("$key must be true or false")
             }
-            return Operator(
-                bounds ?: DEFAULT.queueBounds,
-                number(LIFT, DEFAULT.promotionRatio, 0.1..100.0),
-                number(HEADROOM, DEFAULT.fleetHeadroom, 0.0..1.0),
-                number(IDLE, DEFAULT.fleetIdleBoots, 0.1..100.0),
-                flag(p, STORED_TEAMS),
-                archiveMode(p),
-            )
+
+        private fun Properties.archiveMode(): ArchiveMode {
+            val name = getProperty(ARCHIVE)?.trim() ?: return ArchiveMode.OFF
+            return ArchiveMode.entries.find { it.name.lowercase() == name }
+                ?: throw SettingsError("$ARCHIVE must be off, on or restore")
         }
     }
 }
--- a/src/main/kotlin/micatally/settings/TeamDirectory.kt
+++ b/src/main/kotlin/micatally/settings/TeamDirectory.kt
@@ -1,24 +1,29 @@
 package micatally.settings
 
-/** The teams and their limits, as decisions may use them now. */
+/** The teams and their limits that are in force now. */
 interface TeamDirectory {
-    /** The team, or null if there is none of that name. */
+    /** Returns the team, or null if there is none of that name. */
     fun team(name: String): Team?
 
+    /** Returns all teams. */
     fun all(): Collection<Team>
 
-    /** False while a change is known to exist whose content is not known here yet: nothing may be decided meanwhile. */
+    /**
+     * False while a change is known to exist whose content has not been read yet. Nothing may be decided on the limits
+     * meanwhile.
+     */
     val isCurrent: Boolean
 
     /**
-     * Brings the view up to what is stored now, so that a refusal rests on nothing older than this call.
+     * Reads what is stored now, so that a refusal after it rests on nothing older than this call. Suspends until the state
+     * store has answered.
      *
-     * @return false if that can't be said
+     * @return false if it is not certain that the teams are as new as this call
      */
     suspend fun refresh(): Boolean
 }
 
-/** Teams that never change while the program runs: those of the settings file. */
+/** The teams of the settings file, which never change while the program runs. */
 class FixedTeams(
     private val teams: Map<String, Team>,
 ) : TeamDirectory {
--- a/src/main/kotlin/micatally/settings/TeamJson.kt
+++ b/src/main/kotlin/micatally/settings/TeamJson.kt
@@ -6,8 +6,9 @@
 import micatally.wire.numberOrNull
 import micatally.wire.text
 
-/** A team as the settings file writes it, and as it is stored. */
+/** The codec of a team, as it stands in the settings file and in the state store. */
 object TeamJson {
+    /** Encodes all fields, also those that are 0. */
     fun encode(team: Team): JsonObject =
         buildJsonObject {
             put("name", team.name)
@@ -17,7 +18,11 @@
             put("gpus_max", team.gpusMax)
         }
 
-    /** @throws micatally.wire.MalformedMessage if a field has the wrong type or the name is missing */
+    /**
+     * Decodes a team; a quota that is left out is 0.
+     *
+     * @throws micatally.wire.MalformedMessage if a field has the wrong type or the name is missing
+     */
     fun decode(row: JsonObject) =
         Team(
             row.text("name"),
