--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -13,7 +13,6 @@
 import micatally.config.ConfigurationService
 import micatally.fleet.CloudClient
 import micatally.fleet.FleetManager
-import micatally.fleet.PendingWorkload
 import micatally.http.HttpCaller
 import micatally.http.HttpRequest
 import micatally.http.HttpResponse
@@ -146,7 +145,7 @@
     private val peers = Peers(scope, http, settings, state, membership, machines, jobManager, scheduler, nowMs)
     private val reach = WorkerReach(scope, http, settings, machines, nowMs)
     private val fleetManager =
-        FleetManager(scope, http, settings, state, cloud, membership, machines, pendingWorkload(), operator, nowMs)
+        FleetManager(scope, http, settings, state, cloud, membership, machines, ControllerWorkload(scheduler, peers), operator, nowMs)
     private val reads = RecordReads(lookup, budgets.userReads, budgets.maxWaitingUserReads, stateTimeoutMs)
     private val users =
         UserApi(
@@ -182,15 +181,6 @@
             override fun loaded(name: String) = jobManager.shards[name]?.takeIf { it.state == ShardState.ACTIVE }
         }
 
-    private fun pendingWorkload() =
-        object : PendingWorkload {
-            override fun unplaced() = scheduler.unplaced.values.toList() + peers.demandOfPeers()
-
-            override fun recentServices() = peers.recentServices()
-
-            override fun silentZones() = peers.silentZones()
-        }
-
     /** Whether this controller scales the fleet out and in for all. */
     val isFleetManager get() = fleetManager.isLeader
 
@@ -278,37 +268,27 @@
         val review = StateReview(membership, reach, jobManager, scheduler, machines)
         val spotEvacuation = SpotEvacuation(machines, jobManager, dispatcher, settings.heartbeatIntervalMs)
         val fencingTokenRaise = FencingTokenRaise(membership, dispatcher, settings.leaseMs / 2, startedAtMs)
-        val usageReport = CpuUsageReport(cpuUsage, settings.leaseMs, startedAtMs) { usageDetails() }
+        val usageReport =
+            CpuUsageReport(cpuUsage, machines, scheduler, quota, budgets, settings.leaseMs, startedAtMs)
+        val deletedMachineRemoval = DeletedMachineRemoval(machines, settings.leaseMs)
         val unreachableMachineSearch = UnreachableMachineSearch(machines, fleetManager, peers, settings)
         return PeriodicTasks(
             tickMs = settings.heartbeatIntervalMs / TICKS_PER_HEARTBEAT,
             nowMs,
             listOf(
-                PeriodicTask("state review", 1) { now -> cpuUsage.of(CpuUsage.Kind.PERIODIC_TASKS) { review.run(now) } },
-                PeriodicTask("spot evacuation", 1) { now -> spotEvacuation.run(now) },
-                PeriodicTask("fencing token raise", 1) { now -> fencingTokenRaise.run(now) },
-                PeriodicTask("allotment release", 20) { quota.releaseUnused() },
-                PeriodicTask("deletion record removal", 20) { scope.launch { fleetManager.prune() } },
-                PeriodicTask("cancellation confirmation", 4) { now -> jobManager.cancellations.follow(now) },
-                PeriodicTask("CPU usage report", 1) { now -> usageReport.run(now) },
-                PeriodicTask("unreachable machine search", 8) { now -> unreachableMachineSearch.run(now) },
-                PeriodicTask("deleted machine removal", 100) { now -> removeDeletedMachines(now) },
+                PeriodicTask("state review", everyTicks = 1) { now -> cpuUsage.of(CpuUsage.Kind.PERIODIC_TASKS) { review.run(now) } },
+                PeriodicTask("spot evacuation", everyTicks = 1) { now -> spotEvacuation.run(now) },
+                PeriodicTask("fencing token raise", everyTicks = 1) { now -> fencingTokenRaise.run(now) },
+                PeriodicTask("allotment release", everyTicks = 20) { quota.releaseUnused() },
+                PeriodicTask("deletion record removal", everyTicks = 20) { scope.launch { fleetManager.prune() } },
+                PeriodicTask("cancellation confirmation", everyTicks = 4) { now -> jobManager.cancellations.follow(now) },
+                PeriodicTask("CPU usage report", everyTicks = 1) { now -> usageReport.run(now) },
+                PeriodicTask("unreachable machine search", everyTicks = 8) { now -> unreachableMachineSearch.run(now) },
+                PeriodicTask("deleted machine removal", everyTicks = 100) { now -> deletedMachineRemoval.run(now) },
             ),
         )
     }
 
-    private fun usageDetails() =
-        " machines=${machines.byName.size} waiting=${scheduler.unplaced.size} ${cpuUsage.takeDeltaBytes()} " +
-            "allotmentOveruse=${quota.audit.overuseCount} " +
-            "writes=${budgets.stateWrites.tell()} requests=${budgets.stateRequests.tell()}"
-
-    private fun removeDeletedMachines(nowMs: Long) {
-        machines.byName.values.removeIf { machine ->
-            val isSilent = nowMs - machine.heardAt > settings.leaseMs * DELETED_MACHINE_LEASES
-            machine.deleted && machine.attempts.isEmpty() && isSilent
-        }
-    }
-
     /** Handles a request on the address for users and workers. */
     suspend fun handle(request: HttpRequest): HttpResponse = userWorkerRouter.route(request)
 
@@ -322,9 +302,6 @@
         /** Periodic tasks run in ticks; so many of them fit in the interval of workers' heartbeats. */
         const val TICKS_PER_HEARTBEAT = 4
 
-        /** A deleted machine is forgotten so many leases after its last heartbeat. */
-        const val DELETED_MACHINE_LEASES = 6
-
         /** A request to the state store is given up after this part of a lease. */
         const val STATE_TIMEOUTS_PER_LEASE = 8
 
--- a/src/main/kotlin/micatally/controller/CpuUsageReport.kt
+++ b/src/main/kotlin/micatally/controller/CpuUsageReport.kt
@@ -1,17 +1,23 @@
 package micatally.controller
 
+import micatally.quota.Quota
+import micatally.scheduling.Scheduler
+import micatally.worker.MachineRegistry
+
 /**
- * Logs the CPU usage of a controller at regular intervals.
+ * Logs the CPU usage and the load of a controller at regular intervals.
  *
  * @param intervalMs more than this time lies between two lines
  * @param startedAtMs when this controller started, on its own clock; the first line covers the time from there
- * @param details what follows the usage in the line
  */
 class CpuUsageReport(
     private val cpuUsage: CpuUsage,
+    private val machines: MachineRegistry,
+    private val scheduler: Scheduler,
+    private val quota: Quota,
+    private val budgets: RequestBudgets,
     private val intervalMs: Long,
     startedAtMs: Long,
-    private val details: () -> String,
 ) {
     private var loggedAtMs = startedAtMs
 
@@ -21,4 +27,9 @@
         loggedAtMs = nowMs
         cpuUsage.logUsage(details())
     }
+
+    private fun details() =
+        " machines=${machines.byName.size} waiting=${scheduler.unplaced.size} ${cpuUsage.takeDeltaBytes()} " +
+            "allotmentOveruse=${quota.audit.overuseCount} " +
+            "writes=${budgets.stateWrites.tell()} requests=${budgets.stateRequests.tell()}"
 }
--- a/src/main/kotlin/micatally/controller/PeerRouter.kt
+++ b/src/main/kotlin/micatally/controller/PeerRouter.kt
@@ -25,15 +25,15 @@
      * resource, 400 if its body can't be decoded.
      */
     suspend fun route(request: HttpRequest): HttpResponse {
-        if (request.method != "POST") return errorResponse(405, "use POST")
+        if (request.method != "POST") return errorResponse(METHOD_NOT_ALLOWED, "use POST")
         val body =
             try {
                 respond(request.path, request.body)
             } catch (_: SerializationException) {
-                return errorResponse(400, "malformed message")
+                return errorResponse(BAD_REQUEST, "malformed message")
             }
-        if (body == null) return errorResponse(404, "no such resource")
-        return HttpResponse(200, body, HttpResponse.BINARY)
+        if (body == null) return errorResponse(NOT_FOUND, "no such resource")
+        return HttpResponse(OK, body, HttpResponse.BINARY)
     }
 
     /** Null if there is no such resource. */
@@ -58,4 +58,11 @@
 
     @OptIn(ExperimentalSerializationApi::class)
     private fun decodeJobId(body: ByteArray): String = ProtoBuf.decodeFromByteArray<PeerJobRequest>(body).jobId
+
+    private companion object {
+        const val OK = 200
+        const val BAD_REQUEST = 400
+        const val NOT_FOUND = 404
+        const val METHOD_NOT_ALLOWED = 405
+    }
 }
--- a/src/main/kotlin/micatally/controller/PeriodicTask.kt
+++ b/src/main/kotlin/micatally/controller/PeriodicTask.kt
@@ -7,12 +7,12 @@
  * Work that repeats for as long as a controller runs.
  *
  * @property name what the task is called in the log
- * @property intervalTicks the task runs at each tick whose number is a multiple of this
+ * @property everyTicks its interval: the task runs at each tick whose number is a multiple of this
  * @property run does the work once; gets the time of the tick, in milliseconds on the controller's clock
  */
 class PeriodicTask(
     val name: String,
-    val intervalTicks: Int,
+    val everyTicks: Int,
     val run: suspend (nowMs: Long) -> Unit,
 )
 
@@ -29,7 +29,7 @@
 
     /** Runs the tasks until the coroutine is cancelled or a task fails. The first tick is after one interval. */
     suspend fun runForever() {
-        log.debug("every {} ms one tick of {}", tickMs, tasks.joinToString { "${it.name} (${it.intervalTicks})" })
+        log.debug("every {} ms one tick of {}", tickMs, tasks.joinToString { "${it.name} (${it.everyTicks})" })
         var tick = 0
         while (true) {
             delay(tickMs)
@@ -41,7 +41,7 @@
     private suspend fun runTick(tick: Int) {
         val now = nowMs()
         for (task in tasks) {
-            if (tick % task.intervalTicks == 0) task.run(now)
+            if (tick % task.everyTicks == 0) task.run(now)
         }
     }
 }
--- a/src/main/kotlin/micatally/controller/UserWorkerRouter.kt
+++ b/src/main/kotlin/micatally/controller/UserWorkerRouter.kt
@@ -23,7 +23,7 @@
             path == HEALTH -> users.health()
             path == JOBS -> withMethod("POST", request) { users.submit(request) }
             path.startsWith(JOB_PREFIX) -> routeJob(path.removePrefix(JOB_PREFIX), request)
-            else -> errorResponse(404, "no such resource")
+            else -> errorResponse(NOT_FOUND, "no such resource")
         }
     }
 
@@ -39,9 +39,12 @@
         method: String,
         request: HttpRequest,
         respond: () -> HttpResponse,
-    ): HttpResponse = if (request.method == method) respond() else errorResponse(405, "use $method")
+    ): HttpResponse = if (request.method == method) respond() else errorResponse(METHOD_NOT_ALLOWED, "use $method")
 
     private companion object {
+        const val NOT_FOUND = 404
+        const val METHOD_NOT_ALLOWED = 405
+
         const val HEARTBEAT = "/v1/report"
         const val HEALTH = "/healthz"
         const val JOBS = "/work"
