--- a/src/test/kotlin/micatally/quota/QuotaFleet.kt
+++ b/src/test/kotlin/micatally/quota/QuotaFleet.kt
@@ -15,10 +15,7 @@
 import kotlinx.serialization.json.double
 import kotlinx.serialization.json.jsonPrimitive
 import micatally.emulator.Rehearsal
-import micatally.emulator.StateStoreEmulator
 import micatally.http.HttpCaller
-import micatally.http.HttpRequest
-import micatally.http.Outcome
 import micatally.job.Job
 import micatally.job.JobShard
 import micatally.job.JobState
@@ -40,25 +37,13 @@
 import micatally.wire.JobSpec
 import kotlin.random.Random
 
-/** Shares of transactions that go wrong, and how wrong. */
-class StateFaults(
-    val late: Double = 0.0,
-    val answerLost: Double = 0.0,
-    val refused: Double = 0.0,
-    val limited: Double = 0.0,
-) {
-    companion object {
-        val NONE = StateFaults()
-        val MANY = StateFaults(0.06, 0.06, 0.04, 0.08)
-    }
-}
-
 /**
- * Several controllers that share teams' limits through one state service, on simulated time. Only what bears on limits is
- * there: copies of the shared keys that lag, allotments, intents under a shard's mark, ends that are told late, takeovers.
+ * Several controllers that share teams' limits through one state store, on simulated time. Only what bears on limits is
+ * there: caches of the shared keys that lag, allotments, intents on the condition of a shard's term, ends of tasks that
+ * are reported late, failovers.
  *
- * A task counts as being on a machine from the moment at which the state service holds its intent, which is the earliest
- * at which its start may leave.
+ * A task counts as running from the moment at which the state store holds its intent, which is the earliest at which
+ * its start command may be sent.
  */
 @OptIn(ExperimentalCoroutinesApi::class)
 class QuotaFleet(
@@ -74,12 +59,13 @@
     private val handler = CoroutineExceptionHandler { _, thrown -> if (failure == null) failure = thrown }
     private val scope = CoroutineScope(SupervisorJob() + dispatcher + handler)
     val now get() = scheduler.currentTime
-    val service = StateStoreEmulator(nowMs = { now })
-    var faults = StateFaults.NONE
+    private val store = FaultyStateStore(random, scope) { now }
+    val service get() = store.service
+    var faults by store::faults
     val controllers = List(controllerCount) { Controller(it) }
     private var nextTask = 0
 
-    /** What a job of this fleet takes for each of its tasks, by team. */
+    /** A job of one task that takes so much of its team's limit. */
     private fun spec(
         team: String,
         cores: Double,
@@ -107,7 +93,7 @@
         private val sharedKeys = SharedKeyCache()
         private val state =
             StateStoreClient(
-                HttpCaller { _, method, target, body, timeoutMs -> call(method, target, body, timeoutMs) },
+                HttpCaller { _, method, target, body, timeoutMs -> store.call(method, target, body, timeoutMs) },
                 "state",
                 RateBudget(controllerScope, changesPerSecond * 10, { now }),
                 RateBudget(controllerScope, changesPerSecond, { now }, changesPerSecond / 2),
@@ -131,14 +117,20 @@
                 thread.frozen = value
             }
 
-        /** A listing as it is now arrives after a while. */
+        /** The cache of the shared keys gets a listing as it is now, after [afterMs]. */
         fun refreshCache(afterMs: Long) {
             controllerScope.launch {
-                val listing = plain.list(Keys.PREFIX, Urgency.LEASE) ?: return@launch
+                val listing = store.reliableClient.list(Keys.PREFIX, Urgency.LEASE) ?: return@launch
                 delay(afterMs)
                 val changed = sharedKeys.load(listing)
                 checkShards()
-                for (key in changed.filter { it.startsWith(Keys.TEAM) }) quota.allotmentsChanged(key.removePrefix(Keys.TEAM))
+                for (key in changed.filter {
+                    it.startsWith(
+                        Keys.TEAM,
+                    )
+                }) {
+                    quota.allotmentsChanged(key.removePrefix(Keys.TEAM))
+                }
             }
         }
 
@@ -163,7 +155,7 @@
             quota.forget(shard.name)
         }
 
-        /** The records as they are stored, some of them with tasks that have just ended. */
+        /** Loads the tasks as they are stored; some of them may have just ended. */
         private suspend fun load(shard: JobShard) {
             delay(random.nextLong(20, 400))
             if (!shard.mine) return
@@ -183,7 +175,7 @@
             quota.addUsage(job)
         }
 
-        /** Starts tasks of one job of a shard and a team, if its allotment allows it. */
+        /** Starts up to [count] tasks of a new job, as many as the shard's allotment allows. */
         fun tryToStart(
             shard: JobShard,
             team: String,
@@ -221,7 +213,7 @@
                 when (result) {
                     is TransactionResult.Applied -> {}
                     is TransactionResult.Unknown -> {
-                        delay(MAX_EXECUTION_DELAY_MS)
+                        delay(FaultyStateStore.MAX_EXECUTION_DELAY_MS)
                         if (service.value(task.key) == null) taskEnded(task.key)
                     }
                     else -> taskEnded(task.key)
@@ -229,7 +221,7 @@
             }
         }
 
-        /** This controller hears that a task is not on a machine any more. */
+        /** This controller learns that a task does not run any more. */
         fun taskEnded(key: String) {
             val task = placed.remove(key) ?: return
             if (task.isReleased) return
@@ -237,7 +229,7 @@
             if (task.job.shard.mine) quota.removeUsage(task.job)
         }
 
-        /** The end of a task is told when the controller gets to it. */
+        /** This controller learns of the end of a task after [afterMs]. */
         fun reportEndLater(
             key: String,
             afterMs: Long,
@@ -248,65 +240,16 @@
             }
         }
 
-        private suspend fun call(
-            method: String,
-            target: String,
-            body: ByteArray?,
-            timeoutMs: Long,
-        ): Outcome {
-            val request = HttpRequest(method, target, body ?: ByteArray(0))
-            val luck = random.nextDouble()
-            val current = faults
-            return when {
-                luck < current.late -> unanswered(request, random.nextLong(timeoutMs, MAX_EXECUTION_DELAY_MS - timeoutMs), timeoutMs)
-                luck < current.late + current.answerLost -> unanswered(request, 1, timeoutMs)
-                luck < current.late + current.answerLost + current.refused -> Outcome.Answer(503, ByteArray(0))
-                luck < current.late + current.answerLost + current.refused + current.limited -> Outcome.Answer(429, ByteArray(0))
-                else -> {
-                    delay(random.nextLong(1, 20))
-                    val response = service.handle(request)
-                    delay(random.nextLong(1, 20))
-                    Outcome.Answer(response.status, response.body)
-                }
-            }
-        }
-
         fun end() = controllerScope.cancel()
     }
 
-    private suspend fun unanswered(
-        request: HttpRequest,
-        afterMs: Long,
-        timeoutMs: Long,
-    ): Outcome {
-        scope.launch {
-            delay(afterMs)
-            service.handle(request)
-        }
-        delay(timeoutMs)
-        return Outcome.Silence
-    }
-
-    /** Without faults or limits, for what is not under test. */
-    private val plain =
-        StateStoreClient(
-            HttpCaller { _, method, target, body, _ ->
-                val response = service.handle(HttpRequest(method, target, body ?: ByteArray(0)))
-                Outcome.Answer(response.status, response.body)
-            },
-            "state",
-            RateBudget(scope, 1e9, { now }),
-            RateBudget(scope, 1e9, { now }),
-            500,
-        )
-
     private fun change(change: Write) {
-        scope.launch { plain.transact(1, Urgency.LEASE) { Transaction(emptyList(), listOf(change)) } }
+        scope.launch { store.reliableClient.transact(1, Urgency.LEASE) { Transaction(emptyList(), listOf(change)) } }
     }
 
     private var fencingToken = 0
 
-    /** The shard is in another controller's hands from now on, whether or not the former holder has heard of it. */
+    /** Makes controller [to] the leader of the shard, whether or not the former leader has learned of it. */
     fun transferShard(
         name: String,
         to: Int,
@@ -322,7 +265,7 @@
         change(Put(Keys.shard(name), leader))
     }
 
-    /** A task that runs ends on its machine; its owner hears of it later. */
+    /** Ends one of the running tasks; its controller learns of it later. */
     fun endRandomTask() {
         val running = service.keysUnder(RUN)
         if (running.isEmpty()) return
@@ -338,7 +281,7 @@
         failure?.let { throw AssertionError("at $now ms: ${it.message}", it) }
     }
 
-    /** What the state service holds for a shard. */
+    /** The share that the state store holds for a shard. */
     fun storedRow(
         team: String,
         shard: String,
@@ -347,7 +290,7 @@
         return Share(row[0].jsonPrimitive.double, row[1].jsonPrimitive.double)
     }
 
-    /** What the tasks of a shard that may be on machines take. */
+    /** What the tasks of a shard take that may be running. */
     fun runningShare(
         team: String,
         shard: String,
@@ -368,9 +311,6 @@
     companion object {
         private const val RUN = "run/"
 
-        /** A transaction without an answer is carried out by then, or never. */
-        private const val MAX_EXECUTION_DELAY_MS = 6000L
-
         private fun runPrefix(shard: String) = "$RUN$shard/"
 
         private fun teamOf(key: String) = key.split('/')[2]
--- a/src/test/kotlin/micatally/settings/SettingsTest.kt
+++ b/src/test/kotlin/micatally/settings/SettingsTest.kt
@@ -75,10 +75,11 @@
 
     private val good = SimFleet(1).settingsOf(0).toString()
 
-    /** A node's right to answer reports, a worker's lease and some slack fit in the time that a cancellation has. */
+    /** The time for which a controller may answer heartbeats, a worker's lease and a margin fit in a cancellation's time. */
     @Test
     fun `the right to answer fits in a cancellation's time`() {
-        val s = SimFleet(1).settings[0]
-        assertTrue(s.leadershipMs + s.leaseMs + s.leaseMs / 10 <= s.cancellationDelayMs + s.cancelMs)
+        val settings = SimFleet(1).settings[0]
+        val neededMs = settings.leadershipMs + settings.leaseMs + settings.leaseMs / 10
+        assertTrue(neededMs <= settings.cancellationDelayMs + settings.cancelMs)
     }
 }
