--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -144,8 +144,9 @@
         )
     private val peers = Peers(scope, http, settings, state, membership, machines, jobManager, scheduler, nowMs)
     private val reach = WorkerReach(scope, http, settings, machines, nowMs)
+    private val workload = ControllerWorkload(scheduler, peers)
     private val fleetManager =
-        FleetManager(scope, http, settings, state, cloud, membership, machines, ControllerWorkload(scheduler, peers), operator, nowMs)
+        FleetManager(scope, http, settings, state, cloud, membership, machines, workload, operator, nowMs)
     private val reads = RecordReads(lookup, budgets.userReads, budgets.maxWaitingUserReads, stateTimeoutMs)
     private val users =
         UserApi(
@@ -265,7 +266,8 @@
 
     private fun periodicTasks(): PeriodicTasks {
         val startedAtMs = nowMs()
-        val review = StateReview(membership, reach, jobManager, scheduler, machines)
+        val cancellations = jobManager.cancellations
+        val review = StateReview(membership, reach, jobManager, scheduler, machines, cpuUsage)
         val spotEvacuation = SpotEvacuation(machines, jobManager, dispatcher, settings.heartbeatIntervalMs)
         val fencingTokenRaise = FencingTokenRaise(membership, dispatcher, settings.leaseMs / 2, startedAtMs)
         val usageReport =
@@ -276,12 +278,12 @@
             tickMs = settings.heartbeatIntervalMs / TICKS_PER_HEARTBEAT,
             nowMs,
             listOf(
-                PeriodicTask("state review", everyTicks = 1) { now -> cpuUsage.of(CpuUsage.Kind.PERIODIC_TASKS) { review.run(now) } },
+                PeriodicTask("state review", everyTicks = 1) { now -> review.run(now) },
                 PeriodicTask("spot evacuation", everyTicks = 1) { now -> spotEvacuation.run(now) },
                 PeriodicTask("fencing token raise", everyTicks = 1) { now -> fencingTokenRaise.run(now) },
                 PeriodicTask("allotment release", everyTicks = 20) { quota.releaseUnused() },
                 PeriodicTask("deletion record removal", everyTicks = 20) { scope.launch { fleetManager.prune() } },
-                PeriodicTask("cancellation confirmation", everyTicks = 4) { now -> jobManager.cancellations.follow(now) },
+                PeriodicTask("cancellation confirmation", everyTicks = 4) { now -> cancellations.follow(now) },
                 PeriodicTask("CPU usage report", everyTicks = 1) { now -> usageReport.run(now) },
                 PeriodicTask("unreachable machine search", everyTicks = 8) { now -> unreachableMachineSearch.run(now) },
                 PeriodicTask("deleted machine removal", everyTicks = 100) { now -> deletedMachineRemoval.run(now) },
--- a/src/main/kotlin/micatally/controller/StateReview.kt
+++ b/src/main/kotlin/micatally/controller/StateReview.kt
@@ -13,9 +13,13 @@
     private val jobManager: JobManager,
     private val scheduler: Scheduler,
     private val machines: MachineRegistry,
+    private val cpuUsage: CpuUsage,
 ) {
+    /** Reviews all of it, and measures the time that this takes. */
+    fun run(nowMs: Long) = cpuUsage.of(CpuUsage.Kind.PERIODIC_TASKS) { review(nowMs) }
+
     /** Leadership is checked first, since the other checks rest on it. */
-    fun run(nowMs: Long) {
+    private fun review(nowMs: Long) {
         membership.checkLeadership()
         reach.review()
         jobManager.sweep()
--- a/src/main/kotlin/micatally/quota/AllotmentWriter.kt
+++ b/src/main/kotlin/micatally/quota/AllotmentWriter.kt
@@ -215,7 +215,10 @@
     ) {
         val shard = change.shard
         while (!change.isVisible()) {
-            val again = state.transact(1, Urgency.SUMMARY) { sent.transaction.takeIf { shard.state == ShardState.ACTIVE } }
+            val again =
+                state.transact(1, Urgency.SUMMARY) {
+                    sent.transaction.takeIf { shard.state == ShardState.ACTIVE }
+                }
             if (again is TransactionResult.Applied || again is TransactionResult.Failed) return
             delay(RETRY_MS)
         }
--- a/src/main/kotlin/micatally/quota/Quota.kt
+++ b/src/main/kotlin/micatally/quota/Quota.kt
@@ -35,7 +35,16 @@
     private val usage = ShardUsage()
     private val rule = AllotmentRule(SLACK / controllers)
     private val writer =
-        AllotmentWriter(scope, state, sharedKeys, teams, rule, audit, { shard, team -> snapshot(shard, team) }, onChanged)
+        AllotmentWriter(
+            scope,
+            state,
+            sharedKeys,
+            teams,
+            rule,
+            audit,
+            { shard, team -> snapshot(shard, team) },
+            onChanged,
+        )
 
     /** Returns what the attempts of a team in a shard take for which there is no termination evidence. */
     fun used(
@@ -64,7 +73,11 @@
     private fun allotments(team: String): TeamAllotments {
         val modRevision = sharedKeys.modRevision(Keys.team(team))
         cachedAllotments[team]?.let { if (it.modRevision == modRevision) return it }
-        return TeamAllotments.decode(modRevision, sharedKeys.value(Keys.team(team))).also { cachedAllotments[team] = it }
+        return TeamAllotments
+            .decode(
+                modRevision,
+                sharedKeys.value(Keys.team(team)),
+            ).also { cachedAllotments[team] = it }
     }
 
     private fun snapshot(
@@ -99,7 +112,8 @@
     }
 
     /** Whether nothing of this team may be started: it was removed, or its limit lowered below what is allotted. */
-    fun isSuspended(teamName: String): Boolean = teams.team(teamName)?.let { allotments(it.name).exceedsLimit(it) } ?: true
+    fun isSuspended(teamName: String): Boolean =
+        teams.team(teamName)?.let { allotments(it.name).exceedsLimit(it) } ?: true
 
     private fun requestRaise(
         shard: JobShard,
