--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -21,7 +21,6 @@
 import micatally.config.ConfigurationService
 import micatally.fleet.CloudClient
 import micatally.fleet.FleetClients
-import micatally.fleet.FleetEnvironment
 import micatally.fleet.FleetManager
 import micatally.http.HttpCaller
 import micatally.http.HttpRequest
@@ -63,9 +62,9 @@
 import kotlin.random.Random
 
 /**
- * One controller: creates all parts and connects them. Requests leave through the [HttpCaller], and time and randomness come
- * from outside, so that several controllers can run in one simulation. All calls have to come from the coroutine scope's one
- * thread.
+ * One controller: creates all parts and connects them. Requests leave through the [HttpCaller], and time and
+ * randomness come from outside, so that several controllers can run in one simulation. All calls have to come from
+ * the coroutine scope's one thread.
  *
  * @param nowMs the controller's monotonic clock in milliseconds
  * @param wallMs the time of day, in milliseconds since 1970
@@ -185,7 +184,7 @@
             FleetClients(http, state, cloud),
             membership,
             machines,
-            fleetEnvironment(),
+            ControllerWorkload(scheduler, peers),
             nowMs,
         )
     private val reads = RecordReads(lookup, budgets.userReads, budgets.maxWaitingUserReads, stateTimeoutMs)
@@ -289,17 +288,6 @@
             override fun loaded(name: String) = jobManager.shards[name]?.takeIf { it.state == ShardState.ACTIVE }
         }
 
-    private fun fleetEnvironment() =
-        object : FleetEnvironment {
-            override fun unplaced() = scheduler.pendingRequests.values.toList() + peers.peerDemand()
-
-            override fun recentServices() = peers.recentServices()
-
-            override fun unreachableZones() = peers.contacts.silentZones()
-
-            override fun machineTypesKnown() = scheduler.requestCycle()
-        }
-
     private fun peerListener(): PeerListener =
         object : PeerListener {
             override fun deletionRequested(machines: List<String>) = fleetManager.requestDeletion(machines)
@@ -320,13 +308,18 @@
         scope.launch { periodicTasks().runForever() }
     }
 
-    /** All controllers read the new record format now: a record that was full may have room for more attempts in it. */
+    /**
+     * All controllers read the new record format now: a record that was full may have room for more attempts in it.
+     */
     private fun recordFormatRaised() {
         for (job in jobManager.openJobs()) job.attemptLimit = Int.MAX_VALUE
         scheduler.requestCycle()
     }
 
-    /** Attempts that were decided but not sent end where a limit is exceeded now, before the version counts as applied. */
+    /**
+     * Attempts that were decided but not sent end where a limit is exceeded now, before the version counts as
+     * applied.
+     */
     private fun configurationApplied(
         former: Configuration,
         next: Configuration,
@@ -348,40 +341,31 @@
 
     private fun periodicTasks(): PeriodicTasks {
         val startedAtMs = nowMs()
-        val review = StateReview(membership, reach, jobManager, scheduler, machines)
+        val cancellations = jobManager.cancellations
+        val review = StateReview(membership, reach, jobManager, scheduler, machines, cpuUsage)
         val spotEvacuation = SpotEvacuation(machines, jobManager, dispatcher, settings.heartbeatIntervalMs)
         val fencingTokenRaise = FencingTokenRaise(membership, dispatcher, settings.leaseMs / 2, startedAtMs)
-        val usageReport = CpuUsageReport(cpuUsage, settings.leaseMs, startedAtMs) { usageDetails() }
+        val usageReport =
+            CpuUsageReport(cpuUsage, machines, scheduler, quota, budgets, settings.leaseMs, startedAtMs)
+        val deletedMachineRemoval = DeletedMachineRemoval(machines, settings.leaseMs)
         val unreachableMachineSearch = UnreachableMachineSearch(machines, fleetManager, peers, settings)
         return PeriodicTasks(
             tickMs = settings.heartbeatIntervalMs / TICKS_PER_HEARTBEAT,
             nowMs,
             listOf(
-                PeriodicTask("state review", 1) { now -> cpuUsage.of(CpuUsage.Kind.PERIODIC_TASKS) { review.run(now) } },
-                PeriodicTask("spot evacuation", 1) { now -> spotEvacuation.run(now) },
-                PeriodicTask("fencing token raise", 1) { now -> fencingTokenRaise.run(now) },
-                PeriodicTask("allotment release", 20) { quota.handBack() },
-                PeriodicTask("deletion record removal", 20) { scope.launch { fleetManager.pruneDeletionRecords() } },
-                PeriodicTask("cancellation confirmation", 4) { now -> jobManager.cancellations.follow(now) },
-                PeriodicTask("CPU usage report", 1) { now -> usageReport.run(now) },
-                PeriodicTask("unreachable machine search", 8) { now -> unreachableMachineSearch.run(now) },
-                PeriodicTask("deleted machine removal", 100) { now -> removeDeletedMachines(now) },
+                PeriodicTask("state review", everyTicks = 1) { now -> review.run(now) },
+                PeriodicTask("spot evacuation", everyTicks = 1) { now -> spotEvacuation.run(now) },
+                PeriodicTask("fencing token raise", everyTicks = 1) { now -> fencingTokenRaise.run(now) },
+                PeriodicTask("allotment release", everyTicks = 20) { quota.releaseUnused() },
+                PeriodicTask("deletion record removal", everyTicks = 20) { scope.launch { fleetManager.pruneDeletionRecords() } },
+                PeriodicTask("cancellation confirmation", everyTicks = 4) { now -> cancellations.follow(now) },
+                PeriodicTask("CPU usage report", everyTicks = 1) { now -> usageReport.run(now) },
+                PeriodicTask("unreachable machine search", everyTicks = 8) { now -> unreachableMachineSearch.run(now) },
+                PeriodicTask("deleted machine removal", everyTicks = 100) { now -> deletedMachineRemoval.run(now) },
             ),
         )
     }
 
-    private fun usageDetails() =
-        " machines=${machines.byName.size} waiting=${scheduler.pendingRequests.size} ${cpuUsage.takeDeltaBytes()} " +
-            "allotmentOveruse=${quota.audit.overuseCount} " +
-            "writes=${budgets.stateWrites.describeWaits()} requests=${budgets.stateRequests.describeWaits()}"
-
-    private fun removeDeletedMachines(nowMs: Long) {
-        machines.byName.values.removeIf { machine ->
-            val isSilent = nowMs - machine.heardAt > settings.leaseMs * DELETED_MACHINE_LEASES
-            machine.deleted && machine.attempts.isEmpty() && isSilent
-        }
-    }
-
     /** Handles a request on the address for users and workers. */
     suspend fun handle(request: HttpRequest): HttpResponse = userWorkerRouter.route(request)
 
@@ -395,9 +379,6 @@
         /** Periodic tasks run in ticks; so many of them fit in the interval of workers' heartbeats. */
         const val TICKS_PER_HEARTBEAT = 4
 
-        /** A deleted machine is forgotten so many leases after its last heartbeat. */
-        const val DELETED_MACHINE_LEASES = 6
-
         /** A request to the state store is given up after this part of a lease. */
         const val STATE_TIMEOUTS_PER_LEASE = 8
 
--- a/src/main/kotlin/micatally/job/AttemptLifecycle.kt
+++ b/src/main/kotlin/micatally/job/AttemptLifecycle.kt
@@ -40,7 +40,7 @@
     fun attach(attempt: Attempt) {
         attempt.job.attempts[attempt.taskIndex] = attempt
         attempt.machine.attach(attempt)
-        collaborators.quota.take(attempt.job)
+        collaborators.quota.addUsage(attempt.job)
     }
 
     /** The intents of these attempts are durable, so they may be sent. */
@@ -106,7 +106,7 @@
         attempt.machine.detach(attempt, now)
         job.attempts.remove(attempt.taskIndex, attempt)
         // What a lost shard used was forgotten as a whole; its next leader has counted anew.
-        if (job.shard.isLedHere) collaborators.quota.release(job)
+        if (job.shard.isLedHere) collaborators.quota.removeUsage(job)
     }
 
     /** The end of a job that is done is stored already; that its last attempts have ended may be written a little later. */
--- a/src/main/kotlin/micatally/quota/Quota.kt
+++ b/src/main/kotlin/micatally/quota/Quota.kt
@@ -11,56 +11,87 @@
 import micatally.state.StateStoreClient
 import micatally.state.Urgency
 
-/** A team's limit is split among the shards. A shard's holder places within its allotment and changes only that one;
- * an intent is written under the shard's mark, so a holder that has lost the shard can't use it up any more. */
+/**
+ * Keeps teams within their limits. A team's limit is split into one allotment per shard, and the leader of a shard
+ * starts tasks only within the shard's allotment and changes no other one. Since the intent to start a task is
+ * written on the condition that the shard's term has not changed, a leader that has lost the shard can't use its
+ * allotment any more.
+ *
+ * @param ledShards the shards that this controller leads, also those that are still loading
+ * @param controllers the number of controllers, among which the slack is divided
+ * @param onChanged called when an allotment may have changed, so that it is worth trying to schedule again
+ */
 class Quota(
     scope: CoroutineScope,
     state: StateStoreClient,
     private val sharedKeys: SharedKeyCache,
     private val teams: TeamDirectory,
-    private val held: () -> Collection<JobShard>,
+    private val ledShards: () -> Collection<JobShard>,
     controllers: Int,
-    changed: () -> Unit,
+    onChanged: () -> Unit,
 ) {
-    /** Reports changes of allotments, and use above them. */
+    /** Logs changes of allotments, and use above them. */
     val audit = AllotmentAudit()
-    private val use = ShardUsage()
+    private val usage = ShardUsage()
     private val rule = AllotmentRule(SLACK / controllers)
     private val writer =
-        AllotmentWriter(scope, state, sharedKeys, teams, rule, audit, { shard, team -> view(shard, team) }, changed)
+        AllotmentWriter(
+            scope,
+            state,
+            sharedKeys,
+            teams,
+            rule,
+            audit,
+            { shard, team -> snapshot(shard, team) },
+            onChanged,
+        )
 
+    /** Returns what the attempts of a team in a shard take for which there is no termination evidence. */
     fun used(
         shard: String,
         team: String,
-    ) = use.of(AllotmentId(shard, team))
+    ) = usage.of(AllotmentId(shard, team))
 
-    fun take(job: Job) = use.take(job)
+    /** Counts one more attempt of the job against the allotment of its shard. */
+    fun addUsage(job: Job) = usage.add(job)
 
-    fun release(job: Job) = use.release(job)
+    /** Counts one attempt of the job less, once it is proven to have ended. */
+    fun removeUsage(job: Job) = usage.remove(job)
 
+    /** Drops the usage of a shard that this controller does not lead any more; the next leader counts anew. */
     fun forget(shard: String) {
-        use.forget(shard)
+        usage.forget(shard)
         writer.forget(shard)
     }
 
-    private val read = HashMap<String, TeamAllotments>()
+    private val cachedAllotments = HashMap<String, TeamAllotments>()
 
-    /** Asked for each task that is placed, and changed far more rarely: so the key is read once for each change of it. */
+    /**
+     * Needed for each task that is placed, but changed far more rarely: so the key is decoded once for each change
+     * of it.
+     */
     private fun allotments(team: String): TeamAllotments {
         val modRevision = sharedKeys.modRevision(Keys.team(team))
-        read[team]?.let { if (it.modRevision == modRevision) return it }
-        return TeamAllotments.decode(modRevision, sharedKeys.value(Keys.team(team))).also { read[team] = it }
+        cachedAllotments[team]?.let { if (it.modRevision == modRevision) return it }
+        return TeamAllotments
+            .decode(
+                modRevision,
+                sharedKeys.value(Keys.team(team)),
+            ).also { cachedAllotments[team] = it }
     }
 
-    private fun view(
+    private fun snapshot(
         shard: JobShard,
         team: Team,
-    ): AllotmentView {
+    ): AllotmentSnapshot {
         val id = AllotmentId(shard.name, team.name)
-        return AllotmentView(team, shard.name, allotments(team.name), use.of(id), isShort(id))
+        return AllotmentSnapshot(team, shard.name, allotments(team.name), usage.of(id), isStarved(id))
     }
 
-    /** Whether the shard's allotment has room for so many more tasks of this job at once. If not, more is asked for. */
+    /**
+     * Returns whether the allotment of the job's shard has free capacity for [tasks] more tasks of the job at once.
+     * If not, a raise is requested, and a later call may return true.
+     */
     fun allows(
         job: Job,
         tasks: Int = 1,
@@ -69,94 +100,103 @@
         val team = teams.team(spec.team) ?: return false
         if (!teams.isCurrent) return false
         if (!team.isLimited) return true
-        // Until its jobs are loaded nobody knows what a shard uses.
+        // Until the jobs of a shard are loaded it is not known what it uses.
         if (job.shard.state != ShardState.ACTIVE) return false
         val stored = allotments(team.name)
-        if (stored.isOver(team)) return false
+        if (stored.exceedsLimit(team)) return false
         val id = AllotmentId(job.shard.name, team.name)
         val need = spec.taskShare * tasks
-        val hasRoom = team.covers(writer.usable(id, stored.of(id.shard).share), use.of(id) + need)
-        if (!hasRoom) askForMore(job.shard, team, AllotmentWish.MoreRoom(need, job.pendingCount / tasks))
+        val hasRoom = team.covers(writer.usable(id, stored.of(id.shard).share), usage.of(id) + need)
+        if (!hasRoom) requestRaise(job.shard, team, AllotmentRequest.Raise(need, job.pendingCount / tasks))
         return hasRoom
     }
 
     /** Whether nothing of this team may be started: it was removed, or its limit lowered below what is allotted. */
-    fun isSuspended(teamName: String): Boolean = teams.team(teamName)?.let { allotments(it.name).isOver(it) } ?: true
+    fun isSuspended(teamName: String): Boolean =
+        teams.team(teamName)?.let { allotments(it.name).exceedsLimit(it) } ?: true
 
-    private fun askForMore(
+    private fun requestRaise(
         shard: JobShard,
         team: Team,
-        wish: AllotmentWish,
+        request: AllotmentRequest,
     ) {
-        val view = view(shard, team)
-        val decision = rule.decide(view, wish)
-        if (!decision.isEnough) shortAt[AllotmentId(shard.name, team.name)] = looks
-        if (decision.isWorthWriting) writer.request(shard, team, wish, Urgency.INTENT)
+        val snapshot = snapshot(shard, team)
+        val decision = rule.decide(snapshot, request)
+        if (!decision.isEnough) starvedAtReview[AllotmentId(shard.name, team.name)] = reviews
+        if (decision.isWorthWriting) writer.submit(shard, team, request, Urgency.INTENT)
     }
 
-    /** The look of [handBack] in which a shard was last found short of a team's limit. */
-    private val shortAt = HashMap<AllotmentId, Int>()
-    private var looks = 0
+    /** The number of the review in which a team's limit last had no free capacity for a task of a shard. */
+    private val starvedAtReview = HashMap<AllotmentId, Int>()
+
+    /** How often [releaseUnused] has reviewed the allotments. */
+    private var reviews = 0
 
-    private fun isShort(id: AllotmentId) = shortAt[id]?.let { it >= looks - 1 } == true
+    private fun isStarved(id: AllotmentId) = starvedAtReview[id]?.let { it >= reviews - 1 } == true
 
-    /** Hands back what is not in use, beyond one slack kept for the next job; all of it while another owner is short, or its
-     * job would wait beside room that its team is allowed. */
-    fun handBack() {
-        looks++
-        release()
+    /**
+     * Releases what is not in use, except for a slack that each shard keeps for its next job. While another shard is
+     * starved the slack is released too; otherwise a job would wait although its team's limit has free capacity.
+     */
+    fun releaseUnused() {
+        reviews++
+        requestRelease()
     }
 
-    /** Limits have changed: what is allotted beyond use goes back at once where a limit is exceeded. */
-    fun limitsChanged() = release()
+    /** Limits have changed: where the allotments exceed one, what is not in use is released at once. */
+    fun limitsChanged() = requestRelease()
 
-    private fun release() {
-        for (shard in held().filter { it.state == ShardState.ACTIVE }) {
-            for (team in teams.all().filter { it.isLimited }) release(shard, team)
+    private fun requestRelease() {
+        for (shard in ledShards().filter { it.state == ShardState.ACTIVE }) {
+            for (team in teams.all().filter { it.isLimited }) requestRelease(shard, team)
         }
     }
 
-    private fun release(
+    private fun requestRelease(
         shard: JobShard,
         team: Team,
     ) {
-        val view = view(shard, team)
-        if (!view.stored.has(shard.name)) return
-        val decision = rule.decide(view, AllotmentWish.HandBack)
-        val isShortOver = decision.stored.isShort && !decision.row.isShort
-        if (!decision.lowers && !isShortOver) return
-        writer.request(
+        val snapshot = snapshot(shard, team)
+        if (!snapshot.stored.has(shard.name)) return
+        val decision = rule.decide(snapshot, AllotmentRequest.ReleaseUnused)
+        val isStarvationOver = decision.stored.isStarved && !decision.row.isStarved
+        if (!decision.lowers && !isStarvationOver) return
+        writer.submit(
             shard,
             team,
-            AllotmentWish.HandBack,
+            AllotmentRequest.ReleaseUnused,
             if (decision.lowers) Urgency.SUMMARY else Urgency.INTENT,
         )
     }
 
-    private val shortKnown = HashMap<String, Set<String>>()
+    /** The starved shards of other controllers, by team, at the last change of the team's key. */
+    private val knownStarved = HashMap<String, Set<String>>()
 
-    /** The team's key has changed. An owner that has only now become short is served at once; others at the next [handBack], or
-     * two owners would hand the same share to and fro as fast as the state service writes. */
-    fun teamChanged(team: String) {
+    /**
+     * The key of the team has changed. If a shard has become starved just now, unused shares are released for it at
+     * once. Shards that were starved before wait for the next [releaseUnused]; otherwise two of them would pass the
+     * same share back and forth as fast as the state store can write.
+     */
+    fun allotmentsChanged(team: String) {
         reportOveruse(team)
-        val mine = held().mapTo(HashSet()) { it.name }
-        val short = allotments(team).shortShards() - mine
-        val known = shortKnown.put(team, short) ?: emptySet()
-        if (!known.containsAll(short)) release()
+        val ledNames = ledShards().mapTo(HashSet()) { it.name }
+        val starved = allotments(team).starvedShards() - ledNames
+        val known = knownStarved.put(team, starved) ?: emptySet()
+        if (!known.containsAll(starved)) requestRelease()
     }
 
     private fun reportOveruse(teamName: String) {
         val team = teams.team(teamName)?.takeIf { it.isLimited } ?: return
         val stored = allotments(teamName)
-        for (shard in held().filter { it.state == ShardState.ACTIVE }) {
+        for (shard in ledShards().filter { it.state == ShardState.ACTIVE }) {
             val allotted = stored.of(shard.name).share
             val used = used(shard.name, teamName)
-            if (!team.covers(allotted, used)) audit.overused(teamName, shard.name, stored.modRevision, allotted, used)
+            if (!team.covers(allotted, used)) audit.logOveruse(teamName, shard.name, stored.modRevision, allotted, used)
         }
     }
 
     private companion object {
-        /** The slack of all allotments together, as a share of the team's limit. */
+        /** The slack of all controllers' shards together, as a part of the team's limit. */
         const val SLACK = 1.0 / 8
     }
 }
