--- a/src/test/kotlin/micatally/compatibility/MessagesTest.kt
+++ b/src/test/kotlin/micatally/compatibility/MessagesTest.kt
@@ -92,6 +92,10 @@
 import java.util.HexFormat
 import java.util.Properties
 
+/** What each status of the answer to a renewal means. */
+private val RENEWALS =
+    listOf(200 to RenewalResult.RENEWED, 404 to RenewalResult.EXPIRED, 503 to RenewalResult.UNKNOWN)
+
 /**
  * Messages of every interface, kept as files under `messages/`, are read and written byte for byte.
  *
@@ -522,9 +526,7 @@
             assertEquals(7L, state(grant).grant(5000))
             assertEquals(listOf("POST /grants"), grant.requests)
             assertEquals(text("state/grant.json"), grant.body)
-            val results =
-                listOf(200 to RenewalResult.RENEWED, 404 to RenewalResult.EXPIRED, 503 to RenewalResult.UNKNOWN)
-            for ((status, expected) in results) {
+            for ((status, expected) in RENEWALS) {
                 val renew = Recorder(answer(status))
                 assertEquals(expected, state(renew).renew(7))
                 assertEquals(listOf("POST /grants/7/renew"), renew.requests)
