--- a/src/main/kotlin/micatally/fleet/MachineProber.kt
+++ b/src/main/kotlin/micatally/fleet/MachineProber.kt
@@ -45,8 +45,8 @@
             try {
                 val outcome = http.call(machine.addr, "GET", "/show", null, timeoutMs)
                 record(machine, outcome, nowMs() - now)
-            } catch (e: MalformedMessage) {
-                log.info("machine {} answered a probe with a malformed heartbeat: {}", machine.name, e.message)
+            } catch (malformed: MalformedMessage) {
+                log.info("machine {} answered a probe with a malformed heartbeat: {}", machine.name, malformed.message)
             } finally {
                 inProgress.remove(machine.name)
             }
--- a/src/main/kotlin/micatally/fleet/MachineTypeCatalog.kt
+++ b/src/main/kotlin/micatally/fleet/MachineTypeCatalog.kt
@@ -69,8 +69,8 @@
         val types =
             try {
                 MachineType.parseAll(answer)
-            } catch (e: MalformedMessage) {
-                log.error("machine types: {}", e.message)
+            } catch (malformed: MalformedMessage) {
+                log.error("machine types: {}", malformed.message)
                 return
             }
         val isFirst = isUnknown
--- a/src/test/kotlin/micatally/fleet/ScaleOutPlanTest.kt
+++ b/src/test/kotlin/micatally/fleet/ScaleOutPlanTest.kt
@@ -11,7 +11,7 @@
     private val small = MachineType("small", Resources(8.0, 0.0, 32.0), 40.0, 0.1, 0.62, 0.2, 30.0, listOf("a"))
     private val large = MachineType("large", Resources(32.0, 0.0, 64.0), 70.0, 0.1, 2.01, 0.5, 15.0, listOf("a", "b"))
     private val gpus =
-        MachineType("cards", Resources(96.0, 8.0, 768.0), 400.0, 1.7, 27.0, 7.0, 30.0, listOf("a", "b", "c"))
+        MachineType("gpu", Resources(96.0, 8.0, 768.0), 400.0, 1.7, 27.0, 7.0, 30.0, listOf("a", "b", "c"))
 
     private fun gateway(
         count: Int,
@@ -49,13 +49,13 @@
     @Test
     fun `a task without GPUs that fits no other machine gets one with GPUs`() {
         val plan = plan(listOf(ResourceRequest(40.0, 0.0, 8.0, count = 2)))
-        assertEquals(setOf("cards"), plan.keys.map { it.type }.toSet())
+        assertEquals(setOf("gpu"), plan.keys.map { it.type }.toSet())
         assertEquals(1, plan.values.sum(), "both fit on one")
     }
 
     @Test
     fun `tasks without GPUs leave the cores that GPUs need`() {
-        val machine = PlannedMachine(Offer("cards", "c", false), gpus.resources)
+        val machine = PlannedMachine(Offer("gpu", "c", false), gpus.resources)
         plan(listOf(gateway(60, emptyList())), arrayListOf(machine))
         assertTrue(machine.free.cores >= 8 * 12 * 0.7 - 1e-6, "${machine.free}")
     }
