--- a/src/main/kotlin/micatally/wire/CloudRequests.kt
+++ b/src/main/kotlin/micatally/wire/CloudRequests.kt
@@ -49,13 +49,22 @@
         }
 }
 
-/** One page of the cloud's machine list. */
+/**
+ * One page of the cloud's machine list.
+ *
+ * @property hasMore whether another page follows, from behind the last of [machines]
+ */
 class MachinePage(
     val machines: List<ListedMachine>,
     val hasMore: Boolean,
 ) {
+    /** Its reader. */
     companion object {
-        /** @throws MalformedMessage if the body is not a page of the list */
+        /**
+         * Reads an answer of the cloud.
+         *
+         * @throws MalformedMessage if the body is not a page of the list
+         */
         fun parse(answer: ByteArray): MachinePage {
             val page = parseObject(answer)
             val machines = (page.listOrNull("cars") ?: emptyList()).map { ListedMachine.parse(it.asObject()) }
