--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -310,7 +310,7 @@
                         if (a.job.gang !=
                             null
                         ) {
-                            jobManager.gangs.stopOrderly(a.job, "${m.name} is taken back") { isReachable(it, now) }
+                            jobManager.gangs.stopGracefully(a.job, "${m.name} is taken back") { isReachable(it, now) }
                         } else if (a.stop(StopReason.DRAIN, now)) {
                             touched = true
                         }
--- a/src/main/kotlin/micatally/gang/Gang.kt
+++ b/src/main/kotlin/micatally/gang/Gang.kt
@@ -17,7 +17,7 @@
         private set
 
     /** The attempt number of the present run, or of the last one. */
-    var number = 0L
+    var runNumber = 0L
         private set
 
     /** Since when some task of the run is known to wait for the others. */
@@ -36,39 +36,39 @@
     /** A run is placed, or found on machines after a takeover. */
     fun beginRun(number: Long) {
         transitionTo(GangPhase.WAITING)
-        this.number = number
+        runNumber = number
         waitingSinceMs = null
         triedMachines.clear()
     }
 
-    fun taskWaits(nowMs: Long) {
+    fun onTaskWaiting(nowMs: Long) {
         if (phase == GangPhase.WAITING && waitingSinceMs == null) waitingSinceMs = nowMs
     }
 
-    fun taskRuns() {
+    fun onTaskRunning() {
         if (phase == GangPhase.WAITING) transitionTo(GangPhase.RUNNING)
     }
 
-    fun beginStop() = transitionTo(GangPhase.STOPPING)
+    fun beginGracefulStop() = transitionTo(GangPhase.STOPPING)
 
-    fun beginEnd() = transitionTo(GangPhase.ENDING)
+    fun beginEnding() = transitionTo(GangPhase.ENDING)
 
     /** No task of the run is on a machine any more. */
-    fun allTerminated() {
+    fun onAllTerminated() {
         if (phase != GangPhase.PLACING) transitionTo(GangPhase.PLACING)
     }
 
-    fun tried(
-        task: Int,
+    fun addTriedMachine(
+        taskIndex: Int,
         machine: String,
     ) {
-        triedMachines.getOrPut(task) { HashSet() }.add(machine)
+        triedMachines.getOrPut(taskIndex) { HashSet() }.add(machine)
     }
 
     fun wasTried(
-        task: Int,
+        taskIndex: Int,
         machine: String,
-    ) = triedMachines[task]?.contains(machine) == true
+    ) = triedMachines[taskIndex]?.contains(machine) == true
 
     private companion object {
         val ALLOWED =
--- a/src/main/kotlin/micatally/gang/GangPlacement.kt
+++ b/src/main/kotlin/micatally/gang/GangPlacement.kt
@@ -34,42 +34,48 @@
      * Null if there is no room for all [tasks].
      *
      * @param together whether all go to one zone
-     * @param zoneRoom how many more tasks a zone may take
+     * @param remainingInZone how many more tasks a zone may take
      */
     fun <M> choose(
         candidates: List<GangCandidate<M>>,
         tasks: Int,
         together: Boolean,
-        zoneRoom: (String) -> Int,
+        remainingInZone: (String) -> Int,
     ): GangAssignment<M>? {
         val groups = if (together) candidates.groupBy { it.zone }.values else listOf(candidates)
-        return groups.mapNotNull { fill(it, tasks, zoneRoom) }.minByOrNull { it.cost }
+        return groups.mapNotNull { assign(it, tasks, remainingInZone) }.minByOrNull { it.cost }
     }
 
-    private fun <M> fill(
+    private fun <M> assign(
         candidates: List<GangCandidate<M>>,
         tasks: Int,
-        zoneRoom: (String) -> Int,
+        remainingInZone: (String) -> Int,
     ): GangAssignment<M>? {
-        val whole = candidates.filter { it.capacity >= tasks && zoneRoom(it.zone) >= tasks }.minByOrNull { it.cost }
-        val onOne = whole?.let { machine -> GangAssignment(List(tasks) { machine }) }
-        val onSeveral = spread(candidates, tasks, zoneRoom)
-        return listOfNotNull(onOne, onSeveral).minByOrNull { it.cost }
+        val single =
+            candidates
+                .filter {
+                    it.capacity >= tasks && remainingInZone(
+                        it.zone,
+                    ) >= tasks
+                }.minByOrNull { it.cost }
+        val onOneMachine = single?.let { machine -> GangAssignment(List(tasks) { machine }) }
+        val onSeveralMachines = spread(candidates, tasks, remainingInZone)
+        return listOfNotNull(onOneMachine, onSeveralMachines).minByOrNull { it.cost }
     }
 
     private fun <M> spread(
         candidates: List<GangCandidate<M>>,
         tasks: Int,
-        zoneRoom: (String) -> Int,
+        remainingInZone: (String) -> Int,
     ): GangAssignment<M>? {
-        val left = HashMap<String, Int>()
+        val remainingByZone = HashMap<String, Int>()
         val chosen = ArrayList<GangCandidate<M>>(tasks)
         for (candidate in candidates.sortedWith(compareBy({ it.cost }, { -it.capacity }))) {
-            val room = left.getOrPut(candidate.zone) { zoneRoom(candidate.zone) }
-            val count = minOf(candidate.capacity, tasks - chosen.size, room)
+            val remaining = remainingByZone.getOrPut(candidate.zone) { remainingInZone(candidate.zone) }
+            val count = minOf(candidate.capacity, tasks - chosen.size, remaining)
             if (count <= 0) continue
             repeat(count) { chosen.add(candidate) }
-            left[candidate.zone] = room - count
+            remainingByZone[candidate.zone] = remaining - count
             if (chosen.size == tasks) return GangAssignment(chosen)
         }
         return null
--- a/src/main/kotlin/micatally/gang/GangPolicy.kt
+++ b/src/main/kotlin/micatally/gang/GangPolicy.kt
@@ -16,10 +16,10 @@
      * For how long a task may be seen waiting before its run is given up: a report may be late by its interval, and the stop
      * has to arrive before the worker ends the task by itself.
      */
-    val giveUpMs get() = maxOf(waitMs / 2, waitMs - heartbeatIntervalMs * REPORTS_OF_MARGIN)
+    val giveUpAfterMs get() = maxOf(waitMs / 2, waitMs - heartbeatIntervalMs * HEARTBEATS_OF_MARGIN)
 
     private companion object {
-        const val REPORTS_OF_MARGIN = 3
+        const val HEARTBEATS_OF_MARGIN = 3
     }
 }
 
@@ -49,7 +49,7 @@
     ): Boolean {
         if (gang.phase != GangPhase.WAITING) return false
         val waitedMs = gang.waitingSinceMs?.let { nowMs - it } ?: 0L
-        if (waitedMs >= timing.giveUpMs) return false
+        if (waitedMs >= timing.giveUpAfterMs) return false
         return job.attempts.values.all { it.stop == null && isKnownNotToRun(it) }
     }
 
@@ -67,8 +67,9 @@
         timing: GangTiming,
         nowMs: Long,
     ): Boolean {
-        val since = gang.waitingSinceMs ?: return false
-        return gang.phase == GangPhase.WAITING && job.attempts.size < job.taskCount && nowMs - since >= timing.giveUpMs
+        val waitingSinceMs = gang.waitingSinceMs ?: return false
+        return gang.phase == GangPhase.WAITING && job.attempts.size < job.taskCount &&
+            nowMs - waitingSinceMs >= timing.giveUpAfterMs
     }
 
     /** A run that has started and lacks a task, as a new owner may find it. */
@@ -81,14 +82,14 @@
      * An orderly stop saves the progress only if each task is told within [GangTiming.peerMs]; so it is not begun while a
      * machine can't be reached, and not for tasks that never save.
      */
-    fun mayStopOrderly(
+    fun mayStopGracefully(
         job: Job,
         gang: Gang,
         isReachable: (Attempt) -> Boolean,
     ): Boolean {
-        val saves = (job.spec?.checkpointS ?: 0.0) > 0
+        val savesCheckpoints = (job.spec?.checkpointS ?: 0.0) > 0
         val isUp = gang.phase == GangPhase.RUNNING || gang.phase == GangPhase.WAITING
-        return saves && isUp && job.attempts.size == job.taskCount &&
+        return savesCheckpoints && isUp && job.attempts.size == job.taskCount &&
             job.attempts.values.all { it.stop == null && isReachable(it) }
     }
 
--- a/src/main/kotlin/micatally/gang/GangSupervisor.kt
+++ b/src/main/kotlin/micatally/gang/GangSupervisor.kt
@@ -23,33 +23,33 @@
 
 /** Carries out what [GangPolicy] decides for the gangs of this node. Attempts end as everywhere, through their owner. */
 class GangSupervisor(
-    private val jobManager: GangTaskControl,
+    private val taskControl: GangTaskControl,
     private val timing: GangTiming,
     private val nowMs: () -> Long,
 ) {
     private val log = LoggerFactory.getLogger("micatally.gang")
 
     /** After a takeover: the record shows the run, and reports will show whether it has started. */
-    fun adopted(job: Job) {
+    fun restore(job: Job) {
         val gang = job.gang ?: return
         if (job.attempts.isNotEmpty()) gang.beginRun(job.attempts.values.maxOf { it.number })
     }
 
     /** A task of the job has been reported in a new state. */
-    fun taskSeen(attempt: Attempt) {
+    fun onTaskReported(attempt: Attempt) {
         val job = attempt.job
         val gang = job.gang ?: return
-        if (attempt.number != gang.number) return
-        if (attempt.state == AttemptState.WAITING) gang.taskWaits(nowMs())
+        if (attempt.number != gang.runNumber) return
+        if (attempt.state == AttemptState.WAITING) gang.onTaskWaiting(nowMs())
         if (attempt.state >= AttemptState.RUNNING && gang.phase == GangPhase.WAITING) {
-            gang.taskRuns()
-            log.info("gang {}#{} runs", job.jobId, gang.number)
+            gang.onTaskRunning()
+            log.info("gang {}#{} runs", job.jobId, gang.runNumber)
             review(job, nowMs())
         }
     }
 
     /** An attempt of the job has just ended. */
-    fun taskTerminated(
+    fun onTaskTerminated(
         attempt: Attempt,
         end: AttemptTermination,
     ) {
@@ -58,7 +58,7 @@
         if (job.wantsTasks && GangPolicy.endsRun(gang.phase, end)) {
             endRun(job, gang, "task ${attempt.taskIndex} is gone: ${end.reason?.word ?: end.detail}")
         }
-        if (job.attempts.isEmpty()) gang.allTerminated()
+        if (job.attempts.isEmpty()) gang.onAllTerminated()
     }
 
     /** Looks at what time alone changes. */
@@ -79,36 +79,36 @@
     ) = GangPolicy.mayReplace(job, gang, timing, nowMs)
 
     /** Gives a run up that waits for a task which would come too late. */
-    fun giveUp(
+    fun giveUpRun(
         job: Job,
-        why: String,
+        reason: String,
     ) {
         val gang = job.gang ?: return
-        if (gang.phase == GangPhase.WAITING) endRun(job, gang, why)
+        if (gang.phase == GangPhase.WAITING) endRun(job, gang, reason)
     }
 
     /** One of the machines will be taken back: all tasks save, if each of them can be told. */
-    fun stopOrderly(
+    fun stopGracefully(
         job: Job,
-        why: String,
+        reason: String,
         isReachable: (Machine) -> Boolean,
     ) {
         val gang = job.gang ?: return
-        if (job.state != JobState.OPEN || !GangPolicy.mayStopOrderly(job, gang) { isReachable(it.machine) }) return
-        gang.beginStop()
-        log.info("gang {}#{} is stopped: {}", job.jobId, gang.number, why)
+        if (job.state != JobState.OPEN || !GangPolicy.mayStopGracefully(job, gang) { isReachable(it.machine) }) return
+        gang.beginGracefulStop()
+        log.info("gang {}#{} is stopped: {}", job.jobId, gang.runNumber, reason)
         stopAll(job, StopReason.DRAIN)
     }
 
     private fun endRun(
         job: Job,
         gang: Gang,
-        why: String,
+        reason: String,
     ) {
-        gang.beginEnd()
-        log.info("gang {}#{} ends: {}", job.jobId, gang.number, why)
+        gang.beginEnding()
+        log.info("gang {}#{} ends: {}", job.jobId, gang.runNumber, reason)
         stopAll(job, StopReason.GANG_ENDED)
-        if (job.attempts.isEmpty()) gang.allTerminated()
+        if (job.attempts.isEmpty()) gang.onAllTerminated()
     }
 
     /** Stops every task of the present run; those of which nothing was sent end at once. */
@@ -120,7 +120,7 @@
         val machines = LinkedHashSet<Machine>()
         for (attempt in job.attempts.values.toList()) {
             if (attempt.state == AttemptState.INTENDED) {
-                jobManager.terminate(
+                taskControl.terminate(
                     attempt,
                     AttemptTermination(TerminationEvidence.NEVER_SENT, "the gang's run has ended"),
                 )
@@ -129,6 +129,6 @@
             attempt.stop(reason, now)
             machines.add(attempt.machine)
         }
-        for (machine in machines) jobManager.requestSync(machine)
+        for (machine in machines) taskControl.requestSync(machine)
     }
 }
--- a/src/main/kotlin/micatally/job/JobManager.kt
+++ b/src/main/kotlin/micatally/job/JobManager.kt
@@ -173,7 +173,7 @@
         number: Long = job.nextAttempt++,
     ): Attempt {
         val a = Attempt(job, taskIndex, number, m, m.incarnation, job.service, AttemptState.INTENDED)
-        job.gang?.tried(taskIndex, m.name)
+        job.gang?.addTriedMachine(taskIndex, m.name)
         job.attempts[taskIndex] = a
         attach(a)
         log.info("task {}/{} attempt {} intended for {}", job.jobId, taskIndex, a.number, m.name)
@@ -256,7 +256,7 @@
             lift(job, attempt.inherited + ranMs / 1000.0)
         }
         learn(attempt, end, ranMs, now)
-        gangs.taskTerminated(attempt, end)
+        gangs.onTaskTerminated(attempt, end)
         // The end of a job that is done is known already: that its last attempts are gone may wait a little.
         val isUrgent =
             job.state == JobState.CANCELLED || job.state == JobState.OPEN && attempt.stop != null || job.endUnderWay
@@ -407,7 +407,7 @@
     ): Boolean {
         if (a.state < AttemptState.DISPATCHED || a.state >= state) return false
         a.transitionTo(state, nowMs())
-        gangs.taskSeen(a)
+        gangs.onTaskReported(a)
         return true
     }
 
--- a/src/main/kotlin/micatally/job/ShardLoader.kt
+++ b/src/main/kotlin/micatally/job/ShardLoader.kt
@@ -80,7 +80,7 @@
         job.storedOverflow = RecordPacking.overflowCount(record.stored)
         l.jobs[jobId] = job
         for (placed in JobRecord.placed(plain)) adoptAttempt(job, placed)
-        jobManager.gangs.adopted(job)
+        jobManager.gangs.restore(job)
         if (job.state == JobState.CANCELLED) {
             if (!jobManager.cancellations.adopted(job)) store.touch(job, true)
         }
--- a/src/main/kotlin/micatally/scheduling/AllOrNothingPlacement.kt
+++ b/src/main/kotlin/micatally/scheduling/AllOrNothingPlacement.kt
@@ -53,10 +53,10 @@
         missing: List<Int>,
         now: Long,
     ) {
-        val assignment = placeWhole(job, spec, missing, now) { gang.number } ?: return
+        val assignment = placeWhole(job, spec, missing, now) { gang.runNumber } ?: return
         val waitedMs = gang.waitingSinceMs?.let { now - it } ?: 0L
         val isTooLate = waitedMs + assignment.imagePullS * MS_PER_S * PULL_TIME_MARGIN > settings.gangWaitMs
-        if (isTooLate) actions.gangs.giveUp(job, "a replacement needs ${assignment.imagePullS} s")
+        if (isTooLate) actions.gangs.giveUpRun(job, "a replacement needs ${assignment.imagePullS} s")
     }
 
     /**
--- a/src/test/kotlin/micatally/sim/GangTest.kt
+++ b/src/test/kotlin/micatally/sim/GangTest.kt
@@ -197,7 +197,7 @@
             untilDone(jobId)
         }
 
-    /** Guard: [micatally.gang.GangSupervisor.stopOrderly]; if only the task on the machine is stopped, nothing is saved. */
+    /** Guard: [micatally.gang.GangSupervisor.stopGracefully]; if only the task on the machine is stopped, nothing is saved. */
     @Test
     fun `a notice stops all tasks in time, and what they did is saved`() =
         meeting(7) {
@@ -211,7 +211,7 @@
             untilDone(jobId)
         }
 
-    /** Guard: [micatally.gang.GangPolicy.mayStopOrderly] looks at all machines. */
+    /** Guard: [micatally.gang.GangPolicy.mayStopGracefully] looks at all machines. */
     @Test
     fun `no orderly stop begins while a machine of the gang can't be reached`() =
         meeting(8) {
@@ -270,13 +270,13 @@
         }
     }
 
-    /** Guard: the phase is derived anew from the record and reports ([micatally.gang.GangSupervisor.adopted]). */
+    /** Guard: the phase is derived anew from the record and reports ([micatally.gang.GangSupervisor.restore]). */
     @Test
     fun `the leader changes in each phase of a gang`() {
         for ((seed, phase) in GangPhase.entries.withIndex()) {
             meeting(20 + seed) {
                 val jobId = gangIn(phase)
-                val number = gangOf(jobId).gang!!.number
+                val number = gangOf(jobId).gang!!.runNumber
                 f.crash(0)
                 runUntil(f.lease * 3, "another node takes the ledger and knows the run") {
                     f.live.any {
@@ -284,7 +284,7 @@
                             ?.jobManager
                             ?.job(jobId)
                             ?.gang
-                            ?.number
+                            ?.runNumber
                             ?.let { n -> n >= number } == true
                     }
                 }
