--- a/src/main/kotlin/micatally/gang/Gang.kt
+++ b/src/main/kotlin/micatally/gang/Gang.kt
@@ -3,15 +3,18 @@
 /**
  * Where a gang job stands. A *run* is one try to run all of its tasks together; the attempts of a run share one number.
  *
- * PLACING: no task is on a machine; the next run needs room for all of them at once.
+ * PLACING: no task is on a machine; the next run needs free capacity for all of them at once.
  * WAITING: the run is placed and not known to have started. A lost task may be replaced under the same number.
  * RUNNING: a task of the run has been seen running, so losing any of them ends the run.
- * STOPPING: an orderly stop is under way; its tasks save and exit by themselves.
+ * STOPPING: a graceful stop is under way; the tasks save a checkpoint and exit by themselves.
  * ENDING: the run has failed. Its tasks are stopped, and the next run waits until each of them is proven gone.
  */
 enum class GangPhase { PLACING, WAITING, RUNNING, STOPPING, ENDING }
 
-/** The state of a gang job beside that of its attempts. Everything here can be derived anew from the record and reports. */
+/**
+ * The state of a gang job beside that of its attempts. It is held in memory only: after a failover all of it is derived anew
+ * from the job's record and from heartbeats.
+ */
 class Gang {
     var phase = GangPhase.PLACING
         private set
@@ -20,20 +23,20 @@
     var runNumber = 0L
         private set
 
-    /** Since when some task of the run is known to wait for the others. */
+    /** Since when some task of the present run is known to wait for the others; null if none is. */
     var waitingSinceMs: Long? = null
         private set
 
-    /** Machines that were sent a task of the present run: a repeated command for the same task has no effect there. */
+    /** Per task index, the machines to which it was assigned in this run: a repeated command for it has no effect there. */
     private val triedMachines = HashMap<Int, HashSet<String>>()
 
-    /** The one place where the phase changes. */
+    /** The only place where the phase changes. */
     private fun transitionTo(next: GangPhase) {
         check(next in ALLOWED.getValue(phase)) { "a gang may not go from $phase to $next" }
         phase = next
     }
 
-    /** A run is placed, or found on machines after a takeover. */
+    /** A run has been placed, or found on machines after a failover. */
     fun beginRun(number: Long) {
         transitionTo(GangPhase.WAITING)
         runNumber = number
@@ -41,23 +44,28 @@
         triedMachines.clear()
     }
 
+    /** A task of the run waits for the others. */
     fun onTaskWaiting(nowMs: Long) {
         if (phase == GangPhase.WAITING && waitingSinceMs == null) waitingSinceMs = nowMs
     }
 
+    /** A task of the run has been seen running, so all of them had been there. */
     fun onTaskRunning() {
         if (phase == GangPhase.WAITING) transitionTo(GangPhase.RUNNING)
     }
 
+    /** The tasks of the run are being told to save a checkpoint and exit. */
     fun beginGracefulStop() = transitionTo(GangPhase.STOPPING)
 
+    /** The run has failed, and its tasks are being stopped. */
     fun beginEnding() = transitionTo(GangPhase.ENDING)
 
-    /** No task of the run is on a machine any more. */
+    /** No attempt of the run is left; each is proven gone. */
     fun onAllTerminated() {
         if (phase != GangPhase.PLACING) transitionTo(GangPhase.PLACING)
     }
 
+    /** Remembers that the task was assigned to the machine in this run. */
     fun addTriedMachine(
         taskIndex: Int,
         machine: String,
@@ -65,10 +73,11 @@
         triedMachines.getOrPut(taskIndex) { HashSet() }.add(machine)
     }
 
+    /** Whether the task was assigned to the machine in this run. */
     fun wasTried(
         taskIndex: Int,
         machine: String,
-    ) = triedMachines[taskIndex]?.contains(machine) == true
+    ): Boolean = triedMachines[taskIndex]?.contains(machine) == true
 
     private companion object {
         val ALLOWED =
--- a/src/main/kotlin/micatally/gang/GangPlacement.kt
+++ b/src/main/kotlin/micatally/gang/GangPlacement.kt
@@ -3,9 +3,9 @@
 /**
  * A machine that could take tasks of a gang.
  *
- * @property capacity how many of its tasks fit
- * @property imagePullS how long the image takes there
- * @property cost what the machine costs the gang, in seconds; the image's time is part of it
+ * @property capacity how many of the gang's tasks fit on it
+ * @property imagePullS how many seconds the machine needs to pull the image
+ * @property cost what using the machine costs the gang, in seconds; the time to pull the image is part of it
  */
 class GangCandidate<M>(
     val machine: M,
@@ -15,12 +15,18 @@
     val cost: Double,
 )
 
-/** Where all tasks of a gang go: one machine for each task. */
+/**
+ * Where all tasks of a gang go.
+ *
+ * @property machines one machine for each task, in the order of the tasks; several tasks may share one
+ */
 class GangAssignment<M>(
     val machines: List<GangCandidate<M>>,
 ) {
-    /** The gang starts when the last machine has the image; every further machine is one more that may be late. */
+    /** The gang starts when its last machine has the image, and every further machine is one more that may be late. */
     val cost = machines.maxOf { it.cost } + machines.distinct().size * MACHINE_COST
+
+    /** How many seconds pass until the last machine has pulled the image. */
     val imagePullS = machines.maxOf { it.imagePullS }
 
     private companion object {
@@ -28,12 +34,13 @@
     }
 }
 
-/** Chooses machines for all tasks of a gang at once. Decisions only. */
+/** Chooses machines for all tasks of a gang at once. Pure decisions: no I/O, no clock and no state. */
 object GangPlacement {
     /**
-     * Null if there is no room for all [tasks].
+     * Chooses the assignment of lowest cost; null if there is no free capacity for all [tasks].
      *
-     * @param together whether all go to one zone
+     * @param tasks how many tasks are to be placed
+     * @param together whether all of them must go to one zone
      * @param remainingInZone how many more tasks a zone may take
      */
     fun <M> choose(
@@ -53,16 +60,14 @@
     ): GangAssignment<M>? {
         val single =
             candidates
-                .filter {
-                    it.capacity >= tasks && remainingInZone(
-                        it.zone,
-                    ) >= tasks
-                }.minByOrNull { it.cost }
+                .filter { it.capacity >= tasks && remainingInZone(it.zone) >= tasks }
+                .minByOrNull { it.cost }
         val onOneMachine = single?.let { machine -> GangAssignment(List(tasks) { machine }) }
         val onSeveralMachines = spread(candidates, tasks, remainingInZone)
         return listOfNotNull(onOneMachine, onSeveralMachines).minByOrNull { it.cost }
     }
 
+    /** Fills the machines in the order of their cost, and of the same cost the largest first. */
     private fun <M> spread(
         candidates: List<GangCandidate<M>>,
         tasks: Int,
--- a/src/main/kotlin/micatally/gang/GangPolicy.kt
+++ b/src/main/kotlin/micatally/gang/GangPolicy.kt
@@ -6,29 +6,18 @@
 import micatally.job.Job
 import micatally.wire.ExitReason
 
-/** The times within which the workers of a gang act, from the settings. */
-class GangTiming(
-    val waitMs: Long,
-    val peerMs: Long,
-    private val heartbeatIntervalMs: Long,
-) {
-    /**
-     * For how long a task may be seen waiting before its run is given up: a report may be late by its interval, and the stop
-     * has to arrive before the worker ends the task by itself.
-     */
-    val giveUpAfterMs get() = maxOf(waitMs / 2, waitMs - heartbeatIntervalMs * HEARTBEATS_OF_MARGIN)
-
-    private companion object {
-        const val HEARTBEATS_OF_MARGIN = 3
-    }
-}
-
-/** Decisions about gangs; no I/O and no clock. */
+/** Decisions about gangs. Pure functions: no I/O, no clock and no state. [GangSupervisor] carries them out. */
 object GangPolicy {
+    /** The exits of a task that never started on the machine it was sent to. */
+    private val REFUSALS = setOf(ExitReason.FULL, ExitReason.IN_USE, ExitReason.UNKNOWN)
+
     /**
-     * Whether a gang gives its run up after one of its tasks is gone. A task that was refused, or lost before the run is known to have started, may be replaced under the same number.
-     * Should the run have started meanwhile, the replacement waits alone and is stopped with the rest. Exits that only a
-     * started or an incomplete run causes end the run.
+     * Whether the loss of one task ends the whole run.
+     *
+     * In a run that has started every loss does. In one that is not known to have started, a task that was refused, or that
+     * was lost without an exit reason, may be replaced under the same number. This is safe even if the run has started
+     * meanwhile: the replacement then waits alone, and is stopped with the rest. All other exits are caused only by a run that
+     * has started or that waited in vain, so they end the run.
      */
     fun endsRun(
         phase: GangPhase,
@@ -40,7 +29,11 @@
             else -> false
         }
 
-    /** A missing task may be placed only when each other task is known to wait, or has been sent by this process. */
+    /**
+     * Whether missing tasks of the run may be placed again under its number. They may only if the run can't have started: each
+     * of the other tasks is known to wait, or was sent by this very process and has not been reported running. There must also
+     * be time left before the run has to be given up.
+     */
     fun mayReplace(
         job: Job,
         gang: Gang,
@@ -53,14 +46,15 @@
         return job.attempts.values.all { it.stop == null && isKnownNotToRun(it) }
     }
 
-    private fun isKnownNotToRun(attempt: Attempt) =
+    /** An attempt that a former leader has sent may be running although no heartbeat has said so yet. */
+    private fun isKnownNotToRun(attempt: Attempt): Boolean =
         when (attempt.state) {
             AttemptState.INTENDED, AttemptState.RECORDED, AttemptState.PULLING, AttemptState.WAITING -> true
             AttemptState.DISPATCHED -> attempt.sentAt != null
             else -> false
         }
 
-    /** Whether a run that is not whole has waited so long that no replacement can arrive in time. */
+    /** Whether a run that lacks a task has waited so long that no replacement can arrive in time. */
     fun isOverdue(
         job: Job,
         gang: Gang,
@@ -68,19 +62,20 @@
         nowMs: Long,
     ): Boolean {
         val waitingSinceMs = gang.waitingSinceMs ?: return false
-        return gang.phase == GangPhase.WAITING && job.attempts.size < job.taskCount &&
-            nowMs - waitingSinceMs >= timing.giveUpAfterMs
+        val isIncomplete = gang.phase == GangPhase.WAITING && job.attempts.size < job.taskCount
+        return isIncomplete && nowMs - waitingSinceMs >= timing.giveUpAfterMs
     }
 
-    /** A run that has started and lacks a task, as a new owner may find it. */
+    /** Whether a run that has started lacks a task. A new leader may find one that is in this state. */
     fun hasLostTask(
         job: Job,
         gang: Gang,
-    ) = gang.phase == GangPhase.RUNNING && job.attempts.size < job.taskCount
+    ): Boolean = gang.phase == GangPhase.RUNNING && job.attempts.size < job.taskCount
 
     /**
-     * An orderly stop saves the progress only if each task is told within [GangTiming.peerMs]; so it is not begun while a
-     * machine can't be reached, and not for tasks that never save.
+     * Whether a graceful stop of the run may begin. It saves the progress only if every task receives the stop within
+     * [GangTiming.peerMs], so it is not begun while one of the machines is unreachable, while a task is missing or being
+     * stopped, or for tasks that never save a checkpoint.
      */
     fun mayStopGracefully(
         job: Job,
@@ -89,9 +84,8 @@
     ): Boolean {
         val savesCheckpoints = (job.spec?.checkpointS ?: 0.0) > 0
         val isUp = gang.phase == GangPhase.RUNNING || gang.phase == GangPhase.WAITING
-        return savesCheckpoints && isUp && job.attempts.size == job.taskCount &&
-            job.attempts.values.all { it.stop == null && isReachable(it) }
+        val isComplete = job.attempts.size == job.taskCount
+        if (!savesCheckpoints || !isUp || !isComplete) return false
+        return job.attempts.values.all { it.stop == null && isReachable(it) }
     }
-
-    private val REFUSALS = setOf(ExitReason.FULL, ExitReason.IN_USE, ExitReason.UNKNOWN)
 }
--- a/src/main/kotlin/micatally/gang/GangSupervisor.kt
+++ b/src/main/kotlin/micatally/gang/GangSupervisor.kt
@@ -10,18 +10,10 @@
 import micatally.worker.Machine
 import org.slf4j.LoggerFactory
 
-/** What the supervisor needs of the owner of the jobs. */
-interface GangTaskControl {
-    /** Ends an attempt of which nothing was sent. */
-    fun terminate(
-        attempt: Attempt,
-        end: AttemptTermination,
-    )
-
-    fun requestSync(machine: Machine)
-}
-
-/** Carries out what [GangPolicy] decides for the gangs of this node. Attempts end as everywhere, through their owner. */
+/**
+ * Follows the runs of this controller's gangs and carries out what [GangPolicy] decides. It only stops attempts; they end as
+ * those of any other job do, on termination evidence. Jobs that are no gangs are ignored.
+ */
 class GangSupervisor(
     private val taskControl: GangTaskControl,
     private val timing: GangTiming,
@@ -29,26 +21,26 @@
 ) {
     private val log = LoggerFactory.getLogger("micatally.gang")
 
-    /** After a takeover: the record shows the run, and reports will show whether it has started. */
+    /** To be called after a job was loaded from its record, which shows the run. Heartbeats will show whether it has started. */
     fun restore(job: Job) {
         val gang = job.gang ?: return
         if (job.attempts.isNotEmpty()) gang.beginRun(job.attempts.values.maxOf { it.number })
     }
 
-    /** A task of the job has been reported in a new state. */
+    /** To be called when a heartbeat has shown an attempt in a new state. */
     fun onTaskReported(attempt: Attempt) {
         val job = attempt.job
         val gang = job.gang ?: return
         if (attempt.number != gang.runNumber) return
         if (attempt.state == AttemptState.WAITING) gang.onTaskWaiting(nowMs())
-        if (attempt.state >= AttemptState.RUNNING && gang.phase == GangPhase.WAITING) {
-            gang.onTaskRunning()
-            log.info("gang {}#{} runs", job.jobId, gang.runNumber)
-            review(job, nowMs())
-        }
+        val hasStarted = attempt.state >= AttemptState.RUNNING && gang.phase == GangPhase.WAITING
+        if (!hasStarted) return
+        gang.onTaskRunning()
+        log.info("gang {}#{} runs", job.jobId, gang.runNumber)
+        review(job, nowMs())
     }
 
-    /** An attempt of the job has just ended. */
+    /** To be called when an attempt has ended and is no longer among those of its job. */
     fun onTaskTerminated(
         attempt: Attempt,
         end: AttemptTermination,
@@ -61,7 +53,7 @@
         if (job.attempts.isEmpty()) gang.onAllTerminated()
     }
 
-    /** Looks at what time alone changes. */
+    /** To be called regularly: ends a run that lacks a task and has started, or can't get a replacement in time. */
     fun review(
         job: Job,
         nowMs: Long,
@@ -72,13 +64,14 @@
         if (GangPolicy.isOverdue(job, gang, timing, nowMs)) endRun(job, gang, "it can't be whole in time")
     }
 
+    /** Whether missing tasks of the present run may be placed under its number. */
     fun mayReplace(
         job: Job,
         gang: Gang,
         nowMs: Long,
-    ) = GangPolicy.mayReplace(job, gang, timing, nowMs)
+    ): Boolean = GangPolicy.mayReplace(job, gang, timing, nowMs)
 
-    /** Gives a run up that waits for a task which would come too late. */
+    /** Ends a run that waits for a task which would come too late. */
     fun giveUpRun(
         job: Job,
         reason: String,
@@ -87,31 +80,21 @@
         if (gang.phase == GangPhase.WAITING) endRun(job, gang, reason)
     }
 
-    /** One of the machines will be taken back: all tasks save, if each of them can be told. */
+    /** Lets all tasks save a checkpoint and exit, because one of the machines will be taken back, if [GangPolicy] allows. */
     fun stopGracefully(
         job: Job,
         reason: String,
         isReachable: (Machine) -> Boolean,
     ) {
         val gang = job.gang ?: return
-        if (job.state != JobState.OPEN || !GangPolicy.mayStopGracefully(job, gang) { isReachable(it.machine) }) return
+        if (job.state != JobState.OPEN) return
+        if (!GangPolicy.mayStopGracefully(job, gang) { isReachable(it.machine) }) return
         gang.beginGracefulStop()
         log.info("gang {}#{} is stopped: {}", job.jobId, gang.runNumber, reason)
         stopAll(job, StopReason.DRAIN)
     }
 
-    private fun endRun(
-        job: Job,
-        gang: Gang,
-        reason: String,
-    ) {
-        gang.beginEnding()
-        log.info("gang {}#{} ends: {}", job.jobId, gang.runNumber, reason)
-        stopAll(job, StopReason.GANG_ENDED)
-        if (job.attempts.isEmpty()) gang.onAllTerminated()
-    }
-
-    /** Stops every task of the present run; those of which nothing was sent end at once. */
+    /** Stops every attempt of the present run. Those of which nothing was sent end at once, the others on evidence. */
     fun stopAll(
         job: Job,
         reason: StopReason,
@@ -120,10 +103,7 @@
         val machines = LinkedHashSet<Machine>()
         for (attempt in job.attempts.values.toList()) {
             if (attempt.state == AttemptState.INTENDED) {
-                taskControl.terminate(
-                    attempt,
-                    AttemptTermination(TerminationEvidence.NEVER_SENT, "the gang's run has ended"),
-                )
+                terminateUnsent(attempt)
                 continue
             }
             attempt.stop(reason, now)
@@ -131,4 +111,20 @@
         }
         for (machine in machines) taskControl.requestSync(machine)
     }
+
+    private fun terminateUnsent(attempt: Attempt) {
+        val end = AttemptTermination(TerminationEvidence.NEVER_SENT, "the gang's run has ended")
+        taskControl.terminate(attempt, end)
+    }
+
+    private fun endRun(
+        job: Job,
+        gang: Gang,
+        reason: String,
+    ) {
+        gang.beginEnding()
+        log.info("gang {}#{} ends: {}", job.jobId, gang.runNumber, reason)
+        stopAll(job, StopReason.GANG_ENDED)
+        if (job.attempts.isEmpty()) gang.onAllTerminated()
+    }
 }
