--- a/src/main/kotlin/micatally/controller/SpotEvacuation.kt
+++ b/src/main/kotlin/micatally/controller/SpotEvacuation.kt
@@ -46,7 +46,7 @@
         machine: Machine,
         nowMs: Long,
     ) {
-        jobManager.gangs.stopOrderly(attempt.job, "${machine.name} is taken back") { isReachable(it, nowMs) }
+        jobManager.gangs.stopGracefully(attempt.job, "${machine.name} is taken back") { isReachable(it, nowMs) }
     }
 
     private fun isReachable(
--- a/src/main/kotlin/micatally/job/AttemptLifecycle.kt
+++ b/src/main/kotlin/micatally/job/AttemptLifecycle.kt
@@ -30,7 +30,7 @@
         number: Long,
     ): Attempt {
         val attempt = Attempt(job, taskIndex, number, machine, machine.incarnation, job.service, AttemptState.INTENDED)
-        job.gang?.tried(taskIndex, machine.name)
+        job.gang?.addTriedMachine(taskIndex, machine.name)
         attach(attempt)
         log.info("task {}/{} attempt {} intended for {}", job.jobId, taskIndex, attempt.number, machine.name)
         return attempt
@@ -66,7 +66,7 @@
     ): Boolean {
         if (attempt.state < AttemptState.DISPATCHED || attempt.state >= next) return false
         attempt.transitionTo(next, nowMs())
-        gangs.taskSeen(attempt)
+        gangs.onTaskReported(attempt)
         return true
     }
 
@@ -93,7 +93,7 @@
             raiseService(job, attempt, ranMs)
         }
         applyExitReason(attempt, termination.reason, ranMs, now)
-        gangs.taskTerminated(attempt, termination)
+        gangs.onTaskTerminated(attempt, termination)
         if (isWriteUrgent(attempt)) store.requestWrite(job) else store.requestWriteLater(job)
         collaborators.requestCycle()
     }
--- a/src/main/kotlin/micatally/job/JobAdoption.kt
+++ b/src/main/kotlin/micatally/job/JobAdoption.kt
@@ -30,7 +30,7 @@
         job.storedOverflow = RecordPacking.overflowCount(record.stored.json)
         shard.jobs[record.jobId] = job
         for (attempt in plain.attempts) adoptAttempt(job, attempt)
-        gangs.adopted(job)
+        gangs.restore(job)
         if (job.state == JobState.CANCELLED && !cancellations.adopted(job)) store.requestWrite(job)
     }
 
