--- a/src/main/kotlin/micatally/archive/RecordArchive.kt
+++ b/src/main/kotlin/micatally/archive/RecordArchive.kt
@@ -17,7 +17,6 @@
 import micatally.state.KeyValue
 import micatally.state.Put
 import micatally.state.ReadResult
-import micatally.state.StateLimits
 import micatally.state.StateStoreClient
 import micatally.state.Transaction
 import micatally.state.TransactionResult
@@ -133,7 +132,7 @@
         process: suspend (JobShard, List<KeyValue>) -> Int,
     ): Int {
         var count = 0
-        for (batch in batches(items)) {
+        for (batch in RecordBatches.split(items, recordsAtOnce)) {
             if (!shard.isLedHere) break
             count += process(shard, batch)
             delay(pauseMs(batch.size))
@@ -171,24 +170,6 @@
             null
         }
 
-    /** Splits the records into as many per batch as fit in a transaction, by count and by size. */
-    private fun batches(items: List<KeyValue>): List<List<KeyValue>> {
-        val batches = ArrayList<MutableList<KeyValue>>()
-        var bytes = 0
-        for (item in items) {
-            val size = item.value.toString().length + KEY_BYTES
-            val last = batches.lastOrNull()
-            if (last == null || last.size >= recordsAtOnce || bytes + size > StateLimits.TRANSACTION_BYTES) {
-                batches.add(arrayListOf(item))
-                bytes = size
-            } else {
-                last.add(item)
-                bytes += size
-            }
-        }
-        return batches
-    }
-
     /** The pause that keeps the walk to its share of the writes that this controller may make. */
     private fun pauseMs(records: Int): Long {
         val writesPerSecond = settings.stateWriteRps / settings.controllers * SHARE_OF_WRITES
@@ -299,8 +280,5 @@
         const val LEASES_BETWEEN_WALKS = 2
         const val SHARE_OF_WRITES = 0.125
         const val MS_PER_SECOND = 1000.0
-
-        /** The keys and conditions of one record in a transaction. */
-        const val KEY_BYTES = 250
     }
 }
