--- a/src/main/kotlin/micatally/job/FaultJudgement.kt
+++ b/src/main/kotlin/micatally/job/FaultJudgement.kt
@@ -28,7 +28,7 @@
         val pauseMs = health.pauseMs(settings.heartbeatIntervalMs, memoryMs)
         if (pauseMs > 0) job.retryAt = nowMs + pauseMs
         if (health.isSuspect) {
-            if (!wasSuspect) suspect(job, nowMs)
+            if (!wasSuspect) suspect(job)
             return
         }
         val runsElsewhere = health.hasSucceeded && !isProven
@@ -76,10 +76,8 @@
     ) = machine.health.hasSucceeded(nowMs, memoryMs) ||
         machine.attempts.any { it.job !== job && ranMs(it, nowMs) > settings.leaseMs }
 
-    private fun suspect(
-        job: Job,
-        nowMs: Long,
-    ) {
+    /** The job itself is at fault, so its failures no longer count against machines. */
+    private fun suspect(job: Job) {
         log.warn(
             "job {} fails wherever it starts: {} failures on {} machines; tried with one task at a time",
             job.jobId,
--- a/src/test/kotlin/micatally/job/RecordPackingTest.kt
+++ b/src/test/kotlin/micatally/job/RecordPackingTest.kt
@@ -3,7 +3,6 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.SupervisorJob
 import kotlinx.serialization.json.JsonObject
-import kotlinx.serialization.json.JsonPrimitive
 import micatally.emulator.Rehearsal
 import micatally.http.HttpCaller
 import micatally.http.Outcome
