--- a/src/main/kotlin/micatally/archive/RecordArchive.kt
+++ b/src/main/kotlin/micatally/archive/RecordArchive.kt
@@ -207,10 +207,14 @@
         writes: List<Write>,
     ): Transaction? {
         if (!shard.isLedHere || !ArchivePlan.mayMove(sharedKeys, hosts)) return null
-        return Transaction(recordConditions + isLedHere(shard) + ArchivePlan.conditions(sharedKeys, hosts), writes)
+        return Transaction(
+            recordConditions + leaderCondition(shard) + ArchivePlan.conditions(sharedKeys, hosts),
+            writes,
+        )
     }
 
-    private fun isLedHere(shard: JobShard) = Compare(Keys.shard(shard.name), shard.leader.modRevision)
+    /** Holds while the shard has the leader that it has now, which is this process. */
+    private fun leaderCondition(shard: JobShard) = Compare(Keys.shard(shard.name), shard.leader.modRevision)
 
     /** A record that was copied back is in both places. The copy is deleted if the archive has the same value. */
     private suspend fun removeCopy(
@@ -255,7 +259,7 @@
             state.transact(items.size, Urgency.SUMMARY) {
                 if (!shard.isLedHere) return@transact null
                 val recordConditions = items.flatMap { listOf(Compare(jobKey(it), 0), Compare(it.key, it.modRevision)) }
-                Transaction(recordConditions + isLedHere(shard), items.map { Put(jobKey(it), it.value) })
+                Transaction(recordConditions + leaderCondition(shard), items.map { Put(jobKey(it), it.value) })
             }
         return when (result) {
             is TransactionResult.Applied -> items.size
