--- a/src/main/kotlin/micatally/archive/RecordArchive.kt
+++ b/src/main/kotlin/micatally/archive/RecordArchive.kt
@@ -17,7 +17,6 @@
 import micatally.state.KeyValue
 import micatally.state.Put
 import micatally.state.ReadResult
-import micatally.state.StateLimits
 import micatally.state.StateStoreClient
 import micatally.state.Transaction
 import micatally.state.TransactionResult
@@ -133,7 +132,7 @@
         process: suspend (JobShard, List<KeyValue>) -> Int,
     ): Int {
         var count = 0
-        for (batch in batches(items)) {
+        for (batch in RecordBatches.split(items, recordsAtOnce)) {
             if (!shard.isLedHere) break
             count += process(shard, batch)
             delay(pauseMs(batch.size))
@@ -171,24 +170,6 @@
             null
         }
 
-    /** Splits the records into as many per batch as fit in a transaction, by count and by size. */
-    private fun batches(items: List<KeyValue>): List<List<KeyValue>> {
-        val batches = ArrayList<MutableList<KeyValue>>()
-        var bytes = 0
-        for (item in items) {
-            val size = item.value.toString().length + KEY_BYTES
-            val last = batches.lastOrNull()
-            if (last == null || last.size >= recordsAtOnce || bytes + size > StateLimits.TRANSACTION_BYTES) {
-                batches.add(arrayListOf(item))
-                bytes = size
-            } else {
-                last.add(item)
-                bytes += size
-            }
-        }
-        return batches
-    }
-
     /** The pause that keeps the walk to its share of the writes that this controller may make. */
     private fun pauseMs(records: Int): Long {
         val writesPerSecond = settings.stateWriteRps / settings.controllers * SHARE_OF_WRITES
@@ -226,10 +207,14 @@
         writes: List<Write>,
     ): Transaction? {
         if (!shard.isLedHere || !ArchivePlan.mayMove(sharedKeys, hosts)) return null
-        return Transaction(recordConditions + isLedHere(shard) + ArchivePlan.conditions(sharedKeys, hosts), writes)
+        return Transaction(
+            recordConditions + leaderCondition(shard) + ArchivePlan.conditions(sharedKeys, hosts),
+            writes,
+        )
     }
 
-    private fun isLedHere(shard: JobShard) = Compare(Keys.shard(shard.name), shard.leader.modRevision)
+    /** Holds while the shard has the leader that it has now, which is this process. */
+    private fun leaderCondition(shard: JobShard) = Compare(Keys.shard(shard.name), shard.leader.modRevision)
 
     /** A record that was copied back is in both places. The copy is deleted if the archive has the same value. */
     private suspend fun removeCopy(
@@ -274,7 +259,7 @@
             state.transact(items.size, Urgency.SUMMARY) {
                 if (!shard.isLedHere) return@transact null
                 val recordConditions = items.flatMap { listOf(Compare(jobKey(it), 0), Compare(it.key, it.modRevision)) }
-                Transaction(recordConditions + isLedHere(shard), items.map { Put(jobKey(it), it.value) })
+                Transaction(recordConditions + leaderCondition(shard), items.map { Put(jobKey(it), it.value) })
             }
         return when (result) {
             is TransactionResult.Applied -> items.size
@@ -299,8 +284,5 @@
         const val LEASES_BETWEEN_WALKS = 2
         const val SHARE_OF_WRITES = 0.125
         const val MS_PER_SECOND = 1000.0
-
-        /** The keys and conditions of one record in a transaction. */
-        const val KEY_BYTES = 250
     }
 }
