--- a/src/main/kotlin/micatally/quota/Quota.kt
+++ b/src/main/kotlin/micatally/quota/Quota.kt
@@ -71,13 +71,12 @@
      * of it.
      */
     private fun allotments(team: String): TeamAllotments {
-        val modRevision = sharedKeys.modRevision(Keys.team(team))
+        val key = Keys.team(team)
+        val modRevision = sharedKeys.modRevision(key)
         cachedAllotments[team]?.let { if (it.modRevision == modRevision) return it }
-        return TeamAllotments
-            .decode(
-                modRevision,
-                sharedKeys.value(Keys.team(team)),
-            ).also { cachedAllotments[team] = it }
+        val allotments = TeamAllotments.decode(modRevision, sharedKeys.value(key))
+        cachedAllotments[team] = allotments
+        return allotments
     }
 
     private fun snapshot(
