--- a/src/main/kotlin/micatally/gang/Gang.kt
+++ b/src/main/kotlin/micatally/gang/Gang.kt
@@ -54,7 +54,7 @@
         if (phase == GangPhase.WAITING) transitionTo(GangPhase.RUNNING)
     }
 
-    /** The tasks of the run are being told to save a checkpoint and exit. */
+    /** A graceful stop has been requested of all tasks of the run. */
     fun beginGracefulStop() = transitionTo(GangPhase.STOPPING)
 
     /** The run has failed, and its tasks are being stopped. */
--- a/src/main/kotlin/micatally/gang/GangTiming.kt
+++ b/src/main/kotlin/micatally/gang/GangTiming.kt
@@ -4,7 +4,7 @@
  * The times within which the workers of a gang act, from the settings.
  *
  * @property waitMs how long a worker lets a task wait for the others of its run before it ends the task
- * @property peerMs how soon after one task of a started run is gone or told to stop the others end by themselves
+ * @property peerMs how soon after one task of a started run is gone or being stopped the others end by themselves
  */
 class GangTiming(
     val waitMs: Long,
--- a/src/main/kotlin/micatally/scheduling/JobPlacement.kt
+++ b/src/main/kotlin/micatally/scheduling/JobPlacement.kt
@@ -116,6 +116,7 @@
         log.warn("job {}: {} of {} tasks at once, as many as its record holds", job.jobId, maxAttempts, job.taskCount)
     }
 
+    /** Limits that [UnplacedTasks] shares. */
     companion object {
         /** How many tasks of a job are placed by one call; the rest follows after the other jobs. */
         private const val MAX_TASKS_PER_CYCLE = 100
--- a/src/main/kotlin/micatally/scheduling/Preemption.kt
+++ b/src/main/kotlin/micatally/scheduling/Preemption.kt
@@ -172,6 +172,7 @@
         }
     }
 
+    /** Limits that [UnplacedTasks] shares. */
     companion object {
         /** For how many tasks of one request capacity is freed in one cycle. */
         const val MAX_PREEMPTIONS_PER_CYCLE = 8
