--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -285,7 +285,7 @@
             if (k.startsWith(Keys.DELETED_MACHINE)) {
                 val name = k.removePrefix(Keys.DELETED_MACHINE)
                 if (membership.sharedKeys.has(k)) {
-                    machines.deletedNames.add(name)
+                    machines.addDeletedName(name)
                     machines.of(name)?.let { jobManager.deleted(it) }
                 }
             }
@@ -361,10 +361,7 @@
             if (round % 100 ==
                 0
             ) {
-                machines.byName.values.removeIf {
-                    it.deleted && it.attempts.isEmpty() &&
-                        now - it.heardAt > settings.leaseMs * 6
-                }
+                machines.forgetDeleted { it.attempts.isEmpty() && now - it.heardAt > settings.leaseMs * 6 }
             }
         }
     }
--- a/src/main/kotlin/micatally/job/JobManager.kt
+++ b/src/main/kotlin/micatally/job/JobManager.kt
@@ -414,8 +414,7 @@
     private fun started(a: Attempt) {
         val m = a.machine
         a.job.spec?.let {
-            m.sawImage(it.image, it.imageGb, machines.machineTypes[m.type]?.cacheGb ?: 0.0)
-            m.ownImages.add(it.image)
+            m.sawOwnImage(it.image, it.imageGb, machines.machineTypes[m.type]?.cacheGb ?: 0.0)
         }
         log.info("task {} runs", a)
     }
--- a/src/main/kotlin/micatally/worker/Machine.kt
+++ b/src/main/kotlin/micatally/worker/Machine.kt
@@ -102,7 +102,8 @@
     var draining = false
 
     /** This controller's attempts here for whose end there is no evidence yet. */
-    val attempts = LinkedHashSet<Attempt>()
+    val attempts: Set<Attempt> get() = attachedAttempts
+    private val attachedAttempts = LinkedHashSet<Attempt>()
 
     private val reservations = CapacityReservations()
 
@@ -118,10 +119,12 @@
         private set
 
     /** Sizes in GB of the images that were seen here, most recent last. */
-    val images = LinkedHashMap<String, Double>()
+    val images: Map<String, Double> get() = imageSizes
+    private val imageSizes = LinkedHashMap<String, Double>()
 
     /** Those of them that this controller's own tasks ran with: it reports no others to its peers, or none would ever be forgotten. */
-    val ownImages = HashSet<String>()
+    val ownImages: Set<String> get() = imagesOfOwnTasks
+    private val imagesOfOwnTasks = HashSet<String>()
 
     /** When capacity last became free here. */
     var freedAt = 0L
@@ -177,7 +180,7 @@
 
     /** The attempt counts as using the machine from now on. */
     fun attach(attempt: Attempt) {
-        if (!attempts.add(attempt)) return
+        if (!attachedAttempts.add(attempt)) return
         attempt.job.spec?.let { ownUsed = ownUsed + it.resources }
         updateUsed()
     }
@@ -187,7 +190,7 @@
         attempt: Attempt,
         nowMs: Long,
     ) {
-        if (!attempts.remove(attempt)) return
+        if (!attachedAttempts.remove(attempt)) return
         freedAt = nowMs
         freedBy = null
         subtractOwn(attempt.job.spec?.resources ?: Resources.NONE)
@@ -220,18 +223,28 @@
         used = usedByPeers.values.fold(ownUsed) { sum, resources -> sum + resources }
     }
 
+    /** A task of this controller with the image runs here; otherwise like [sawImage]. */
+    fun sawOwnImage(
+        image: String,
+        gb: Double,
+        cacheGb: Double,
+    ) {
+        sawImage(image, gb, cacheGb)
+        imagesOfOwnTasks.add(image)
+    }
+
     /** A task with the image runs here. The least recent images are forgotten as the machine's cache forgets them. */
     fun sawImage(
         image: String,
         gb: Double,
         cacheGb: Double,
     ) {
-        images.remove(image)
-        images[image] = gb
-        while (images.size > 1 && images.values.sum() > cacheGb) {
-            val leastRecent = images.keys.first()
-            images.remove(leastRecent)
-            ownImages.remove(leastRecent)
+        imageSizes.remove(image)
+        imageSizes[image] = gb
+        while (imageSizes.size > 1 && imageSizes.values.sum() > cacheGb) {
+            val leastRecent = imageSizes.keys.first()
+            imageSizes.remove(leastRecent)
+            imagesOfOwnTasks.remove(leastRecent)
         }
     }
 
--- a/src/main/kotlin/micatally/worker/MachineRegistry.kt
+++ b/src/main/kotlin/micatally/worker/MachineRegistry.kt
@@ -14,11 +14,18 @@
     private val listener: MachineListener,
     private val nowMs: () -> Long,
 ) {
-    val byName = HashMap<String, Machine>()
+    private val machines = HashMap<String, Machine>()
+
+    /** All machines that are known, also those that are deleted but not forgotten yet. */
+    val byName: Map<String, Machine> get() = machines
+
+    /** By name; empty as long as they have not been read. */
     var machineTypes: Map<String, MachineType> = emptyMap()
 
-    /** Names of machines that are known to be deleted in the cloud: late heartbeats must not bring them back. */
-    val deletedNames = HashSet<String>()
+    private val namesOfDeleted = HashSet<String>()
+
+    /** Names of machines that are known to be deleted in the cloud, also of those that are forgotten. */
+    val deletedNames: Set<String> get() = namesOfDeleted
 
     /**
      * When a message of a worker itself reached this controller last, by zone. Not what other controllers forward: they may hear a zone
@@ -33,7 +40,18 @@
     /** When a message of a worker of the zone reached this controller last; long ago if none ever did. */
     fun reachedAt(zone: String) = reachedAt[zone] ?: LONG_AGO
 
-    fun of(name: String) = byName[name]
+    /** Null if no machine of this name is known. */
+    fun of(name: String): Machine? = machines[name]
+
+    /** The machine of this name is deleted in the cloud. From now on a late heartbeat can't bring it back. */
+    fun addDeletedName(name: String) {
+        namesOfDeleted.add(name)
+    }
+
+    /** Forgets the deleted machines for which the condition holds. Their names stay in [deletedNames]. */
+    fun forgetDeleted(condition: (Machine) -> Boolean) {
+        machines.values.removeIf { it.deleted && condition(it) }
+    }
 
     /** Returns the machine of this name, which is added if it is not known. What is not known of it yet is filled in. */
     fun findOrAdd(
@@ -43,13 +61,13 @@
         zone: String,
         spot: Boolean,
     ): Machine {
-        val machine = byName.getOrPut(name) { add(Machine(name, addr, type, zone, spot)) }
+        val machine = machines.getOrPut(name) { add(Machine(name, addr, type, zone, spot)) }
         machine.describe(addr, type, zone, spot)
         return machine
     }
 
     private fun add(machine: Machine): Machine {
-        machine.deleted = machine.name in deletedNames
+        machine.deleted = machine.name in namesOfDeleted
         machine.busyAt = nowMs()
         listener.machineAdded(machine)
         return machine
--- a/src/test/kotlin/micatally/worker/MachineRegistryTest.kt
+++ b/src/test/kotlin/micatally/worker/MachineRegistryTest.kt
@@ -121,10 +121,10 @@
         assertEquals(1, registry.of("m-1")?.sequence)
     }
 
-    /** Guard: `deletedNames`; a late heartbeat would make a machine that is gone take work again. */
+    /** Guard: `addDeletedName`; a late heartbeat would make a machine that is gone take work again. */
     @Test
     fun `a machine that is known to be deleted stays so when a late heartbeat comes`() {
-        registry.deletedNames.add("m-1")
+        registry.addDeletedName("m-1")
         registry.apply(heartbeat(1, 1), StatusSource.HEARTBEAT)
         assertTrue(registry.of("m-1")?.deleted == true)
     }
