--- a/src/main/kotlin/micatally/worker/CommandDispatcher.kt
+++ b/src/main/kotlin/micatally/worker/CommandDispatcher.kt
@@ -46,7 +46,8 @@
     private val planner =
         CommandPlanner(
             settings.heartbeatIntervalMs,
-            membership,
+            { membership.sharedKeys.fencingToken },
+            { membership.mayStart },
             attemptDirectory,
             cancelledTasks,
             ::requireHigherFencingToken,
--- a/src/main/kotlin/micatally/worker/CommandPlanner.kt
+++ b/src/main/kotlin/micatally/worker/CommandPlanner.kt
@@ -6,7 +6,6 @@
 import micatally.job.ShardState
 import micatally.job.StopReason
 import micatally.job.TerminationEvidence
-import micatally.membership.Membership
 import micatally.wire.Command
 import micatally.wire.CommandType
 import micatally.wire.ListedTask
@@ -18,11 +17,14 @@
  * bookkeeping: the next request contains again what is still missing. Used from the event loop only.
  *
  * @param killIntervalMs how long after a kill command the next one for the same attempt is sent
+ * @param fencingToken the highest fencing token that this controller knows
+ * @param mayStart whether tasks may be started at all at the moment
  * @param requireHigherFencingToken called when a run command may still arrive that only a higher fencing token can rule out
  */
 class CommandPlanner(
     private val killIntervalMs: Long,
-    private val membership: Membership,
+    private val fencingToken: () -> Long,
+    private val mayStart: () -> Boolean,
     private val attemptDirectory: AttemptDirectory,
     private val cancelledTasks: CancelledTasks,
     private val requireHigherFencingToken: () -> Unit,
@@ -51,14 +53,14 @@
      */
     fun plan(machine: Machine): CommandBatch? {
         val draft = Draft(machine, nowMs())
-        val fencingToken = membership.sharedKeys.fencingToken
+        val token = fencingToken()
         for (attempt in machine.attempts.toList()) planAttempt(draft, attempt)
         for (task in machine.tasks) {
             if (attemptDirectory.isLedHere(task.jobId) && !isCurrent(task, machine)) planFormerAttempt(draft, task)
         }
         if (draft.commands.isEmpty() && !draft.needsStatus) return null
-        if (draft.commands.size > MAX_COMMANDS) return firstPart(draft, fencingToken)
-        return CommandBatch(fencingToken, machine.incarnation, draft.commands, draft.coveredAttempts)
+        if (draft.commands.size > MAX_COMMANDS) return firstPart(draft, token)
+        return CommandBatch(token, machine.incarnation, draft.commands, draft.coveredAttempts)
     }
 
     private fun planAttempt(
@@ -105,7 +107,7 @@
         draft: Draft,
         attempt: Attempt,
     ) {
-        if (!membership.mayStart) return
+        if (!mayStart()) return
         // An attempt that was never sent needs no reconciliation: no former leader of the shard can have sent it.
         val isReconciled = draft.isReconciled(attempt) || attempt.sentAt == null
         if (!isReconciled) {
@@ -126,7 +128,7 @@
         val isSentBefore = attempt.sentAt != null
         if (!isSentBefore || attemptDirectory.isSuspended(attempt.job.jobId)) {
             draft.needsStatus = true
-        } else if (membership.mayStart) {
+        } else if (mayStart()) {
             draft.addRun(attempt)
         }
     }
@@ -180,7 +182,7 @@
     /** As many commands as one request holds. The response says nothing of an attempt whose first run command is not among them. */
     private fun firstPart(
         draft: Draft,
-        fencingToken: Long,
+        token: Long,
     ): CommandBatch {
         val commands = draft.commands.take(MAX_COMMANDS)
         draft.machine.channel.isSyncRequested = true
@@ -188,7 +190,7 @@
             draft.coveredAttempts.filter { attempt ->
                 attempt.state != AttemptState.RECORDED || commands.any { it.isRunOf(attempt) }
             }
-        return CommandBatch(fencingToken, draft.machine.incarnation, commands, coveredAttempts)
+        return CommandBatch(token, draft.machine.incarnation, commands, coveredAttempts)
     }
 
     private fun Command.isRunOf(attempt: Attempt) =
