--- a/src/main/kotlin/micatally/worker/AttemptId.kt
+++ b/src/main/kotlin/micatally/worker/AttemptId.kt
@@ -10,6 +10,7 @@
     val taskIndex: Int,
     val attempt: Long,
 ) {
+    /** The id of an attempt in each of its forms. */
     companion object {
         fun of(attempt: Attempt) = AttemptId(attempt.job.jobId, attempt.taskIndex, attempt.number)
 
--- a/src/main/kotlin/micatally/worker/Machine.kt
+++ b/src/main/kotlin/micatally/worker/Machine.kt
@@ -248,6 +248,7 @@
         }
     }
 
+    /** Special values of its fields. */
     companion object {
         /** Stands in [freedBy] for a machine that has only just come up. */
         const val NOBODY = ""
