--- a/src/main/kotlin/micatally/controller/DeletedMachineRemoval.kt
+++ b/src/main/kotlin/micatally/controller/DeletedMachineRemoval.kt
@@ -11,10 +11,7 @@
 
     /** Removes each deleted machine whose last heartbeat is long past. */
     fun run(nowMs: Long) {
-        machines.byName.values.removeIf { machine ->
-            val isSilent = nowMs - machine.heardAt > keptMs
-            machine.deleted && machine.attempts.isEmpty() && isSilent
-        }
+        machines.forgetDeleted { machine -> machine.attempts.isEmpty() && nowMs - machine.heardAt > keptMs }
     }
 
     private companion object {
--- a/src/main/kotlin/micatally/controller/SharedKeyEvents.kt
+++ b/src/main/kotlin/micatally/controller/SharedKeyEvents.kt
@@ -57,7 +57,7 @@
     private fun handle(event: SharedKeyEvent) {
         when (event) {
             is SharedKeyEvent.MachineDeleted -> {
-                machines.deletedNames.add(event.machine)
+                machines.addDeletedName(event.machine)
                 machines.of(event.machine)?.let { jobManager.deleted(it) }
             }
             is SharedKeyEvent.CancelledTasksChanged -> jobManager.cancellations.published(event.key)
--- a/src/main/kotlin/micatally/job/TaskReconciler.kt
+++ b/src/main/kotlin/micatally/job/TaskReconciler.kt
@@ -136,8 +136,7 @@
     private fun taskStarted(attempt: Attempt) {
         val machine = attempt.machine
         attempt.job.spec?.let {
-            machine.sawImage(it.image, it.imageGb, machines.machineTypes[machine.type]?.cacheGb ?: 0.0)
-            machine.ownImages.add(it.image)
+            machine.sawOwnImage(it.image, it.imageGb, machines.machineTypes[machine.type]?.cacheGb ?: 0.0)
         }
         log.info("task {} runs", attempt)
     }
