--- a/src/main/kotlin/micatally/api/HealthCheck.kt
+++ b/src/main/kotlin/micatally/api/HealthCheck.kt
@@ -21,7 +21,10 @@
             !isStarted() -> unavailable("starting")
             isLoadOverdue() -> unavailable("the ledger can't be loaded")
             isBehindOthers() -> unavailable("no contact with the state service")
-            contact.isCutOffFromWorkers && peers.contacts.hasStateStoreContact() -> unavailable("no contact with the workers")
+            contact.isCutOffFromWorkers && peers.contacts.hasStateStoreContact() ->
+                unavailable(
+                    "no contact with the workers",
+                )
             else -> HttpResponse(OK, "{}".encodeToByteArray())
         }
 
--- a/src/main/kotlin/micatally/api/JobLookup.kt
+++ b/src/main/kotlin/micatally/api/JobLookup.kt
@@ -126,7 +126,11 @@
         jobId: String,
     ): JobAnswer? {
         val host = membership.sharedKeys.leader(shard)?.host ?: return null
-        if (host == settings.host || !membership.sharedKeys.isLive(host) || !peers.contacts.isReachable(host)) return null
+        if (host == settings.host || !membership.sharedKeys.isLive(host) ||
+            !peers.contacts.isReachable(host)
+        ) {
+            return null
+        }
         val response = peers.jobClient.request(host, path, jobId, peerTimeoutMs) ?: return null
         val answer = JobAnswer(jobId, response.status, response.doneCount, response.runningCount)
         jobManager.rememberFinal(answer)
--- a/src/main/kotlin/micatally/api/SubmissionHandler.kt
+++ b/src/main/kotlin/micatally/api/SubmissionHandler.kt
@@ -67,7 +67,11 @@
     }
 
     /** This controller's own shard, if a job can be written to it now. */
-    private fun writableShard(): JobShard? = jobManager.ownShard()?.takeIf { contact.isStateReachable && contact.holdsLease }
+    private fun writableShard(): JobShard? =
+        jobManager.ownShard()?.takeIf {
+            contact.isStateReachable &&
+                contact.holdsLease
+        }
 
     /** Why a new job might never be started by this controller. */
     private fun obstacleToStart(
--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -357,7 +357,10 @@
                 PeriodicTask("spot evacuation", everyTicks = 1) { now -> spotEvacuation.run(now) },
                 PeriodicTask("fencing token raise", everyTicks = 1) { now -> fencingTokenRaise.run(now) },
                 PeriodicTask("allotment release", everyTicks = 20) { quota.releaseUnused() },
-                PeriodicTask("deletion record removal", everyTicks = 20) { scope.launch { fleetManager.pruneDeletionRecords() } },
+                PeriodicTask(
+                    "deletion record removal",
+                    everyTicks = 20,
+                ) { scope.launch { fleetManager.pruneDeletionRecords() } },
                 PeriodicTask("cancellation confirmation", everyTicks = 4) { now -> cancellations.follow(now) },
                 PeriodicTask("CPU usage report", everyTicks = 1) { now -> usageReport.run(now) },
                 PeriodicTask("unreachable machine search", everyTicks = 8) { now -> unreachableMachineSearch.run(now) },
--- a/src/main/kotlin/micatally/scheduling/ClusterView.kt
+++ b/src/main/kotlin/micatally/scheduling/ClusterView.kt
@@ -87,7 +87,8 @@
         val hasReported = machine.incarnation > 0 && machine.addr.isNotEmpty()
         val isHeardFrom = now - machine.heardAt < settings.leaseMs / 2 + settings.heartbeatIntervalMs
         if (isLeaving || !hasReported || !isHeardFrom) return false
-        return now >= machine.channel.unreachableUntilMs && now >= machine.fullUntil && now >= machine.health.excludedUntil
+        return now >= machine.channel.unreachableUntilMs && now >= machine.fullUntil &&
+            now >= machine.health.excludedUntil
     }
 
     /** Whether the machine is of a type and in a zone that the request names, and no unwanted spot instance. */
--- a/src/main/kotlin/micatally/scheduling/ReplicaMigration.kt
+++ b/src/main/kotlin/micatally/scheduling/ReplicaMigration.kt
@@ -38,7 +38,9 @@
         val plannedAt: Long,
     ) {
         val isStillWanted: Boolean
-            get() = attempt.isLive && attempt.stop == null && target.hasReservation(attempt.job.jobId, attempt.taskIndex)
+            get() =
+                attempt.isLive && attempt.stop == null &&
+                    target.hasReservation(attempt.job.jobId, attempt.taskIndex)
     }
 
     private val log = LoggerFactory.getLogger("micatally.scheduling")
--- a/src/main/kotlin/micatally/worker/CommandResponseHandler.kt
+++ b/src/main/kotlin/micatally/worker/CommandResponseHandler.kt
@@ -91,7 +91,10 @@
     ) {
         planner.forgetKill(attempt)
         val evidence = if (task.isDone) TerminationEvidence.COMPLETED else TerminationEvidence.DIRECT_RESPONSE
-        attemptDirectory.terminate(attempt, AttemptTermination(evidence, task.exitReasonText ?: "", task.exitReason, task.isSaved))
+        attemptDirectory.terminate(
+            attempt,
+            AttemptTermination(evidence, task.exitReasonText ?: "", task.exitReason, task.isSaved),
+        )
         attempt.machine.channel.isSyncRequested = true
     }
 }
--- a/src/test/kotlin/micatally/sim/StateStoreLimitsTest.kt
+++ b/src/test/kotlin/micatally/sim/StateStoreLimitsTest.kt
@@ -25,7 +25,8 @@
                 assertEquals(
                     1.0,
                     fleet.live[1]!!
-                        .machines.findOrAdd("m-%06d".format(n), "10.0.0.1:9", "g8", "a", false)
+                        .machines
+                        .findOrAdd("m-%06d".format(n), "10.0.0.1:9", "g8", "a", false)
                         .used.cores,
                 )
             }
--- a/src/test/kotlin/micatally/worker/CommandPlannerTest.kt
+++ b/src/test/kotlin/micatally/worker/CommandPlannerTest.kt
@@ -45,7 +45,7 @@
                 attempt: Attempt,
                 termination: AttemptTermination,
             ) {
-                ended.add(end.proof)
+                ended.add(termination.proof)
             }
         }
 
