--- a/src/main/kotlin/micatally/quota/Share.kt
+++ b/src/main/kotlin/micatally/quota/Share.kt
@@ -27,6 +27,7 @@
 
     override fun toString() = "$cores/$gpus"
 
+    /** Constants of amounts. */
     companion object {
         /** Neither cores nor GPUs. */
         val NONE = Share(0.0, 0.0)
--- a/src/main/kotlin/micatally/quota/TeamAllotments.kt
+++ b/src/main/kotlin/micatally/quota/TeamAllotments.kt
@@ -49,6 +49,7 @@
         row: AllotmentRow,
     ) = JsonObject((rows + (shard to row)).mapValues { (_, each) -> encode(each) })
 
+    /** The codec of the value of a team's key. */
     companion object {
         private val NO_ROW = AllotmentRow(Share.NONE, false)
 
--- a/src/main/kotlin/micatally/settings/Operator.kt
+++ b/src/main/kotlin/micatally/settings/Operator.kt
@@ -22,6 +22,7 @@
     val storesTeams: Boolean = false,
     val archiveMode: ArchiveMode = ArchiveMode.OFF,
 ) {
+    /** The defaults, and the reader of the properties file. */
     companion object {
         private const val QUEUE_BOUNDS = "queue.bounds-leases"
         private const val PROMOTION_RATIO = "queue.lift"
--- a/src/main/kotlin/micatally/settings/Settings.kt
+++ b/src/main/kotlin/micatally/settings/Settings.kt
@@ -108,7 +108,7 @@
     val cancellationDelayMs get() = leaseMs
 
     /** For how long after its last contact with the state store a controller may start tasks, on its own clock. */
-    val startBoundMs get() = cancellationDelayMs * START_BOUND_PERCENT / 100
+    val startBoundMs get() = cancellationDelayMs * START_BOUND_PERCENT / PERCENT_OF_ALL
 
     /**
      * For how long a controller may answer heartbeats after its last proof of contact with the state store. A cancellation
@@ -116,10 +116,14 @@
      * worker's lease and a margin of a tenth of it fit in [cancelMs].
      */
     val leadershipMs
-        get() = maxOf(leaseMs / 2, cancellationDelayMs + cancelMs - leaseMs * LEASE_WITH_MARGIN_PERCENT / 100)
+        get() =
+            maxOf(
+                leaseMs / 2,
+                cancellationDelayMs + cancelMs - leaseMs * LEASE_WITH_MARGIN_PERCENT / PERCENT_OF_ALL,
+            )
 
     /** The time to live of a controller's own lease in the state store. */
-    val liveMs get() = leaseMs * LIVE_PERCENT / 100
+    val liveMs get() = leaseMs * LIVE_PERCENT / PERCENT_OF_ALL
 
     /** The shortest time between two watch requests for the shared keys, so that they leave requests for all else. */
     val watchEveryMs get() = (MILLIS_PER_SECOND * controllers / stateLimits.rps * REQUESTS_PER_WATCH).toLong()
@@ -142,8 +146,10 @@
      */
     val handOverMs get() = leaseMs / HAND_OVERS_PER_LEASE
 
+    /** The reader of the settings file. */
     companion object {
         private const val MILLIS_PER_SECOND = 1000.0
+        private const val PERCENT_OF_ALL = 100
         private const val START_BOUND_PERCENT = 90
         private const val LEASE_WITH_MARGIN_PERCENT = 110
         private const val LIVE_PERCENT = 80
@@ -158,7 +164,7 @@
         private const val OUTGOING_SHARE_PERCENT = 42
 
         /** Returns how many of [maxSockets] a controller may open itself. */
-        fun outgoingSockets(maxSockets: Int) = maxSockets * OUTGOING_SHARE_PERCENT / 100
+        fun outgoingSockets(maxSockets: Int) = maxSockets * OUTGOING_SHARE_PERCENT / PERCENT_OF_ALL
 
         /**
          * Reads the settings file.
--- a/src/test/kotlin/micatally/quota/QuotaScheduleTest.kt
+++ b/src/test/kotlin/micatally/quota/QuotaScheduleTest.kt
@@ -36,18 +36,7 @@
 
         private fun step(isTroubled: Boolean) {
             fleet.faults = if (isTroubled) StateFaults.MANY else StateFaults.NONE
-            for ((i, controller) in fleet.controllers.withIndex()) {
-                if (fleet.now >= frozenUntil[i]) controller.isFrozen = false
-                if (controller.isFrozen) continue
-                if (random.nextInt(12) ==
-                    0
-                ) {
-                    controller.refreshCache(random.nextLong(1, if (random.nextInt(20) == 0) 3000 else 80))
-                }
-                if (random.nextInt(50) == 0) controller.quota.releaseUnused()
-                if (random.nextInt(3) == 0) demand(controller)
-                if (isTroubled && random.nextInt(1500) == 0) freeze(i)
-            }
+            for ((i, controller) in fleet.controllers.withIndex()) stepController(i, controller, isTroubled)
             if (random.nextInt(2) == 0) fleet.endRandomTask()
             if (isTroubled && random.nextInt(300) == 0) {
                 fleet.transferShard("ledger-${random.nextInt(size)}", random.nextInt(size))
@@ -56,6 +45,21 @@
             check()
         }
 
+        private fun stepController(
+            i: Int,
+            controller: QuotaFleet.Controller,
+            isTroubled: Boolean,
+        ) {
+            if (fleet.now >= frozenUntil[i]) controller.isFrozen = false
+            if (controller.isFrozen) return
+            if (random.nextInt(12) == 0) {
+                controller.refreshCache(random.nextLong(1, if (random.nextInt(20) == 0) 3000 else 80))
+            }
+            if (random.nextInt(50) == 0) controller.quota.releaseUnused()
+            if (random.nextInt(3) == 0) demand(controller)
+            if (isTroubled && random.nextInt(1500) == 0) freeze(i)
+        }
+
         private fun freeze(i: Int) {
             fleet.controllers[i].isFrozen = true
             frozenUntil[i] = fleet.now + random.nextLong(500, 15_000)
--- a/src/test/kotlin/micatally/quota/QuotaTest.kt
+++ b/src/test/kotlin/micatally/quota/QuotaTest.kt
@@ -19,7 +19,6 @@
 import micatally.job.JobState
 import micatally.job.ShardState
 import micatally.membership.Keys
-import micatally.membership.ShardLeader
 import micatally.membership.SharedKeyCache
 import micatally.settings.FixedTeams
 import micatally.settings.Team
@@ -116,7 +115,7 @@
             ).let { Job(it.jobId, it, shards[i], it.taskCount, 0, JobState.OPEN) }
     }
 
-    private fun quotaTest(
+    private fun withSetup(
         changesPerSecond: Double = 1000.0,
         test: suspend TestScope.(Setup) -> Unit,
     ) = runTest {
@@ -129,7 +128,7 @@
      * another owner could take what had been given back. */
     @Test
     fun `a lowering without an answer binds until it is seen`() =
-        quotaTest { setup ->
+        withSetup { setup ->
             val big = setup.job(0, 16.0, 1)
             assertFalse(setup.quotas[0].allows(big))
             advanceTimeBy(100)
@@ -148,7 +147,7 @@
      * what was submitted meanwhile was placed on top of what ran (seed 15 of the seeded days). */
     @Test
     fun `a ledger that is not loaded neither uses its allotment nor hands it back`() =
-        quotaTest { setup ->
+        withSetup { setup ->
             val job = setup.job(0, 16.0, 1)
             assertFalse(setup.quotas[0].allows(job))
             advanceTimeBy(100)
@@ -164,7 +163,7 @@
     /** Each owner kept a slack for its next job while another one's job waited for the team's limit, for good. */
     @Test
     fun `while an owner is short the others keep nothing that they don't use`() =
-        quotaTest { setup ->
+        withSetup { setup ->
             val small = setup.job(0, 1.0, 1)
             assertFalse(setup.quotas[0].allows(small))
             advanceTimeBy(100)
@@ -189,7 +188,7 @@
      * service wrote, twice the writes of the day. */
     @Test
     fun `two owners that are short don't hand a share to and fro`() =
-        quotaTest { setup ->
+        withSetup { setup ->
             val jobs = listOf(setup.job(0, 25.0, 1), setup.job(1, 25.0, 2))
             val before = setup.service.changesMade
             repeat(100) {
@@ -207,7 +206,7 @@
      * allotment below what had been placed in between; another owner was then given the same cards. */
     @Test
     fun `a raise that waited does not lower what was taken meanwhile`() =
-        quotaTest(changesPerSecond = 1.0) { setup ->
+        withSetup(changesPerSecond = 1.0) { setup ->
             val big = setup.job(0, 16.0, 1)
             assertFalse(setup.quotas[0].allows(big))
             advanceTimeBy(100)
@@ -223,7 +222,7 @@
      * the sum was still above the limit after each one's change; the team stood still for good. */
     @Test
     fun `a limit lowered below what two ledgers hold brings both to hand back`() =
-        quotaTest { setup ->
+        withSetup { setup ->
             for (i in 0..1) {
                 assertFalse(setup.quotas[i].allows(setup.job(i, 4.0, i)))
                 advanceTimeBy(100)
