--- a/src/main/kotlin/micatally/config/ConfigurationWriter.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationWriter.kt
@@ -118,9 +118,10 @@
         val newest = batch.last().record.version
         val nextHead = ChangeCodec.encode(ConfigurationHead(newest, head.snapshot, head.snapshotParts))
         val group = Put(Keys.configChange(newest), ChangeCodec.group(batch.map { it.value }))
-        val transact = Transaction(listOf(Compare(Keys.CONFIG, modRevision)), listOf(Put(Keys.CONFIG, nextHead), group))
+        val transaction =
+            Transaction(listOf(Compare(Keys.CONFIG, modRevision)), listOf(Put(Keys.CONFIG, nextHead), group))
         batch.forEach { it.pending.hasLeft = true }
-        if (commit(transact)) live.awaitVersion(newest, answerMs) else catchUp(modRevision)
+        if (commit(transaction)) live.awaitVersion(newest, answerMs) else catchUp(modRevision)
         for (staged in batch) settle(staged.pending)
         compact()
     }
@@ -170,10 +171,10 @@
      * Whether the transaction was applied by this call. After silence it may yet be carried out, so it is repeated, under the
      * same condition, until an answer shows that it has been or can't be any more.
      */
-    private suspend fun commit(transact: Transaction): Boolean {
+    private suspend fun commit(transaction: Transaction): Boolean {
         var wasSilent = false
         while (true) {
-            when (state.transact(transact.changes.size, Urgency.ACCEPTANCE) { transact }) {
+            when (state.transact(transaction.changes.size, Urgency.ACCEPTANCE) { transaction }) {
                 is TransactionResult.Applied -> return true
                 is TransactionResult.Failed -> return false
                 TransactionResult.Unknown -> wasSilent = true
@@ -210,8 +211,8 @@
         val modRevision = sharedKeys.modRevision(Keys.CONFIG)
         val parts = store.writeSnapshot(configuration) ?: return
         val next = ChangeCodec.encode(ConfigurationHead(head.version, head.version, parts))
-        val transact = Transaction(listOf(Compare(Keys.CONFIG, modRevision)), listOf(Put(Keys.CONFIG, next)))
-        if (commit(transact) && head.snapshot > 0) store.prune(head.snapshot)
+        val transaction = Transaction(listOf(Compare(Keys.CONFIG, modRevision)), listOf(Put(Keys.CONFIG, next)))
+        if (commit(transaction) && head.snapshot > 0) store.prune(head.snapshot)
         // The next change must be checked against the head that was just written.
         refreshView()
     }
--- a/src/main/kotlin/micatally/emulator/CloudEmulator.kt
+++ b/src/main/kotlin/micatally/emulator/CloudEmulator.kt
@@ -115,16 +115,16 @@
 
     /** Machines that are up from the start, beside those that are rented later. */
     suspend fun addRunning(
-        flavor: MachineType,
+        machineType: MachineType,
         zone: String,
         isSpot: Boolean,
         count: Int,
     ) {
         repeat(count) {
-            val car = Car("m-%06d".format(next++), flavor.label, zone, isSpot, nowMs())
+            val car = Car("m-%06d".format(next++), machineType.label, zone, isSpot, nowMs())
             cars[car.name] = car
             car.upAt = nowMs()
-            car.worker = boot(car.name, flavor, zone, isSpot).also { it.start() }
+            car.worker = boot(car.name, machineType, zone, isSpot).also { it.start() }
         }
     }
 
--- a/src/main/kotlin/micatally/emulator/LoopbackFleet.kt
+++ b/src/main/kotlin/micatally/emulator/LoopbackFleet.kt
@@ -92,7 +92,7 @@
             capacity(),
             plan.listLagMs,
             workerLoop::nowMs,
-            { name, flavor, zone, isSpot -> worker(name, flavor, zone, isSpot) },
+            { name, machineType, zone, isSpot -> worker(name, machineType, zone, isSpot) },
         ).also { it.bootMs = { _ -> plan.bootMs } }
     val state = StateStoreEmulator(plan.stateLimits, stateLoop::nowMs)
     val cloudAddr = "127.0.0.1:" + serve(workerLoop, MessageObserver.Interface.CLOUD) { cloud.handle(it) }.port
@@ -110,9 +110,9 @@
     private fun capacity(): MutableMap<Triple<String, String, Boolean>, Int> {
         val capacity = HashMap<Triple<String, String, Boolean>, Int>()
         for (zone in plan.zones) {
-            for (flavor in plan.machineTypes) {
+            for (machineType in plan.machineTypes) {
                 for (isSpot in listOf(true, false)) {
-                    capacity[Triple(flavor.label, zone, isSpot)] =
+                    capacity[Triple(machineType.label, zone, isSpot)] =
                         plan.machinesOfEachKind
                 }
             }
@@ -151,7 +151,7 @@
 
     private fun worker(
         name: String,
-        flavor: MachineType,
+        machineType: MachineType,
         zone: String,
         isSpot: Boolean,
     ): WorkerEmulator {
@@ -165,11 +165,11 @@
                 Random(name.hashCode()),
                 name,
                 addr,
-                flavor.label,
+                machineType.label,
                 zone,
                 isSpot,
-                flavor.resources,
-                flavor.pullGbPerS,
+                machineType.resources,
+                machineType.pullGbPerS,
                 plan.heartbeatIntervalMs,
                 plan.leaseMs,
                 controllers,
--- a/src/main/kotlin/micatally/scale/CpuUsageLines.kt
+++ b/src/main/kotlin/micatally/scale/CpuUsageLines.kt
@@ -11,10 +11,10 @@
 class CpuUsageLines(
     lines: List<String>,
 ) {
-    private val efforts = lines.filter { "micatally.cpu" in it }
+    private val usageLines = lines.filter { "micatally.cpu" in it }
 
     /** How many there are; each tells of about one lease. */
-    val count = efforts.size
+    val count = usageLines.size
 
     /** By kind of work, for all lines together. */
     val work: Map<String, CpuUsageFigures> = sum(Regex("""([a-z][a-z ]*)=(\d+)x/(\d+)ms/(\d+)ms"""))
@@ -23,8 +23,8 @@
     val writes: Map<String, CpuUsageFigures> =
         sum(Regex("""([a-z]+):(\d+)x/(\d+)ms/(\d+)ms"""), "writes=", " requests=")
 
-    val deltaBytesReceived = efforts.sumOf { number(it, "deltaBytesReceived=") }
-    val deltaBytesAnswered = efforts.sumOf { number(it, "deltaBytesAnswered=") }
+    val deltaBytesReceived = usageLines.sumOf { number(it, "deltaBytesReceived=") }
+    val deltaBytesAnswered = usageLines.sumOf { number(it, "deltaBytesAnswered=") }
 
     private fun sum(
         pattern: Regex,
@@ -32,7 +32,7 @@
         to: String = " machines=",
     ): Map<String, CpuUsageFigures> {
         val sums = LinkedHashMap<String, CpuUsageFigures>()
-        for (line in efforts) {
+        for (line in usageLines) {
             for (match in pattern.findAll(line.substringAfter(from).substringBefore(to))) {
                 val (name, count, total, longest) = match.destructured
                 val before = sums[name] ?: CpuUsageFigures(0, 0, 0)
--- a/src/main/kotlin/micatally/scale/Measurement.kt
+++ b/src/main/kotlin/micatally/scale/Measurement.kt
@@ -44,16 +44,17 @@
         latencies.isRecording = false
         val last = take()
         val seconds = (last.atNs - first.atNs) / 1e9
-        val efforts = CpuUsageLines(controllers.indices.flatMap { controllers[it].logLinesSince(first.logOffsets[it]) })
+        val usageLines =
+            CpuUsageLines(controllers.indices.flatMap { controllers[it].logLinesSince(first.logOffsets[it]) })
         return ScaleReport(
             origin = origin.copy(measuredSeconds = seconds),
             load = load(last, seconds),
             controllers = controllerFigures(last, seconds, restarts),
             messages = messageFigures(last, seconds),
             stored = storedFigures(last, seconds, stored),
-            work = workFigures(efforts),
-            writes = writeFigures(efforts),
-            peers = peerFigures(efforts),
+            work = workFigures(usageLines),
+            writes = writeFigures(usageLines),
+            peers = peerFigures(usageLines),
             latencies = latencies.figures(),
             standins = standinFigures(last, seconds),
         )
@@ -143,25 +144,26 @@
 
     /** What makes sums over the lines of all controllers rates of all of them together: each line tells of about one lease
      * of one controller. */
-    private fun perSecond(efforts: CpuUsageLines) = controllers.size / (maxOf(1, efforts.count) * leaseMs / 1000.0)
+    private fun perSecond(usageLines: CpuUsageLines) =
+        controllers.size / (maxOf(1, usageLines.count) * leaseMs / 1000.0)
 
-    private fun workFigures(efforts: CpuUsageLines) =
-        efforts.work.map { (kind, figures) ->
-            val factor = perSecond(efforts)
+    private fun workFigures(usageLines: CpuUsageLines) =
+        usageLines.work.map { (kind, figures) ->
+            val factor = perSecond(usageLines)
             WorkShare(kind, figures.count * factor, figures.totalMs / 1000.0 * factor, figures.longestMs)
         }
 
-    private fun writeFigures(efforts: CpuUsageLines) =
-        efforts.writes.map { (urgency, figures) ->
-            WriteFigures(urgency, figures.count * perSecond(efforts), figures.longestMs)
+    private fun writeFigures(usageLines: CpuUsageLines) =
+        usageLines.writes.map { (urgency, figures) ->
+            WriteFigures(urgency, figures.count * perSecond(usageLines), figures.longestMs)
         }
 
-    private fun peerFigures(efforts: CpuUsageLines): PeerFigures {
-        val factor = perSecond(efforts)
+    private fun peerFigures(usageLines: CpuUsageLines): PeerFigures {
+        val factor = perSecond(usageLines)
         return PeerFigures(
-            (efforts.work["deltas"]?.count ?: 0L) * factor,
-            efforts.deltaBytesReceived * factor,
-            efforts.deltaBytesAnswered * factor,
+            (usageLines.work["deltas"]?.count ?: 0L) * factor,
+            usageLines.deltaBytesReceived * factor,
+            usageLines.deltaBytesAnswered * factor,
         )
     }
 
--- a/src/main/kotlin/micatally/scale/ScaleRun.kt
+++ b/src/main/kotlin/micatally/scale/ScaleRun.kt
@@ -212,10 +212,10 @@
 
     private fun startWorkers() {
         workerLoop.scope.launch {
-            for ((type, flavor) in scenario.workers.types.zip(machineTypes)) {
+            for ((type, machineType) in scenario.workers.types.zip(machineTypes)) {
                 for ((i, zone) in scenario.zones.withIndex()) {
                     val share = type.count / scenario.zones.size + if (i < type.count % scenario.zones.size) 1 else 0
-                    fleet.cloud.addRunning(flavor, zone, false, share)
+                    fleet.cloud.addRunning(machineType, zone, false, share)
                 }
             }
         }
--- a/src/test/kotlin/micatally/scale/SweepTest.kt
+++ b/src/test/kotlin/micatally/scale/SweepTest.kt
@@ -59,13 +59,13 @@
         val line =
             "[x] INFO micatally.cpu - cpu usage heartbeats=10x/20ms/3ms shared keys=4x/8ms/5ms machines=20 waiting=0 " +
                 "deltaBytesReceived=100 deltaBytesAnswered=7 writes=lease:2x/0ms/1ms,intent:6x/1ms/9ms requests=lease:30x/0ms/0ms"
-        val efforts = CpuUsageLines(listOf(line, line, "something else"))
-        assertEquals(2, efforts.count)
-        assertEquals(20, efforts.work.getValue("heartbeats").count)
-        assertEquals(16, efforts.work.getValue("shared keys").totalMs)
-        assertEquals(12, efforts.writes.getValue("intent").count)
-        assertEquals(9, efforts.writes.getValue("intent").longestMs)
-        assertEquals(200, efforts.deltaBytesReceived)
-        assertEquals(14, efforts.deltaBytesAnswered)
+        val usageLines = CpuUsageLines(listOf(line, line, "something else"))
+        assertEquals(2, usageLines.count)
+        assertEquals(20, usageLines.work.getValue("heartbeats").count)
+        assertEquals(16, usageLines.work.getValue("shared keys").totalMs)
+        assertEquals(12, usageLines.writes.getValue("intent").count)
+        assertEquals(9, usageLines.writes.getValue("intent").longestMs)
+        assertEquals(200, usageLines.deltaBytesReceived)
+        assertEquals(14, usageLines.deltaBytesAnswered)
     }
 }
