--- /dev/null
+++ b/src/main/kotlin/micatally/scale/ScaleEnvironment.kt
@@ -0,0 +1,161 @@
+package micatally.scale
+
+import kotlinx.coroutines.launch
+import kotlinx.coroutines.runBlocking
+import kotlinx.coroutines.withContext
+import micatally.cli.Loop
+import micatally.emulator.ControllerPlace
+import micatally.emulator.LoopbackFleet
+import micatally.http.Client
+import micatally.wire.bytes
+import java.nio.file.Files
+import java.nio.file.Path
+import kotlin.random.Random
+
+/**
+ * All parts of one scale run: the event loops, the emulators, the controller processes and the load. Nothing but the
+ * emulators' servers runs before the start functions are called; [close] ends everything, once or several times.
+ *
+ * The random generators have seeds of their own, derived from the scenario's, so that the draws of one part do not depend on
+ * those of another.
+ *
+ * @param command starts a controller; the settings file is appended
+ */
+internal class ScaleEnvironment(
+    private val scenario: Scenario,
+    command: List<String>,
+) : AutoCloseable {
+    private val workerLoop = Loop("workers")
+    private val stateLoop = Loop("state")
+    private val userLoop = Loop("users")
+
+    /** Workers and cloud, state service, users: in this order. */
+    val loops = listOf(workerLoop, stateLoop, userLoop)
+
+    /** Holds the settings files and the logs of the controllers. */
+    val directory: Path = Files.createTempDirectory("micatally-scale")
+    val latencies = Latencies()
+    val messageCounters = MessageCounters()
+    private val jobs = JobPlan.of(scenario)
+    private val teams = scenario.buildTeams()
+    private val userClient = Client(userLoop.group, USER_SOCKETS, userLoop::nowMs)
+    private val places = choosePlaces()
+    private val configuration =
+        ConfigurationLoad(
+            userLoop.scope,
+            userClient,
+            places.map { it.back },
+            teams,
+            latencies,
+            Random(scenario.seed + 4),
+            userLoop::nowMs,
+        )
+    val history = RunHistory(jobs, configuration::teamInForce, scenario.cancelMs, latencies, workerLoop::nowMs)
+    private val machineTypes = scenario.buildMachineTypes()
+    val fleet =
+        LoopbackFleet(
+            workerLoop,
+            stateLoop,
+            scenario.buildFleetPlan(machineTypes, teams),
+            history,
+            messageCounters,
+        )
+    val controllers =
+        places.map { ControllerProcess(it, command + writeSettings(it), directory.resolve("${it.host}.log")) }
+    val balancer =
+        LoadBalancer(userLoop.scope, userClient, places.map { it.listen }, Random(scenario.seed + 1))
+    private val users =
+        Users(
+            userLoop.scope,
+            userClient,
+            balancer,
+            scenario.users,
+            history,
+            latencies,
+            messageCounters,
+            Random(scenario.seed + 2),
+            userLoop::nowMs,
+        )
+    private val failures =
+        Failures(workerLoop.scope, stateLoop.scope, fleet, controllers, Random(scenario.seed + 3)) {
+            history.controllersReturn()
+        }
+
+    /** How often each controller was started again, in the order of [controllers]. */
+    val restarts get() = failures.restarts
+
+    /** Each controller has a loopback address of its own: thousands of connections use up the ports of 127.0.0.1. */
+    private fun choosePlaces(): List<ControllerPlace> {
+        val network = "127.${Random.nextInt(1, 255)}.${Random.nextInt(1, 255)}"
+        return List(scenario.controllers) {
+            ControllerPlace(
+                host = "controller-%02d".format(it),
+                zone = scenario.zones[it % scenario.zones.size],
+                listen = "$network.${it + 1}:$FRONT_PORT",
+                back = "$network.${it + 1}:$BACK_PORT",
+            )
+        }
+    }
+
+    private fun writeSettings(place: ControllerPlace): String {
+        val file = directory.resolve("${place.host}.json")
+        Files.write(file, fleet.settings(place, places).bytes())
+        return file.toString()
+    }
+
+    /** Stores the jobs of earlier days, and starts the controllers, the workers and the load balancer's health checks. */
+    fun start() {
+        fleet.state.preload(scenario.buildFinishedJobRecords(jobs, places.map { it.host }))
+        fleet.controllers = places.associate { it.host to it.listen }
+        for (controller in controllers) controller.start()
+        startWorkers()
+        userLoop.scope.launch { balancer.start() }
+    }
+
+    private fun startWorkers() {
+        workerLoop.scope.launch {
+            for ((type, machineType) in scenario.workers.types.zip(machineTypes)) {
+                for ((zoneIndex, zone) in scenario.zones.withIndex()) {
+                    val remainder = if (zoneIndex < type.count % scenario.zones.size) 1 else 0
+                    fleet.cloud.addRunning(machineType, zone, false, type.count / scenario.zones.size + remainder)
+                }
+            }
+        }
+    }
+
+    /** Starts the users, who submit the planned jobs. */
+    fun startUsers() {
+        userLoop.scope.launch { users.start(jobs) }
+    }
+
+    /** Starts what belongs to the measured part alone: failures and changes of the configuration. */
+    fun startDisturbances() {
+        failures.start(scenario.failures)
+        scenario.configuration?.let { plan -> userLoop.scope.launch { configuration.start(plan) } }
+    }
+
+    /** What the state service holds, by prefix; read on its own loop, for which the calling thread waits. */
+    fun readStoredKeys() =
+        runBlocking { withContext(stateLoop.scope.coroutineContext) { fleet.state.storedByPrefix() } }
+
+    /** Ends the load: no new jobs from now on, and users cancel their services. */
+    fun endLoad() {
+        users.isEnding = true
+    }
+
+    /**
+     * Ends the load and every controller, by its own process id; may be called from any thread, also during a run. The loops
+     * are closed first: they carry failures that start controllers again, and those would run on beside the next run.
+     */
+    override fun close() {
+        for (loop in loops) loop.close()
+        for (controller in controllers) controller.kill()
+        if (history.violation == null) directory.toFile().deleteRecursively()
+    }
+
+    private companion object {
+        const val FRONT_PORT = 8080
+        const val BACK_PORT = 8081
+        const val USER_SOCKETS = 1500
+    }
+}
