--- a/src/main/kotlin/micatally/cli/ConfigCommand.kt
+++ b/src/main/kotlin/micatally/cli/ConfigCommand.kt
@@ -121,7 +121,7 @@
             parsed.commandSpec().commandLine().usage(System.err)
             return MISUSED
         }
-        val loop = Loop("config")
+        val loop = EventLoop("config")
         val http = Client(loop.group, SOCKETS, loop::nowMs)
         val client = ConfigurationClient(http, sub.matchedOptionValue("--controller", ""), TIMEOUT_MS)
         return try {
--- a/src/main/kotlin/micatally/cli/ControllerStart.kt
+++ b/src/main/kotlin/micatally/cli/ControllerStart.kt
@@ -49,7 +49,7 @@
  *
  * @throws AddressTaken if they don't become so */
 fun startController(
-    loop: Loop,
+    loop: EventLoop,
     settings: Settings,
     operator: Operator = Operator.DEFAULT,
 ): Pair<Server, Server> {
--- a/src/main/kotlin/micatally/cli/Loop.kt
+++ b/src/main/kotlin/micatally/cli/EventLoop.kt
@@ -55,7 +55,7 @@
 /** The event loop and its channel group: what one thread reads and another one times is decided in turn.
  *
  * @param name prefix of the names of both threads, so that processor time can be told apart by loop */
-class Loop(
+class EventLoop(
     val name: String = "node",
 ) : AutoCloseable {
     private val timers =
--- a/src/main/kotlin/micatally/cli/Main.kt
+++ b/src/main/kotlin/micatally/cli/Main.kt
@@ -48,7 +48,7 @@
 private fun serve(parsed: ParseResult): Int {
     val settings = readSettings(parsed.matchedOptionValue("--config", ""))
     val operator = readOperator(parsed.matchedOptionValue("--properties", null as String?))
-    startController(Loop(), settings, operator)
+    startController(EventLoop(), settings, operator)
     LoggerFactory.getLogger("micatally.controller").info("{} {} listens on {}", settings.host, VERSION, settings.listen)
     Thread.currentThread().join()
     return OK
--- a/src/main/kotlin/micatally/emulator/LoopbackFleet.kt
+++ b/src/main/kotlin/micatally/emulator/LoopbackFleet.kt
@@ -7,7 +7,7 @@
 import kotlinx.serialization.json.buildJsonArray
 import kotlinx.serialization.json.buildJsonObject
 import kotlinx.serialization.json.put
-import micatally.cli.Loop
+import micatally.cli.EventLoop
 import micatally.http.Client
 import micatally.http.HttpCaller
 import micatally.http.HttpRequest
@@ -71,8 +71,8 @@
  *
  * @param workerLoop carries workers and cloud, [stateLoop] the state service; they may be the same */
 class LoopbackFleet(
-    private val workerLoop: Loop,
-    private val stateLoop: Loop,
+    private val workerLoop: EventLoop,
+    private val stateLoop: EventLoop,
     private val plan: FleetPlan,
     private val tasks: FleetTasks,
     private val observer: MessageObserver = MessageObserver { _, _, _, _, _, _ -> },
@@ -121,7 +121,7 @@
     }
 
     private fun serve(
-        loop: Loop,
+        loop: EventLoop,
         peer: MessageObserver.Interface,
         handle: suspend (HttpRequest) -> HttpResponse,
     ): Server {
--- a/src/main/kotlin/micatally/emulator/Rehearsal.kt
+++ b/src/main/kotlin/micatally/emulator/Rehearsal.kt
@@ -8,7 +8,7 @@
 import kotlinx.serialization.json.buildJsonObject
 import kotlinx.serialization.json.put
 import micatally.cli.AddressTaken
-import micatally.cli.Loop
+import micatally.cli.EventLoop
 import micatally.cli.startController
 import micatally.http.Client
 import micatally.http.Outcome
@@ -119,7 +119,7 @@
 
     /** Whether jobs were accepted, run, finished and cancelled. */
     suspend fun run(): Boolean {
-        val world = Loop()
+        val world = EventLoop()
         val tasks = RehearsalTasks()
         val fleet = LoopbackFleet(world, world, plan(), tasks)
         lateinit var settings: Settings
@@ -128,7 +128,7 @@
             settings = Settings.parse(fleet.settings(place).bytes())
             // A port that was free a moment ago may have been taken meanwhile.
             try {
-                startController(Loop(), settings)
+                startController(EventLoop(), settings)
                 break
             } catch (e: AddressTaken) {
                 if (tries ==
--- a/src/main/kotlin/micatally/scale/Measurement.kt
+++ b/src/main/kotlin/micatally/scale/Measurement.kt
@@ -1,6 +1,6 @@
 package micatally.scale
 
-import micatally.cli.Loop
+import micatally.cli.EventLoop
 import micatally.emulator.LoopbackFleet
 import micatally.emulator.StoredKeys
 import java.lang.management.ManagementFactory
@@ -19,7 +19,7 @@
 
 /** Takes the figures of a run between [begin] and [end]. */
 class Measurement(
-    private val loops: List<Loop>,
+    private val loops: List<EventLoop>,
     private val fleet: LoopbackFleet,
     private val controllers: List<ControllerProcess>,
     private val history: RunHistory,
@@ -73,7 +73,7 @@
         )
 
     /** Processor time of a loop's two threads. */
-    private fun loopMs(loop: Loop): Long =
+    private fun loopMs(loop: EventLoop): Long =
         threads.allThreadIds
             .filter { threads.getThreadInfo(it)?.threadName?.startsWith("${loop.name}-") == true }
             .sumOf { threads.getThreadCpuTime(it) } / 1_000_000
--- a/src/main/kotlin/micatally/scale/ScaleEnvironment.kt
+++ b/src/main/kotlin/micatally/scale/ScaleEnvironment.kt
@@ -3,7 +3,7 @@
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.runBlocking
 import kotlinx.coroutines.withContext
-import micatally.cli.Loop
+import micatally.cli.EventLoop
 import micatally.emulator.ControllerPlace
 import micatally.emulator.LoopbackFleet
 import micatally.http.Client
@@ -25,9 +25,9 @@
     private val scenario: Scenario,
     command: List<String>,
 ) : AutoCloseable {
-    private val workerLoop = Loop("workers")
-    private val stateLoop = Loop("state")
-    private val userLoop = Loop("users")
+    private val workerLoop = EventLoop("workers")
+    private val stateLoop = EventLoop("state")
+    private val userLoop = EventLoop("users")
 
     /** Workers and cloud, state service, users: in this order. */
     val loops = listOf(workerLoop, stateLoop, userLoop)
--- a/src/test/kotlin/micatally/compatibility/MessagesTest.kt
+++ b/src/test/kotlin/micatally/compatibility/MessagesTest.kt
@@ -13,7 +13,7 @@
 import kotlinx.serialization.protobuf.ProtoBuf
 import kotlinx.serialization.serializer
 import micatally.archive.ArchiveMode
-import micatally.cli.Loop
+import micatally.cli.EventLoop
 import micatally.config.ConfigurationClient
 import micatally.config.ConfigurationPaths
 import micatally.fleet.CloudClient
@@ -293,7 +293,7 @@
     @Test
     fun `an answer's status line and headers`() {
         val head =
-            Loop("test").use { loop ->
+            EventLoop("test").use { loop ->
                 val server =
                     Server(loop.scope, loop.group, "127.0.0.1:0", 10, 1000) { errorResponse(503, "starting", 1) }
                 runBlocking { withContext(loop.scope.coroutineContext) { server.start() } }
--- a/src/test/kotlin/micatally/http/ClientTest.kt
+++ b/src/test/kotlin/micatally/http/ClientTest.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.coroutines.runBlocking
 import kotlinx.coroutines.withContext
-import micatally.cli.Loop
+import micatally.cli.EventLoop
 import micatally.state.RateBudget
 import micatally.state.StateStoreClient
 import micatally.state.Urgency
@@ -14,10 +14,10 @@
 
 /** Client and server over real sockets. */
 class ClientTest {
-    private fun onLoopback(test: suspend (Loop) -> Unit) =
-        Loop("test").use { loop -> runBlocking { withContext(loop.scope.coroutineContext) { test(loop) } } }
+    private fun onLoopback(test: suspend (EventLoop) -> Unit) =
+        EventLoop("test").use { loop -> runBlocking { withContext(loop.scope.coroutineContext) { test(loop) } } }
 
-    private fun Loop.serve(answer: ByteArray): String {
+    private fun EventLoop.serve(answer: ByteArray): String {
         val server = Server(scope, group, "127.0.0.1:0", 10, 1000) { HttpResponse(200, answer) }
         server.start()
         return "127.0.0.1:${server.port}"
