--- a/src/main/kotlin/micatally/cli/ScaleCommand.kt
+++ b/src/main/kotlin/micatally/cli/ScaleCommand.kt
@@ -3,9 +3,9 @@
 import kotlinx.serialization.json.Json
 import micatally.scale.Deployment
 import micatally.scale.MachineLimits
-import micatally.scale.NotEnough
+import micatally.scale.InsufficientResources
 import micatally.scale.ReportTable
-import micatally.scale.RunFailed
+import micatally.scale.ScaleRunFailed
 import micatally.scale.ScaleReport
 import micatally.scale.ScaleRun
 import micatally.scale.Scenario
@@ -122,9 +122,9 @@
             if (sub.commandSpec().name() == "sweep") sweep(sub) else runOnce(sub)
         } catch (e: ScenarioError) {
             refuse(e)
-        } catch (e: NotEnough) {
+        } catch (e: InsufficientResources) {
             refuse(e)
-        } catch (e: RunFailed) {
+        } catch (e: ScaleRunFailed) {
             System.err.println("micatally: ${e.message}")
             BROKEN
         }
--- a/src/main/kotlin/micatally/scale/Failures.kt
+++ b/src/main/kotlin/micatally/scale/FailureInjector.kt
@@ -10,7 +10,7 @@
 import kotlin.random.Random
 
 /** Carries out the failures of a scenario at their times. */
-class Failures(
+class FailureInjector(
     private val workerScope: CoroutineScope,
     private val stateScope: CoroutineScope,
     private val fleet: LoopbackFleet,
--- a/src/main/kotlin/micatally/scale/MachineLimits.kt
+++ b/src/main/kotlin/micatally/scale/MachineLimits.kt
@@ -5,7 +5,7 @@
 import java.lang.management.ManagementFactory
 
 /** What a run needs that this machine does not have; found before anything is started. */
-class NotEnough(
+class InsufficientResources(
     message: String,
 ) : Exception(message)
 
@@ -13,16 +13,16 @@
 object MachineLimits {
     fun check(scenario: Scenario) {
         val bean = ManagementFactory.getOperatingSystemMXBean() as? UnixOperatingSystemMXBean ?: return
-        val memory = scenario.controllers * CONTROLLER_BYTES + STANDIN_BYTES + scenario.workerCount * WORKER_BYTES
+        val memory = scenario.controllers * CONTROLLER_BYTES + EMULATOR_BYTES + scenario.workerCount * WORKER_BYTES
         val half = bean.totalMemorySize / 2
         if (memory > half) {
-            throw NotEnough(
+            throw InsufficientResources(
                 "needs about ${memory.mebibytes} MB of memory; half of this machine's is ${half.mebibytes} MB",
             )
         }
         val sockets = socketsNeeded(scenario)
         if (sockets > bean.maxFileDescriptorCount) {
-            throw NotEnough("needs about $sockets sockets; this process may open ${bean.maxFileDescriptorCount}")
+            throw InsufficientResources("needs about $sockets sockets; this process may open ${bean.maxFileDescriptorCount}")
         }
     }
 
@@ -37,6 +37,6 @@
 
     private const val OTHER_SOCKETS = 1000
     private const val CONTROLLER_BYTES = 250L * 1024 * 1024
-    private const val STANDIN_BYTES = 1024L * 1024 * 1024
+    private const val EMULATOR_BYTES = 1024L * 1024 * 1024
     private const val WORKER_BYTES = 256L * 1024
 }
--- a/src/main/kotlin/micatally/scale/Measurement.kt
+++ b/src/main/kotlin/micatally/scale/Measurement.kt
@@ -23,7 +23,7 @@
     private val fleet: LoopbackFleet,
     private val controllers: List<ControllerProcess>,
     private val history: RunHistory,
-    private val traffic: MessageCounters,
+    private val messageCounters: MessageCounters,
     private val latencies: Latencies,
     private val leaseMs: Long,
 ) {
@@ -37,7 +37,7 @@
 
     /** @param stored what the state service holds now, taken on its own loop */
     fun end(
-        origin: RunOrigin,
+        origin: RunParameters,
         restarts: IntArray,
         stored: Map<String, StoredKeys>,
     ): ScaleReport {
@@ -52,11 +52,11 @@
             controllers = controllerFigures(last, seconds, restarts),
             messages = messageFigures(last, seconds),
             stored = storedFigures(last, seconds, stored),
-            work = workFigures(usageLines),
+            work = cpuUsageShares(usageLines),
             writes = writeFigures(usageLines),
             peers = peerFigures(usageLines),
             latencies = latencies.figures(),
-            standins = standinFigures(last, seconds),
+            emulators = emulatorFigures(last, seconds),
         )
     }
 
@@ -65,7 +65,7 @@
             System.nanoTime(),
             history.starts,
             history.tasksInterrupted,
-            traffic.counts(),
+            messageCounters.counts(),
             fleet.state.changesByPrefix(),
             controllers.map { it.sample() },
             loops.associate { it.name to loopMs(it) },
@@ -109,7 +109,7 @@
         )
     }
 
-    private fun standinFigures(
+    private fun emulatorFigures(
         last: Snapshot,
         seconds: Double,
     ) = last.loops.map { (name, ms) ->
@@ -147,10 +147,10 @@
     private fun perSecond(usageLines: CpuUsageLines) =
         controllers.size / (maxOf(1, usageLines.count) * leaseMs / 1000.0)
 
-    private fun workFigures(usageLines: CpuUsageLines) =
+    private fun cpuUsageShares(usageLines: CpuUsageLines) =
         usageLines.work.map { (kind, figures) ->
             val factor = perSecond(usageLines)
-            WorkShare(kind, figures.count * factor, figures.totalMs / 1000.0 * factor, figures.longestMs)
+            CpuUsageShare(kind, figures.count * factor, figures.totalMs / 1000.0 * factor, figures.longestMs)
         }
 
     private fun writeFigures(usageLines: CpuUsageLines) =
--- a/src/main/kotlin/micatally/scale/RecoveryClock.kt
+++ b/src/main/kotlin/micatally/scale/RecoveryTimer.kt
@@ -15,7 +15,7 @@
 )
 
 /** Takes the times of [RecoveryFigures]. Not safe on several threads at once: its user sees to that. */
-class RecoveryClock(
+class RecoveryTimer(
     private val nowMs: () -> Long,
 ) {
     private var beganAtMs: Long? = null
--- a/src/main/kotlin/micatally/scale/RunHistory.kt
+++ b/src/main/kotlin/micatally/scale/RunHistory.kt
@@ -40,7 +40,7 @@
     private val rules = RuleChecker(teamInForce, cancelMs)
     private val jobs = planned.associate { it.spec.jobId to JobHistory(it) }
     private val beganMs = nowMs()
-    private val recovery = RecoveryClock(nowMs)
+    private val recovery = RecoveryTimer(nowMs)
 
     /** The first broken rule. */
     @Volatile
--- a/src/main/kotlin/micatally/scale/ScaleEnvironment.kt
+++ b/src/main/kotlin/micatally/scale/ScaleEnvironment.kt
@@ -64,8 +64,8 @@
         places.map { ControllerProcess(it, command + writeSettings(it), directory.resolve("${it.host}.log")) }
     val balancer =
         LoadBalancer(userLoop.scope, userClient, places.map { it.listen }, Random(scenario.seed + 1))
-    private val users =
-        Users(
+    private val userLoad =
+        UserLoad(
             userLoop.scope,
             userClient,
             balancer,
@@ -76,13 +76,13 @@
             Random(scenario.seed + 2),
             userLoop::nowMs,
         )
-    private val failures =
-        Failures(workerLoop.scope, stateLoop.scope, fleet, controllers, Random(scenario.seed + 3)) {
+    private val failureInjector =
+        FailureInjector(workerLoop.scope, stateLoop.scope, fleet, controllers, Random(scenario.seed + 3)) {
             history.controllersReturn()
         }
 
     /** How often each controller was started again, in the order of [controllers]. */
-    val restarts get() = failures.restarts
+    val restarts get() = failureInjector.restarts
 
     /** Each controller has a loopback address of its own: thousands of connections use up the ports of 127.0.0.1. */
     private fun choosePlaces(): List<ControllerPlace> {
@@ -125,12 +125,12 @@
 
     /** Starts the users, who submit the planned jobs. */
     fun startUsers() {
-        userLoop.scope.launch { users.start(jobs) }
+        userLoop.scope.launch { userLoad.start(jobs) }
     }
 
     /** Starts what belongs to the measured part alone: failures and changes of the configuration. */
     fun startDisturbances() {
-        failures.start(scenario.failures)
+        failureInjector.start(scenario.failures)
         scenario.configuration?.let { plan -> userLoop.scope.launch { configuration.start(plan) } }
     }
 
@@ -140,7 +140,7 @@
 
     /** Ends the load: no new jobs from now on, and users cancel their services. */
     fun endLoad() {
-        users.isEnding = true
+        userLoad.isEnding = true
     }
 
     /**
--- a/src/main/kotlin/micatally/scale/ScaleReport.kt
+++ b/src/main/kotlin/micatally/scale/ScaleReport.kt
@@ -1,11 +1,12 @@
 package micatally.scale
 
+import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 import java.util.Locale
 
-/** Where a run came from: what repeats it. */
+/** What a run was started with; the same values repeat it. */
 @Serializable
-data class RunOrigin(
+data class RunParameters(
     val scenario: String,
     val seed: Int,
     val workers: Int,
@@ -60,7 +61,7 @@
 
 /** One kind of work of all controllers, from their own `effort` lines. */
 @Serializable
-data class WorkShare(
+data class CpuUsageShare(
     val kind: String,
     val perSecond: Double,
     val coreShare: Double,
@@ -93,16 +94,16 @@
 /** All figures of one run. */
 @Serializable
 data class ScaleReport(
-    val origin: RunOrigin,
+    val origin: RunParameters,
     val load: LoadFigures,
     val controllers: List<ControllerFigures>,
     val messages: List<MessageFigures>,
     val stored: List<StoredFigures>,
-    val work: List<WorkShare>,
+    val work: List<CpuUsageShare>,
     val writes: List<WriteFigures>,
     val peers: PeerFigures,
     val latencies: List<LatencyFigures>,
-    val standins: List<EmulatorFigures>,
+    @SerialName("standins") val emulators: List<EmulatorFigures>,
 ) {
     val controllerCoreShare get() = controllers.map { it.coreShare }.average()
     val controllerResidentMb get() = controllers.map { it.residentMb }.average()
@@ -151,11 +152,13 @@
             row("news between controllers a second, all links", number(report.peers.messagesPerSecond))
             row("bytes of it a second", number(report.peers.requestBytesPerSecond + report.peers.answerBytesPerSecond))
             row("changes of the state service a second", number(report.changesPerSecond))
-            for (loop in report.standins) row("stand-ins, ${loop.loop}, share of a core", number(loop.coreShare))
+            for (loop in report.emulators) row("stand-ins, ${loop.loop}, share of a core", number(loop.coreShare))
             appendLine()
             row("waited for", "count", "p50 ms", "p90 ms", "p99 ms", "max ms")
             row("---", "---", "---", "---", "---", "---")
-            for (l in report.latencies) row(l.kind, l.count, l.p50Ms, l.p90Ms, l.p99Ms, l.maxMs)
+            for (latency in report.latencies) {
+                row(latency.kind, latency.count, latency.p50Ms, latency.p90Ms, latency.p99Ms, latency.maxMs)
+            }
             appendLine()
             row("interface", "message", "a second", "refused a second", "bytes in a second", "bytes out a second")
             row("---", "---", "---", "---", "---", "---")
--- a/src/main/kotlin/micatally/scale/ScaleRun.kt
+++ b/src/main/kotlin/micatally/scale/ScaleRun.kt
@@ -3,7 +3,7 @@
 import java.nio.file.Path
 
 /** The run could not be carried out; says nothing about whether a rule was broken. */
-class RunFailed(
+class ScaleRunFailed(
     message: String,
 ) : Exception(message)
 
@@ -39,7 +39,7 @@
     /**
      * Runs the scenario to its end, or to the first broken rule. Blocks the calling thread for the whole run.
      *
-     * @throws RunFailed if the controllers do not become healthy
+     * @throws ScaleRunFailed if the controllers do not become healthy
      */
     fun run(): ScaleReport {
         environment.start()
@@ -72,15 +72,15 @@
     }
 
     private fun origin() =
-        RunOrigin(name, scenario.seed, scenario.workerCount, scenario.controllers, scenario.teams.count, 0.0)
+        RunParameters(name, scenario.seed, scenario.workerCount, scenario.controllers, scenario.teams.count, 0.0)
 
     private fun awaitHealthy() {
         val deadlineNs = System.nanoTime() + HEALTHY_SECONDS * NS_PER_SECOND
         while (balancer.healthyCount < controllers.size) {
-            controllers.find { !it.isAlive }?.let { throw RunFailed("${it.place.host} has ended; see $logDirectory") }
+            controllers.find { !it.isAlive }?.let { throw ScaleRunFailed("${it.place.host} has ended; see $logDirectory") }
             if (System.nanoTime() > deadlineNs) {
                 val healthy = "${balancer.healthyCount} of ${controllers.size} controllers"
-                throw RunFailed("only $healthy are healthy after $HEALTHY_SECONDS s")
+                throw ScaleRunFailed("only $healthy are healthy after $HEALTHY_SECONDS s")
             }
             Thread.sleep(STEP_MS)
         }
--- a/src/main/kotlin/micatally/scale/Users.kt
+++ b/src/main/kotlin/micatally/scale/UserLoad.kt
@@ -14,14 +14,14 @@
 import kotlin.random.Random
 
 /** Users who submit the planned jobs, ask for them and cancel some. All run on the loop of [scope]. */
-class Users(
+class UserLoad(
     private val scope: CoroutineScope,
     private val http: HttpCaller,
     private val balancer: LoadBalancer,
     private val plan: UserPlan,
     private val history: RunHistory,
     private val latencies: Latencies,
-    private val traffic: MessageCounters,
+    private val messageCounters: MessageCounters,
     private val random: Random,
     private val nowMs: () -> Long,
 ) {
@@ -128,7 +128,7 @@
         val outcome = http.call(balancer.choose(), method, target, body, timeoutMs)
         val answer = outcome as? Outcome.Answer
         val status = answer?.status ?: 0
-        traffic.seen(
+        messageCounters.seen(
             MessageObserver.Interface.USER,
             method,
             target,
--- a/src/test/kotlin/micatally/scale/SweepTest.kt
+++ b/src/test/kotlin/micatally/scale/SweepTest.kt
@@ -14,7 +14,7 @@
         coreShare: Double,
         reports: Double,
     ) = ScaleReport(
-        RunOrigin("target", 1, size.workers, size.controllers, size.teams, 60.0),
+        RunParameters("target", 1, size.workers, size.controllers, size.teams, 60.0),
         LoadFigures(1.0, 1, 1, 0, size.workers),
         listOf(ControllerFigures("c", coreShare, 60.0, 60.0, 0)),
         listOf(MessageFigures("report", "report", reports, 0.0, 0.0, 0.0)),
