--- a/src/main/kotlin/micatally/scale/JobPlan.kt
+++ b/src/main/kotlin/micatally/scale/JobPlan.kt
@@ -1,10 +1,9 @@
 package micatally.scale
 
-import kotlinx.serialization.json.JsonNull
-import kotlinx.serialization.json.JsonObject
-import kotlinx.serialization.json.buildJsonObject
-import kotlinx.serialization.json.put
+import micatally.wire.Format
 import micatally.wire.JobSpec
+import micatally.wire.JobSubmission
+import micatally.wire.Resources
 import kotlin.random.Random
 
 /**
@@ -74,8 +73,8 @@
         val image = "${jobs.name}-${random.nextInt(jobs.images)}"
         val isCancelled = jobs.cancelAfterSeconds != null && random.nextDouble() < jobs.cancelShare
         return PlannedJob(
-            spec = JobSpec.parse(submission(number, jobs, team, image)),
-            runMs = if (jobs.format == "daemon") null else (jobs.runSeconds * MS).toLong(),
+            spec = JobSpec.parse(submission(number, jobs, team, image).encode()),
+            runMs = if (jobs.format == Format.SERVICE.word) null else (jobs.runSeconds * MS).toLong(),
             runSpread = jobs.runSpread,
             atMs = atMs,
             isUrgent = jobs.urgent,
@@ -88,29 +87,19 @@
         jobs: JobClassPlan,
         team: String,
         image: String,
-    ): JsonObject =
-        buildJsonObject {
-            put("ref", "j-%06d".format(number))
-            put("lane", jobs.name)
-            put("crew", team)
-            put("format", jobs.format)
-            put("grid", jobs.priority)
-            put("laps", jobs.tasks)
-            put("cores", jobs.cores)
-            put("cards", jobs.gpus)
-            put("ram_gb", jobs.ramGb)
-            put("livery", image)
-            put("size_gb", jobs.imageGb)
-            put("chassis", JsonNull)
-            put("circuit", JsonNull)
-            put("together", false)
-            put("scatter", jobs.spreadOverZones && jobs.tasks > 1)
-            put("loaners", false)
-            put("lap_time_s", jobs.runSeconds)
-            put("sector_s", 0.0)
-            put("pit_stop_s", 0.0)
-            put("flag_s", JsonNull)
-        }
+    ) = JobSubmission(
+        jobId = "j-%06d".format(number),
+        jobClass = jobs.name,
+        team = team,
+        format = jobs.format,
+        priority = jobs.priority,
+        taskCount = jobs.tasks,
+        resources = Resources(jobs.cores, jobs.gpus, jobs.ramGb),
+        image = image,
+        imageGb = jobs.imageGb,
+        scatter = jobs.spreadOverZones && jobs.tasks > 1,
+        estimateS = jobs.runSeconds,
+    )
 
     private const val MS = 1000L
 }
