--- a/src/main/kotlin/micatally/cli/ScaleCommand.kt
+++ b/src/main/kotlin/micatally/cli/ScaleCommand.kt
@@ -2,12 +2,12 @@
 
 import kotlinx.serialization.json.Json
 import micatally.scale.Deployment
-import micatally.scale.MachineLimits
 import micatally.scale.InsufficientResources
+import micatally.scale.MachineLimits
 import micatally.scale.ReportTable
-import micatally.scale.ScaleRunFailed
 import micatally.scale.ScaleReport
 import micatally.scale.ScaleRun
+import micatally.scale.ScaleRunFailed
 import micatally.scale.Scenario
 import micatally.scale.ScenarioError
 import micatally.scale.ScenarioFile
--- a/src/main/kotlin/micatally/scale/MachineLimits.kt
+++ b/src/main/kotlin/micatally/scale/MachineLimits.kt
@@ -22,7 +22,9 @@
         }
         val sockets = socketsNeeded(scenario)
         if (sockets > bean.maxFileDescriptorCount) {
-            throw InsufficientResources("needs about $sockets sockets; this process may open ${bean.maxFileDescriptorCount}")
+            throw InsufficientResources(
+                "needs about $sockets sockets; this process may open ${bean.maxFileDescriptorCount}",
+            )
         }
     }
 
--- a/src/main/kotlin/micatally/scale/ScaleRun.kt
+++ b/src/main/kotlin/micatally/scale/ScaleRun.kt
@@ -77,7 +77,11 @@
     private fun awaitHealthy() {
         val deadlineNs = System.nanoTime() + HEALTHY_SECONDS * NS_PER_SECOND
         while (balancer.healthyCount < controllers.size) {
-            controllers.find { !it.isAlive }?.let { throw ScaleRunFailed("${it.place.host} has ended; see $logDirectory") }
+            controllers.find { !it.isAlive }?.let {
+                throw ScaleRunFailed(
+                    "${it.place.host} has ended; see $logDirectory",
+                )
+            }
             if (System.nanoTime() > deadlineNs) {
                 val healthy = "${balancer.healthyCount} of ${controllers.size} controllers"
                 throw ScaleRunFailed("only $healthy are healthy after $HEALTHY_SECONDS s")
--- a/src/test/kotlin/micatally/cli/ControllerStartTest.kt
+++ b/src/test/kotlin/micatally/cli/ControllerStartTest.kt
@@ -20,7 +20,8 @@
             val addresses = mapOf("listen" to JsonPrimitive(taken), "back" to JsonPrimitive("127.0.0.1:0"))
             val fields = JsonObject(SimFleet(1).settingsOf(0) + addresses)
             val settings = Settings.parse(fields.bytes())
-            val refusal = assertThrows(AddressTaken::class.java) { EventLoop("test").use { startController(it, settings) } }
+            val refusal =
+                assertThrows(AddressTaken::class.java) { EventLoop("test").use { startController(it, settings) } }
             assertTrue(taken in refusal.message!!, refusal.message)
         }
     }
