--- a/src/main/kotlin/micatally/cli/ControllerStart.kt
+++ b/src/main/kotlin/micatally/cli/ControllerStart.kt
@@ -19,7 +19,8 @@
 /** One of the controller's addresses belongs to another process. */
 class AddressTaken(
     message: String,
-) : Exception(message)
+    cause: Throwable? = null,
+) : Exception(message, cause)
 
 /** A former process of this host may be about to end; another program stays. */
 private const val BIND_TRIES = 8
@@ -39,7 +40,7 @@
             server.bind()
             return
         } catch (e: IOException) {
-            if (attempt == BIND_TRIES - 1) throw AddressTaken("address $addr can't be used: ${e.message}")
+            if (attempt == BIND_TRIES - 1) throw AddressTaken("address $addr can't be used: ${e.message}", e)
             Thread.sleep(leaseMs / 4 / BIND_TRIES)
         }
     }
--- a/src/main/kotlin/micatally/cli/Main.kt
+++ b/src/main/kotlin/micatally/cli/Main.kt
@@ -30,7 +30,7 @@
     try {
         Settings.parse(Files.readAllBytes(Path.of(file)))
     } catch (e: IOException) {
-        throw SettingsError("settings file $file can't be read")
+        throw SettingsError("settings file $file can't be read", e)
     }
 
 private fun readOperator(file: String?): Operator {
@@ -39,7 +39,7 @@
     try {
         Files.newBufferedReader(Path.of(file)).use { properties.load(it) }
     } catch (e: IOException) {
-        throw SettingsError("properties file $file can't be read")
+        throw SettingsError("properties file $file can't be read", e)
     }
     return Operator.parse(properties)
 }
--- a/src/main/kotlin/micatally/scale/Deployment.kt
+++ b/src/main/kotlin/micatally/scale/Deployment.kt
@@ -17,9 +17,9 @@
             try {
                 TomlMapper().readTree(Files.readString(deployFile)).path("run").asText("")
             } catch (e: IOException) {
-                throw ScenarioError("deploy file $deployFile can't be read")
+                throw ScenarioError("deploy file $deployFile can't be read", e)
             } catch (e: JsonProcessingException) {
-                throw ScenarioError("deploy file $deployFile is not TOML")
+                throw ScenarioError("deploy file $deployFile is not TOML", e)
             }
         val words = run.split(' ').filter { it.isNotEmpty() }
         if (words.size < 2 || words.last() != "--config") {
--- a/src/main/kotlin/micatally/scale/Scenario.kt
+++ b/src/main/kotlin/micatally/scale/Scenario.kt
@@ -6,7 +6,8 @@
 /** A scenario that can't be read or makes no sense; the text names the key. */
 class ScenarioError(
     message: String,
-) : Exception(message)
+    cause: Throwable? = null,
+) : Exception(message, cause)
 
 /**
  * What one scale run consists of. All times are in seconds.
--- a/src/main/kotlin/micatally/scale/ScenarioFile.kt
+++ b/src/main/kotlin/micatally/scale/ScenarioFile.kt
@@ -31,7 +31,7 @@
         try {
             return Files.readString(Path.of(name))
         } catch (e: IOException) {
-            throw ScenarioError("no scenario $name: neither a file nor one of ${BUNDLED.joinToString(", ")}")
+            throw ScenarioError("no scenario $name: neither a file nor one of ${BUNDLED.joinToString(", ")}", e)
         }
     }
 
@@ -40,16 +40,16 @@
             try {
                 Json.parseToJsonElement(TomlMapper().readTree(toml).toString())
             } catch (e: JsonProcessingException) {
-                throw ScenarioError("not TOML: ${e.originalMessage}")
+                throw ScenarioError("not TOML: ${e.originalMessage}", e)
             }
         checkNames(tree, Scenario.serializer().descriptor, "")
         val scenario =
             try {
                 Json.decodeFromJsonElement<Scenario>(tree)
             } catch (e: SerializationException) {
-                throw ScenarioError(e.message?.lineSequence()?.first() ?: "a value has the wrong type")
+                throw ScenarioError(e.message?.lineSequence()?.first() ?: "a value has the wrong type", e)
             } catch (e: IllegalArgumentException) {
-                throw ScenarioError(e.message?.lineSequence()?.first() ?: "a value has the wrong type")
+                throw ScenarioError(e.message?.lineSequence()?.first() ?: "a value has the wrong type", e)
             }
         ScenarioCheck.check(scenario)
         return scenario
