--- a/src/main/kotlin/micatally/cli/Main.kt
+++ b/src/main/kotlin/micatally/cli/Main.kt
@@ -30,7 +30,7 @@
     try {
         Settings.parse(Files.readAllBytes(Path.of(file)))
     } catch (e: IOException) {
-        throw SettingsError("settings file $file can't be read")
+        throw SettingsError("settings file $file can't be read", e)
     }
 
 private fun readOperator(file: String?): Operator {
@@ -39,7 +39,7 @@
     try {
         Files.newBufferedReader(Path.of(file)).use { properties.load(it) }
     } catch (e: IOException) {
-        throw SettingsError("properties file $file can't be read")
+        throw SettingsError("properties file $file can't be read", e)
     }
     return Operator.parse(properties)
 }
@@ -48,7 +48,7 @@
 private fun serve(parsed: ParseResult): Int {
     val settings = readSettings(parsed.matchedOptionValue("--config", ""))
     val operator = readOperator(parsed.matchedOptionValue("--properties", null as String?))
-    startController(Loop(), settings, operator)
+    startController(EventLoop(), settings, operator)
     LoggerFactory.getLogger("micatally.controller").info("{} {} listens on {}", settings.host, VERSION, settings.listen)
     Thread.currentThread().join()
     return OK
