--- a/src/main/kotlin/micatally/emulator/WorkerEmulator.kt
+++ b/src/main/kotlin/micatally/emulator/WorkerEmulator.kt
@@ -100,18 +100,18 @@
 
     /** A gang's task has its image: from now on the workers of the gang decide together. */
     private inner class Member(
-        private val t: Task,
+        private val ownTask: Task,
     ) : GangMember {
-        override val task get() = t.taskIndex
+        override val task get() = ownTask.taskIndex
         override val isHung get() = hung
 
         override fun run() {
-            t.status = "running"
+            ownTask.status = "running"
             changed = true
         }
 
         override fun save() {
-            t.status = "saving"
+            ownTask.status = "saving"
             changed = true
         }
 
@@ -119,27 +119,27 @@
             reason: ExitReason,
             isSaved: Boolean,
         ) {
-            if (!t.isOnMachine || !alive) return
-            t.isSaved = isSaved
-            end(t, reason.word)
+            if (!ownTask.isOnMachine || !alive) return
+            ownTask.isSaved = isSaved
+            end(ownTask, reason.word)
         }
     }
 
     private fun joinGang(
-        t: Task,
+        task: Task,
         spec: JobSpec,
     ) {
-        t.status = "waiting"
+        task.status = "waiting"
         changed = true
-        val run = world.gangs.run(spec, t.attempt, world.runMs(t.jobId, 0) ?: 0L)
-        val member = Member(t)
-        t.run = run
-        t.member = member
+        val run = world.gangs.run(spec, task.attempt, world.runMs(task.jobId, 0) ?: 0L)
+        val member = Member(task)
+        task.run = run
+        task.member = member
         run.join(member)
     }
 
-    private fun leaveGang(t: Task) {
-        t.member?.let { t.run?.leave(it) }
+    private fun leaveGang(task: Task) {
+        task.member?.let { task.run?.leave(it) }
     }
 
     private var alive = true
@@ -158,22 +158,22 @@
 
     /** While it hangs nothing on it goes on; a lease that ran out meanwhile has ended when it does. */
     var hung = false
-        set(v) {
-            field = v
-            if (!v && alive) checkLease()
+        set(value) {
+            field = value
+            if (!value && alive) checkLease()
         }
     var spotNoticeS: Double? = null
-    private var reporter: Job? = null
-    private var leaser: Job? = null
+    private var heartbeatJob: Job? = null
+    private var leaseJob: Job? = null
     private var changed = false
 
     /** What is free beside all that has not ended. */
-    val free get() = tasks.values.filter { it.status != "ended" }.fold(total) { a, t -> a - t.resources }
-    val onMachine get() = tasks.values.filter { alive && (it.isOnMachine) }
+    val free get() = tasks.values.filter { it.status != "ended" }.fold(total) { free, task -> free - task.resources }
+    val onMachine get() = tasks.values.filter { alive && it.isOnMachine }
 
     fun start() {
-        reporter = scope.launch { reportLoop() }
-        leaser =
+        heartbeatJob = scope.launch { heartbeatLoop() }
+        leaseJob =
             scope.launch {
                 while (true) {
                     delay(100)
@@ -186,21 +186,21 @@
     fun stop() {
         if (!alive) return
         alive = false
-        reporter?.cancel()
-        leaser?.cancel()
-        for (t in tasks.values.toList()) drop(t)
+        heartbeatJob?.cancel()
+        leaseJob?.cancel()
+        for (task in tasks.values.toList()) drop(task)
         tasks.clear()
     }
 
-    private fun drop(t: Task) {
-        t.job?.cancel()
-        if (t.isOnMachine) world.left(this, t.jobId, t.taskIndex, false)
-        leaveGang(t)
+    private fun drop(task: Task) {
+        task.job?.cancel()
+        if (task.isOnMachine) world.left(this, task.jobId, task.taskIndex, false)
+        leaveGang(task)
     }
 
     private fun checkLease() {
         if (nowMs() - renewedAt <= leaseMs) return
-        for (t in tasks.values.toList()) drop(t)
+        for (task in tasks.values.toList()) drop(task)
         tasks.clear()
         incarnation++
         renewedAt = nowMs()
@@ -221,123 +221,130 @@
             put(
                 "laps",
                 JsonArray(
-                    tasks.values.map { t ->
+                    tasks.values.map { task ->
                         buildJsonObject {
-                            put("lap", "${t.jobId}/${t.taskIndex}")
-                            put("start", t.attempt)
-                            put("status", t.status)
-                            if (t.why != null) put("retire_reason", t.why)
-                            if (t.isSaved) put("saved", true)
+                            put("lap", "${task.jobId}/${task.taskIndex}")
+                            put("start", task.attempt)
+                            put("status", task.status)
+                            if (task.why != null) put("retire_reason", task.why)
+                            if (task.isSaved) put("saved", true)
                         }
                     },
                 ),
             )
         }
 
-    private suspend fun reportLoop() {
-        val names = controllers.keys.sorted()
-        var at = random.nextInt(names.size)
+    private suspend fun heartbeatLoop() {
+        val controllerNames = controllers.keys.sorted()
+        var index = random.nextInt(controllerNames.size)
         delay(random.nextLong(maxOf(1L, heartbeatIntervalMs)))
         while (true) {
             while (hung) delay(50)
             checkLease()
-            val sent = nowMs()
-            val mySession = incarnation
+            val sentAt = nowMs()
+            val incarnationAtSend = incarnation
             changed = false
-            val out = http.call(controllers.getValue(names[at]), "POST", "/v1/report", report().bytes(), 4000)
+            val outcome =
+                http.call(
+                    controllers.getValue(controllerNames[index]),
+                    "POST",
+                    "/v1/report",
+                    report().bytes(),
+                    4000,
+                )
             while (hung) delay(50)
             checkLease()
-            if (out is Outcome.Answer && out.status == 200) {
-                val o = parseObject(out.body)
-                val t = o.longOrNull("baton") ?: 0L
-                if (t >= token && mySession == incarnation && nowMs() - sent <= 4000) {
-                    token = t
-                    renewedAt = maxOf(renewedAt, sent)
-                    execute(o)
+            if (outcome is Outcome.Answer && outcome.status == 200) {
+                val response = parseObject(outcome.body)
+                val newToken = response.longOrNull("baton") ?: 0L
+                if (newToken >= token && incarnationAtSend == incarnation && nowMs() - sentAt <= 4000) {
+                    token = newToken
+                    renewedAt = maxOf(renewedAt, sentAt)
+                    execute(response)
                 }
-                val until = nowMs() + heartbeatIntervalMs * 3 / 4 + random.nextLong(heartbeatIntervalMs / 2 + 1)
+                val nextAt = nowMs() + heartbeatIntervalMs * 3 / 4 + random.nextLong(heartbeatIntervalMs / 2 + 1)
                 delay(minOf(500L, heartbeatIntervalMs / 2))
-                while (nowMs() < until && !changed) delay(50)
+                while (nowMs() < nextAt && !changed) delay(50)
             } else {
-                val marshal =
-                    if (out is Outcome.Answer &&
-                        out.status == 421
+                val leader =
+                    if (outcome is Outcome.Answer &&
+                        outcome.status == 421
                     ) {
                         try {
-                            parseObject(out.body).textOrNull("marshal")
-                        } catch (e: MalformedMessage) {
+                            parseObject(outcome.body).textOrNull("marshal")
+                        } catch (_: MalformedMessage) {
                             null
                         }
                     } else {
                         null
                     }
-                if (marshal != null && marshal in controllers &&
-                    names[at] != marshal
+                if (leader != null && leader in controllers &&
+                    controllerNames[index] != leader
                 ) {
-                    at = names.indexOf(marshal)
+                    index = controllerNames.indexOf(leader)
                     delay(100)
                 } else {
-                    at = (at + 1) % names.size
+                    index = (index + 1) % controllerNames.size
                     delay(1000)
                 }
             }
         }
     }
 
-    suspend fun handle(r: HttpRequest): HttpResponse {
+    suspend fun handle(request: HttpRequest): HttpResponse {
         while (hung) delay(50)
         if (!alive) return errorResponse(503, "gone")
         checkLease()
-        if (r.path == "/show") return HttpResponse(200, report().bytes())
-        if (r.path != "/orders") return errorResponse(404, "no such resource")
-        val o = parseObject(r.body)
-        val t = o.longOrNull("baton") ?: return errorResponse(400, "baton is missing")
-        val s = o.longOrNull("stint") ?: return errorResponse(400, "stint is missing")
-        if (t < token || s != incarnation) return HttpResponse(409, report().bytes())
-        token = t
-        execute(o)
+        if (request.path == "/show") return HttpResponse(200, report().bytes())
+        if (request.path != "/orders") return errorResponse(404, "no such resource")
+        val body = parseObject(request.body)
+        val newToken = body.longOrNull("baton") ?: return errorResponse(400, "baton is missing")
+        val addressedIncarnation = body.longOrNull("stint") ?: return errorResponse(400, "stint is missing")
+        if (newToken < token || addressedIncarnation != incarnation) return HttpResponse(409, report().bytes())
+        token = newToken
+        execute(body)
         return HttpResponse(200, report().bytes())
     }
 
-    private fun execute(o: JsonObject) {
-        for (c in (o.listOrNull("radio") ?: emptyList()).map { it.asObject() }) {
-            val name = c.text("lap")
+    private fun execute(message: JsonObject) {
+        for (command in (message.listOrNull("radio") ?: emptyList()).map { it.asObject() }) {
+            val name = command.text("lap")
             val jobId = name.substringBeforeLast('/')
             val taskIndex = name.substringAfterLast('/').toInt()
-            val id = Triple(jobId, taskIndex, c.long("start"))
-            when (c.text("call")) {
+            val id = Triple(jobId, taskIndex, command.long("start"))
+            when (command.text("call")) {
                 "run" -> run(id)
-                "kill" -> tasks[id]?.let { kill(it, c.numberOrNull("cooldown_s") ?: 0.0) }
+                "kill" -> tasks[id]?.let { kill(it, command.numberOrNull("cooldown_s") ?: 0.0) }
                 "clear" -> if (tasks[id]?.status == "ended") tasks.remove(id)
             }
         }
     }
 
     private fun end(
-        t: Task,
+        task: Task,
         why: String,
     ) {
-        val wasOnMachine = t.isOnMachine
-        t.status = "ended"
-        t.why = why
+        val wasOnMachine = task.isOnMachine
+        task.status = "ended"
+        task.why = why
         changed = true
-        if (wasOnMachine) world.left(this, t.jobId, t.taskIndex, why == "done")
-        leaveGang(t)
+        if (wasOnMachine) world.left(this, task.jobId, task.taskIndex, why == "done")
+        leaveGang(task)
     }
 
     private fun run(id: Triple<String, Int, Long>) {
         if (id in tasks) return
         val spec = world.spec(id.first)
-        val t = Task(id.first, id.second, id.third, spec?.resources ?: Resources.NONE)
-        tasks[id] = t
+        val task = Task(id.first, id.second, id.third, spec?.resources ?: Resources.NONE)
+        tasks[id] = task
         changed = true
-        val live = tasks.values.filter { it !== t && it.status != "ended" }
+        val live = tasks.values.filter { it !== task && it.status != "ended" }
         when {
-            spec == null || t.taskIndex !in 0 until spec.taskCount -> end(t, "unknown")
-            live.any { it.jobId == t.jobId && it.taskIndex == t.taskIndex } -> end(t, "in_use")
-            !t.resources.fitsIn(live.fold(total) { a, b -> a - b.resources }) -> end(t, "full")
+            spec == null || task.taskIndex !in 0 until spec.taskCount -> end(task, "unknown")
+            live.any { it.jobId == task.jobId && it.taskIndex == task.taskIndex } -> end(task, "in_use")
+            !task.resources.fitsIn(live.fold(total) { free, other -> free - other.resources }) -> end(task, "full")
             else ->
-                t.job =
+                task.job =
                     scope.launch {
                         if (spec.image !in
                             images
@@ -346,57 +353,57 @@
                             images.add(spec.image)
                         }
                         while (hung) delay(50)
-                        t.status = "running"
+                        task.status = "running"
                         changed = true
-                        world.started(this@WorkerEmulator, t.jobId, t.taskIndex)
-                        if (spec.isGang && !sick && !world.completed(t.jobId, t.taskIndex)) {
-                            joinGang(t, spec)
+                        world.started(this@WorkerEmulator, task.jobId, task.taskIndex)
+                        if (spec.isGang && !sick && !world.completed(task.jobId, task.taskIndex)) {
+                            joinGang(task, spec)
                             return@launch
                         }
-                        if (sick || world.isBroken(t.jobId)) {
+                        if (sick || world.isBroken(task.jobId)) {
                             delay(FAILS_AFTER_MS)
-                            end(t, "error")
+                            end(task, "error")
                             return@launch
                         }
-                        if (world.completed(t.jobId, t.taskIndex)) {
-                            end(t, "done")
+                        if (world.completed(task.jobId, task.taskIndex)) {
+                            end(task, "done")
                             return@launch
                         }
-                        val ms = world.runMs(t.jobId, t.taskIndex) ?: return@launch
-                        delay(ms)
+                        val durationMs = world.runMs(task.jobId, task.taskIndex) ?: return@launch
+                        delay(durationMs)
                         while (hung) delay(50)
-                        end(t, "done")
+                        end(task, "done")
                     }
         }
     }
 
     private fun kill(
-        t: Task,
-        grace: Double,
+        task: Task,
+        graceS: Double,
     ) {
-        if (t.status == "ended") return
-        val spec = world.spec(t.jobId)
-        val mayGrace = spec != null && spec.checkpointS > 0 && grace >= spec.saveS && grace > 0
-        val run = t.run
-        if (t.status == "running" && mayGrace && run != null) {
-            run.kill(t.member!!)
+        if (task.status == "ended") return
+        val spec = world.spec(task.jobId)
+        val maySave = spec != null && spec.checkpointS > 0 && graceS >= spec.saveS && graceS > 0
+        val run = task.run
+        if (task.status == "running" && maySave && run != null) {
+            run.kill(task.member!!)
             return
         }
-        if (t.status == "running" && spec != null && mayGrace) {
-            t.job?.cancel()
-            t.status = "saving"
+        if (task.status == "running" && spec != null && maySave) {
+            task.job?.cancel()
+            task.status = "saving"
             changed = true
-            t.job =
+            task.job =
                 scope.launch {
                     delay((spec.saveS * 1000).toLong())
-                    t.isSaved = true
-                    end(t, "stopped")
+                    task.isSaved = true
+                    end(task, "stopped")
                 }
             return
         }
-        if (t.status == "saving" && grace > 0) return
-        t.job?.cancel()
-        end(t, "stopped")
+        if (task.status == "saving" && graceS > 0) return
+        task.job?.cancel()
+        end(task, "stopped")
     }
 
     private companion object {
