--- a/src/main/kotlin/micatally/emulator/WorkerEmulator.kt
+++ b/src/main/kotlin/micatally/emulator/WorkerEmulator.kt
@@ -11,11 +11,7 @@
 import micatally.http.HttpCaller
 import micatally.http.HttpRequest
 import micatally.http.HttpResponse
-import micatally.http.Outcome
 import micatally.http.errorResponse
-import micatally.wire.ExitReason
-import micatally.wire.JobSpec
-import micatally.wire.MalformedMessage
 import micatally.wire.Resources
 import micatally.wire.asObject
 import micatally.wire.bytes
@@ -25,388 +21,195 @@
 import micatally.wire.numberOrNull
 import micatally.wire.parseObject
 import micatally.wire.text
-import micatally.wire.textOrNull
+import micatally.worker.AttemptId
 import kotlin.random.Random
 
-/** What the tasks of a fleet do and who hears of their starts and ends. */
-interface FleetTasks {
-    fun spec(jobId: String): JobSpec?
-
-    /** How long a task takes without its image, in milliseconds; null: until it is stopped. */
-    fun runMs(
-        jobId: String,
-        taskIndex: Int,
-    ): Long?
-
-    fun started(
-        machine: WorkerEmulator,
-        jobId: String,
-        taskIndex: Int,
-    )
-
-    fun left(
-        machine: WorkerEmulator,
-        jobId: String,
-        taskIndex: Int,
-        done: Boolean,
-    )
-}
-
-/** What tells the emulator of a worker about jobs, and what hears of starts and ends. */
-interface WorkerWorld : FleetTasks {
-    fun completed(
-        jobId: String,
-        taskIndex: Int,
-    ): Boolean
-
-    /** Whether the job was submitted with a mistake: its tasks fail on every machine. */
-    fun isBroken(jobId: String): Boolean = false
-
-    val gangs: GangTable
-}
-
-/** A worker as the protocol page describes it. */
+/**
+ * An emulated worker on a machine of its own, as the protocol page describes it: its lease, its heartbeats and the
+ * endpoint for commands. Its tasks are simulated by [TaskExecution].
+ *
+ * Not thread-safe: everything runs on the one thread of [scope]. All times are in milliseconds by [nowMs].
+ */
 class WorkerEmulator(
     private val scope: CoroutineScope,
-    private val http: HttpCaller,
-    private val world: WorkerWorld,
-    private val random: Random,
+    http: HttpCaller,
+    world: WorkerWorld,
+    random: Random,
     val name: String,
     val addr: String,
     val type: String,
     val zone: String,
     val isSpot: Boolean,
-    private val total: Resources,
-    private val pullGbPerS: Double,
-    private val heartbeatIntervalMs: Long,
+    total: Resources,
+    pullGbPerS: Double,
+    heartbeatIntervalMs: Long,
     private val leaseMs: Long,
-    private val controllers: Map<String, String>,
+    controllers: Map<String, String>,
     private val nowMs: () -> Long,
 ) {
-    class Task(
-        val jobId: String,
-        val taskIndex: Int,
-        val attempt: Long,
-        val resources: Resources,
-    ) {
-        var status = "pulling"
-        var why: String? = null
-        var isSaved = false
-        var job: Job? = null
-        var run: GangTable.GangRun? = null
-        var member: GangMember? = null
-        val isOnMachine get() = status == "waiting" || status == "running" || status == "saving"
-    }
-
-    /** A gang's task has its image: from now on the workers of the gang decide together. */
-    private inner class Member(
-        private val ownTask: Task,
-    ) : GangMember {
-        override val task get() = ownTask.taskIndex
-        override val isHung get() = hung
-
-        override fun run() {
-            ownTask.status = "running"
-            changed = true
-        }
+    private val heartbeats = HeartbeatLoop(Sender(), http, controllers, random, heartbeatIntervalMs, nowMs)
 
-        override fun save() {
-            ownTask.status = "saving"
-            changed = true
-        }
+    /** Machines of a type differ in how fast they fetch images, by up to a third. */
+    private val fetchGbPerS = pullGbPerS * Random(name.hashCode()).nextDouble(2.0 / 3, 4.0 / 3)
+    private val execution = TaskExecution(scope, world, this, total, fetchGbPerS, heartbeats::noteChange)
 
-        override fun exit(
-            reason: ExitReason,
-            isSaved: Boolean,
-        ) {
-            if (!ownTask.isOnMachine || !alive) return
-            ownTask.isSaved = isSaved
-            end(ownTask, reason.word)
-        }
-    }
+    /** Whether the machine exists still. */
+    internal var isAlive = true
+        private set
 
-    private fun joinGang(
-        task: Task,
-        spec: JobSpec,
-    ) {
-        task.status = "waiting"
-        changed = true
-        val run = world.gangs.run(spec, task.attempt, world.runMs(task.jobId, 0) ?: 0L)
-        val member = Member(task)
-        task.run = run
-        task.member = member
-        run.join(member)
-    }
+    /** All tasks that the heartbeats list, also those that have ended. */
+    val tasks: Collection<EmulatedTask> get() = execution.tasks
 
-    private fun leaveGang(task: Task) {
-        task.member?.let { task.run?.leave(it) }
-    }
+    /** The resources that no task holds. */
+    val free get() = execution.free
 
-    private var alive = true
-    val tasks = LinkedHashMap<Triple<String, Int, Long>, Task>()
-    private val images = HashSet<String>()
+    /** The tasks that use the machine at the moment. */
+    val onMachine get() = tasks.filter { isAlive && it.isOnMachine }
 
-    /** Machines of a type differ in how fast they fetch images, by up to a third. */
-    private val fetchGbPerS = pullGbPerS * Random(name.hashCode()).nextDouble(2.0 / 3, 4.0 / 3)
+    /** Counts the times that the worker lost its lease and all its tasks with it. */
     var incarnation = 1L
         private set
     private var sequence = 0L
+
+    /** The highest fencing token that the worker has seen; commands with a lower one are refused. */
     var token = 0L
         private set
     private var renewedAt = nowMs()
+
+    /** A fault of the machine: every task that starts while it lasts ends with an error. */
     var sick = false
 
-    /** While it hangs nothing on it goes on; a lease that ran out meanwhile has ended when it does. */
+    /** While the machine is hung nothing on it goes on; a lease that expired meanwhile ends when it goes on again. */
     var hung = false
         set(value) {
             field = value
-            if (!value && alive) checkLease()
+            if (!value && isAlive) checkLease()
         }
+
+    /** The notice, in seconds, after which the cloud takes the spot instance back; null: no notice was given. */
     var spotNoticeS: Double? = null
     private var heartbeatJob: Job? = null
     private var leaseJob: Job? = null
-    private var changed = false
-
-    /** What is free beside all that has not ended. */
-    val free get() = tasks.values.filter { it.status != "ended" }.fold(total) { free, task -> free - task.resources }
-    val onMachine get() = tasks.values.filter { alive && it.isOnMachine }
 
+    /** Begins to send heartbeats and to watch the lease. */
     fun start() {
-        heartbeatJob = scope.launch { heartbeatLoop() }
-        leaseJob =
-            scope.launch {
-                while (true) {
-                    delay(100)
-                    if (!hung) checkLease()
-                }
-            }
+        heartbeatJob = scope.launch { heartbeats.run() }
+        leaseJob = scope.launch { watchLease() }
     }
 
     /** The machine is gone, and everything on it. */
     fun stop() {
-        if (!alive) return
-        alive = false
+        if (!isAlive) return
+        isAlive = false
         heartbeatJob?.cancel()
         leaseJob?.cancel()
-        for (task in tasks.values.toList()) drop(task)
-        tasks.clear()
+        execution.dropAll()
     }
 
-    private fun drop(task: Task) {
-        task.job?.cancel()
-        if (task.isOnMachine) world.left(this, task.jobId, task.taskIndex, false)
-        leaveGang(task)
+    private suspend fun watchLease() {
+        while (true) {
+            delay(LEASE_CHECK_MS)
+            if (!hung) checkLease()
+        }
     }
 
     private fun checkLease() {
         if (nowMs() - renewedAt <= leaseMs) return
-        for (task in tasks.values.toList()) drop(task)
-        tasks.clear()
+        execution.dropAll()
         incarnation++
         renewedAt = nowMs()
-        changed = true
+        heartbeats.noteChange()
     }
 
-    private fun report(): JsonObject =
-        buildJsonObject {
-            put("car", name)
-            put("addr", addr)
-            put("rig", type)
-            put("circuit", zone)
-            put("loaners", isSpot)
-            put("stint", incarnation)
-            put("tick", ++sequence)
-            put("baton", token)
-            put("recall_s", spotNoticeS)
-            put(
-                "laps",
-                JsonArray(
-                    tasks.values.map { task ->
-                        buildJsonObject {
-                            put("lap", "${task.jobId}/${task.taskIndex}")
-                            put("start", task.attempt)
-                            put("status", task.status)
-                            if (task.why != null) put("retire_reason", task.why)
-                            if (task.isSaved) put("saved", true)
-                        }
-                    },
-                ),
-            )
-        }
-
-    private suspend fun heartbeatLoop() {
-        val controllerNames = controllers.keys.sorted()
-        var index = random.nextInt(controllerNames.size)
-        delay(random.nextLong(maxOf(1L, heartbeatIntervalMs)))
-        while (true) {
-            while (hung) delay(50)
-            checkLease()
-            val sentAt = nowMs()
-            val incarnationAtSend = incarnation
-            changed = false
-            val outcome =
-                http.call(
-                    controllers.getValue(controllerNames[index]),
-                    "POST",
-                    "/v1/report",
-                    report().bytes(),
-                    4000,
-                )
-            while (hung) delay(50)
-            checkLease()
-            if (outcome is Outcome.Answer && outcome.status == 200) {
-                val response = parseObject(outcome.body)
-                val newToken = response.longOrNull("baton") ?: 0L
-                if (newToken >= token && incarnationAtSend == incarnation && nowMs() - sentAt <= 4000) {
-                    token = newToken
-                    renewedAt = maxOf(renewedAt, sentAt)
-                    execute(response)
-                }
-                val nextAt = nowMs() + heartbeatIntervalMs * 3 / 4 + random.nextLong(heartbeatIntervalMs / 2 + 1)
-                delay(minOf(500L, heartbeatIntervalMs / 2))
-                while (nowMs() < nextAt && !changed) delay(50)
-            } else {
-                val leader =
-                    if (outcome is Outcome.Answer &&
-                        outcome.status == 421
-                    ) {
-                        try {
-                            parseObject(outcome.body).textOrNull("marshal")
-                        } catch (_: MalformedMessage) {
-                            null
-                        }
-                    } else {
-                        null
-                    }
-                if (leader != null && leader in controllers &&
-                    controllerNames[index] != leader
-                ) {
-                    index = controllerNames.indexOf(leader)
-                    delay(100)
-                } else {
-                    index = (index + 1) % controllerNames.size
-                    delay(1000)
-                }
-            }
-        }
+    private suspend fun awaitNotHung() {
+        while (hung) delay(HANG_POLL_MS)
     }
 
+    /** Answers a request to the worker; suspends while the machine is hung. */
     suspend fun handle(request: HttpRequest): HttpResponse {
-        while (hung) delay(50)
-        if (!alive) return errorResponse(503, "gone")
+        awaitNotHung()
+        if (!isAlive) return errorResponse(UNAVAILABLE, "gone")
         checkLease()
-        if (request.path == "/show") return HttpResponse(200, report().bytes())
-        if (request.path != "/orders") return errorResponse(404, "no such resource")
+        if (request.path == "/show") return statusResponse(OK)
+        if (request.path != "/orders") return errorResponse(NOT_FOUND, "no such resource")
         val body = parseObject(request.body)
-        val newToken = body.longOrNull("baton") ?: return errorResponse(400, "baton is missing")
-        val addressedIncarnation = body.longOrNull("stint") ?: return errorResponse(400, "stint is missing")
-        if (newToken < token || addressedIncarnation != incarnation) return HttpResponse(409, report().bytes())
+        val newToken = body.longOrNull("baton") ?: return errorResponse(BAD_REQUEST, "baton is missing")
+        val addressedIncarnation = body.longOrNull("stint") ?: return errorResponse(BAD_REQUEST, "stint is missing")
+        if (newToken < token || addressedIncarnation != incarnation) return statusResponse(CONFLICT)
         token = newToken
         execute(body)
-        return HttpResponse(200, report().bytes())
+        return statusResponse(OK)
     }
 
+    private fun statusResponse(status: Int) = HttpResponse(status, heartbeat().bytes())
+
     private fun execute(message: JsonObject) {
-        for (command in (message.listOrNull("radio") ?: emptyList()).map { it.asObject() }) {
-            val name = command.text("lap")
-            val jobId = name.substringBeforeLast('/')
-            val taskIndex = name.substringAfterLast('/').toInt()
-            val id = Triple(jobId, taskIndex, command.long("start"))
+        for (command in message.listOrNull("radio").orEmpty().map { it.asObject() }) {
+            val task = command.text("lap")
+            val jobId = task.substringBeforeLast('/')
+            val taskIndex = task.substringAfterLast('/').toInt()
+            val id = AttemptId(jobId, taskIndex, command.long("start"))
             when (command.text("call")) {
-                "run" -> run(id)
-                "kill" -> tasks[id]?.let { kill(it, command.numberOrNull("cooldown_s") ?: 0.0) }
-                "clear" -> if (tasks[id]?.status == "ended") tasks.remove(id)
+                "run" -> execution.run(id)
+                "kill" -> execution.kill(id, command.numberOrNull("cooldown_s") ?: 0.0)
+                "clear" -> execution.clear(id)
             }
         }
     }
 
-    private fun end(
-        task: Task,
-        why: String,
-    ) {
-        val wasOnMachine = task.isOnMachine
-        task.status = "ended"
-        task.why = why
-        changed = true
-        if (wasOnMachine) world.left(this, task.jobId, task.taskIndex, why == "done")
-        leaveGang(task)
-    }
+    private fun heartbeat(): JsonObject =
+        buildJsonObject {
+            put("car", name)
+            put("addr", addr)
+            put("rig", type)
+            put("circuit", zone)
+            put("loaners", isSpot)
+            put("stint", incarnation)
+            put("tick", ++sequence)
+            put("baton", token)
+            put("recall_s", spotNoticeS)
+            put("laps", JsonArray(tasks.map(::listed)))
+        }
 
-    private fun run(id: Triple<String, Int, Long>) {
-        if (id in tasks) return
-        val spec = world.spec(id.first)
-        val task = Task(id.first, id.second, id.third, spec?.resources ?: Resources.NONE)
-        tasks[id] = task
-        changed = true
-        val live = tasks.values.filter { it !== task && it.status != "ended" }
-        when {
-            spec == null || task.taskIndex !in 0 until spec.taskCount -> end(task, "unknown")
-            live.any { it.jobId == task.jobId && it.taskIndex == task.taskIndex } -> end(task, "in_use")
-            !task.resources.fitsIn(live.fold(total) { free, other -> free - other.resources }) -> end(task, "full")
-            else ->
-                task.job =
-                    scope.launch {
-                        if (spec.image !in
-                            images
-                        ) {
-                            delay((spec.imageGb / fetchGbPerS * 1000).toLong())
-                            images.add(spec.image)
-                        }
-                        while (hung) delay(50)
-                        task.status = "running"
-                        changed = true
-                        world.started(this@WorkerEmulator, task.jobId, task.taskIndex)
-                        if (spec.isGang && !sick && !world.completed(task.jobId, task.taskIndex)) {
-                            joinGang(task, spec)
-                            return@launch
-                        }
-                        if (sick || world.isBroken(task.jobId)) {
-                            delay(FAILS_AFTER_MS)
-                            end(task, "error")
-                            return@launch
-                        }
-                        if (world.completed(task.jobId, task.taskIndex)) {
-                            end(task, "done")
-                            return@launch
-                        }
-                        val durationMs = world.runMs(task.jobId, task.taskIndex) ?: return@launch
-                        delay(durationMs)
-                        while (hung) delay(50)
-                        end(task, "done")
-                    }
+    private fun listed(task: EmulatedTask): JsonObject =
+        buildJsonObject {
+            put("lap", "${task.jobId}/${task.taskIndex}")
+            put("start", task.attempt)
+            put("status", task.status)
+            if (task.why != null) put("retire_reason", task.why)
+            if (task.isSaved) put("saved", true)
         }
-    }
 
-    private fun kill(
-        task: Task,
-        graceS: Double,
-    ) {
-        if (task.status == "ended") return
-        val spec = world.spec(task.jobId)
-        val maySave = spec != null && spec.checkpointS > 0 && graceS >= spec.saveS && graceS > 0
-        val run = task.run
-        if (task.status == "running" && maySave && run != null) {
-            run.kill(task.member!!)
-            return
+    private inner class Sender : HeartbeatSender {
+        override val incarnation get() = this@WorkerEmulator.incarnation
+
+        override suspend fun awaitUsable() {
+            awaitNotHung()
+            checkLease()
         }
-        if (task.status == "running" && spec != null && maySave) {
-            task.job?.cancel()
-            task.status = "saving"
-            changed = true
-            task.job =
-                scope.launch {
-                    delay((spec.saveS * 1000).toLong())
-                    task.isSaved = true
-                    end(task, "stopped")
-                }
-            return
+
+        override fun heartbeat() = this@WorkerEmulator.heartbeat()
+
+        override fun accept(
+            response: JsonObject,
+            sentAt: Long,
+            incarnationAtSend: Long,
+        ) {
+            val newToken = response.longOrNull("baton") ?: 0L
+            val isInTime = nowMs() - sentAt <= HeartbeatLoop.HEARTBEAT_TIMEOUT_MS
+            if (newToken < token || incarnationAtSend != incarnation || !isInTime) return
+            token = newToken
+            renewedAt = maxOf(renewedAt, sentAt)
+            execute(response)
         }
-        if (task.status == "saving" && graceS > 0) return
-        task.job?.cancel()
-        end(task, "stopped")
     }
 
     private companion object {
-        const val FAILS_AFTER_MS = 500L
+        const val LEASE_CHECK_MS = 100L
+        const val OK = 200
+        const val BAD_REQUEST = 400
+        const val NOT_FOUND = 404
+        const val CONFLICT = 409
+        const val UNAVAILABLE = 503
     }
 }
--- a/src/test/kotlin/micatally/sim/GangTest.kt
+++ b/src/test/kotlin/micatally/sim/GangTest.kt
@@ -48,7 +48,7 @@
 
     private fun Scenario.statuses(jobId: String) =
         fleet.cloud.workers.flatMap { worker ->
-            worker.tasks.values
+            worker.tasks
                 .filter {
                     it.jobId == jobId &&
                         it.isOnMachine
@@ -58,7 +58,7 @@
     private fun Scenario.attempts(jobId: String) =
         fleet.cloud.workers
             .flatMap { worker ->
-                worker.tasks.values
+                worker.tasks
                     .filter {
                         it.jobId == jobId &&
                             it.isOnMachine
@@ -310,7 +310,7 @@
             untilWaiting(jobId)
             val pulling =
                 fleet.cloud.workers.first { worker ->
-                    worker.tasks.values.any { it.jobId == jobId && it.status == "pulling" }
+                    worker.tasks.any { it.jobId == jobId && it.status == "pulling" }
                 }
             pulling.hung = true
             fleet.scope.launch {
