--- a/src/main/kotlin/micatally/config/ChangeCheck.kt
+++ b/src/main/kotlin/micatally/config/ChangeCheck.kt
@@ -10,26 +10,26 @@
     /** What is wrong with the change, line by line; empty if nothing is. */
     fun errors(
         change: ConfigurationChange,
-        present: Configuration,
+        current: Configuration,
     ): List<LineError> {
         val errors = ArrayList<LineError>()
         val hasId = NAME.matches(change.id)
         if (!hasId) errors.add(LineError("", "the change has no id, or one with other signs than a name"))
         if (change.author.isBlank()) errors.add(LineError("", "author is missing"))
         if (change.reason.isBlank()) errors.add(LineError("", "reason is missing"))
-        if (change.author.length > MOST_TEXT) errors.add(LineError("", "author is longer than $MOST_TEXT characters"))
-        if (change.reason.length > MOST_TEXT) errors.add(LineError("", "reason is longer than $MOST_TEXT characters"))
+        if (change.author.length > MAX_TEXT_LENGTH) errors.add(LineError("", "author is longer than $MAX_TEXT_LENGTH characters"))
+        if (change.reason.length > MAX_TEXT_LENGTH) errors.add(LineError("", "reason is longer than $MAX_TEXT_LENGTH characters"))
         if (change.set.isEmpty() && change.remove.isEmpty()) errors.add(LineError("", "nothing to change"))
-        if (change.base > present.version) {
-            errors.add(LineError("", "version ${change.base} does not exist; the newest is ${present.version}"))
+        if (change.base > current.version) {
+            errors.add(LineError("", "version ${change.base} does not exist; the newest is ${current.version}"))
         }
         val names = change.set.map { it.name } + change.remove
-        for ((name, times) in names.groupingBy { it }.eachCount()) {
-            if (times > 1) errors.add(LineError(name, "named $times times"))
+        for ((name, count) in names.groupingBy { it }.eachCount()) {
+            if (count > 1) errors.add(LineError(name, "named $count times"))
         }
-        for (setting in change.set) lineErrors(setting, present).forEach { errors.add(LineError(setting.name, it)) }
+        for (setting in change.set) settingErrors(setting, current).forEach { errors.add(LineError(setting.name, it)) }
         for (name in change.remove) {
-            if (present.team(name) == null) errors.add(LineError(name, "there is no such team to remove"))
+            if (current.team(name) == null) errors.add(LineError(name, "there is no such team to remove"))
         }
         return errors
     }
@@ -37,19 +37,19 @@
     /** The teams of the change that have been changed since its base. */
     fun conflicts(
         change: ConfigurationChange,
-        present: Configuration,
+        current: Configuration,
     ): List<String> =
         (change.set.map { it.name } + change.remove).filter { name ->
-            (present.entry(name)?.changedAt ?: 0L) > change.base
+            (current.entry(name)?.changedAt ?: 0L) > change.base
         }
 
-    private fun lineErrors(
+    private fun settingErrors(
         setting: TeamSetting,
-        present: Configuration,
+        current: Configuration,
     ): List<String> {
         val errors = ArrayList<String>()
         if (!NAME.matches(setting.name)) {
-            errors.add("a name has 1 to $MOST_NAME letters, digits, dots, hyphens and underscores")
+            errors.add("a name has 1 to $MAX_NAME_LENGTH letters, digits, dots, hyphens and underscores")
         }
         val numbers =
             mapOf(
@@ -67,7 +67,7 @@
         }
         if (setting.coresMax > 0 && setting.cores > setting.coresMax) errors.add("cpus is above cpus_max")
         if (setting.gpusMax > 0 && setting.gpus > setting.gpusMax) errors.add("gpus is above gpus_max")
-        present.entry(setting.name)?.let { errors.addAll(limitErrors(setting, it.team)) }
+        current.entry(setting.name)?.let { errors.addAll(limitErrors(setting, it.team)) }
         return errors
     }
 
@@ -80,15 +80,15 @@
         former: Team,
     ): List<String> {
         val errors = ArrayList<String>()
-        if ((setting.coresMax > 0) != (former.coresMax > 0)) errors.add(NO_SWITCH.format("cpus_max"))
-        if ((setting.gpusMax > 0) != (former.gpusMax > 0)) errors.add(NO_SWITCH.format("gpus_max"))
+        if ((setting.coresMax > 0) != (former.coresMax > 0)) errors.add(LIMIT_KIND_IS_FIXED.format("cpus_max"))
+        if ((setting.gpusMax > 0) != (former.gpusMax > 0)) errors.add(LIMIT_KIND_IS_FIXED.format("gpus_max"))
         return errors
     }
 
-    private const val NO_SWITCH = "%s can't go between 0 (no limit) and a limit while the team exists; set a high one"
+    private const val LIMIT_KIND_IS_FIXED = "%s can't go between 0 (no limit) and a limit while the team exists; set a high one"
 
     /** Names are part of keys of the state service, which have at most 200 bytes. */
-    private const val MOST_NAME = 100
-    private val NAME = Regex("[A-Za-z0-9._-]{1,$MOST_NAME}")
-    private const val MOST_TEXT = 200
+    private const val MAX_NAME_LENGTH = 100
+    private val NAME = Regex("[A-Za-z0-9._-]{1,$MAX_NAME_LENGTH}")
+    private const val MAX_TEXT_LENGTH = 200
 }
--- a/src/main/kotlin/micatally/config/ChangeCodec.kt
+++ b/src/main/kotlin/micatally/config/ChangeCodec.kt
@@ -121,7 +121,7 @@
         valueBytes: Int,
     ): List<JsonObject> {
         val rows = change.set.map { "set" to TeamJson.encode(it) } + change.remove.map { "remove" to JsonPrimitive(it) }
-        return packed(rows, valueBytes) { part ->
+        return packRows(rows, valueBytes) { part ->
             buildJsonObject {
                 put("set", JsonArray(part.filter { it.first == "set" }.map { it.second }))
                 put("remove", JsonArray(part.filter { it.first == "remove" }.map { it.second }))
@@ -135,7 +135,7 @@
         valueBytes: Int,
     ): List<JsonObject> {
         val rows = configuration.allEntries.sortedBy { it.team.name }.map { "entries" to encode(it) }
-        return packed(rows, valueBytes) { part ->
+        return packRows(rows, valueBytes) { part ->
             buildJsonObject { put("entries", JsonArray(part.map { it.second })) }
         }
     }
@@ -147,7 +147,7 @@
         }
 
     /** Fills one value after the other, with some room for what surrounds the rows. */
-    private fun <T> packed(
+    private fun <T> packRows(
         rows: List<T>,
         valueBytes: Int,
         build: (List<T>) -> JsonObject,
@@ -171,8 +171,8 @@
 
     private fun encode(entry: TeamEntry): JsonObject {
         val isRemoved = JsonPrimitive(if (entry.isRemoved) 1 else 0)
-        val more = mapOf("n" to JsonPrimitive(entry.changedAt), "removed" to isRemoved)
-        return JsonObject(TeamJson.encode(entry.team) + more)
+        val entryFields = mapOf("n" to JsonPrimitive(entry.changedAt), "removed" to isRemoved)
+        return JsonObject(TeamJson.encode(entry.team) + entryFields)
     }
 
     private const val ENVELOPE_BYTES = 64
--- a/src/main/kotlin/micatally/config/ChangeFile.kt
+++ b/src/main/kotlin/micatally/config/ChangeFile.kt
@@ -35,15 +35,15 @@
         isDryRun: Boolean,
     ): ConfigurationChange {
         val errors = ArrayList<LineError>()
-        val file = attempt(errors, "") { parseObject(body) } ?: throw ChangeFileError(errors)
-        unknown(file, FIELDS).forEach { errors.add(LineError("", it)) }
-        val base = attempt(errors, "") { file.long("base") }
-        val author = attempt(errors, "") { file.text("author") }
-        val reason = attempt(errors, "") { file.text("reason") }
-        val rows = attempt(errors, "") { file.listOrNull("teams") ?: emptyList() } ?: emptyList()
-        val teams = rows.mapIndexedNotNull { i, row -> team(row, i, errors) }
-        val removed = attempt(errors, "") { file.listOrNull("remove") ?: emptyList() } ?: emptyList()
-        val names = removed.mapNotNull { attempt(errors, "remove") { it.asText() } }
+        val file = parseOrNull(errors, "") { parseObject(body) } ?: throw ChangeFileError(errors)
+        unknownFieldErrors(file, FIELDS).forEach { errors.add(LineError("", it)) }
+        val base = parseOrNull(errors, "") { file.long("base") }
+        val author = parseOrNull(errors, "") { file.text("author") }
+        val reason = parseOrNull(errors, "") { file.text("reason") }
+        val rows = parseOrNull(errors, "") { file.listOrNull("teams") ?: emptyList() } ?: emptyList()
+        val teams = rows.mapIndexedNotNull { index, row -> team(row, index, errors) }
+        val removed = parseOrNull(errors, "") { file.listOrNull("remove") ?: emptyList() } ?: emptyList()
+        val names = removed.mapNotNull { parseOrNull(errors, "remove") { it.asText() } }
         if (errors.isNotEmpty()) throw ChangeFileError(errors)
         return ConfigurationChange(id, base!!, author!!, reason!!, teams, names, isDryRun)
     }
@@ -54,11 +54,11 @@
         errors: MutableList<LineError>,
     ): TeamSetting? {
         val line = "teams[$index]"
-        val fields = attempt(errors, line) { row.asObject() } ?: return null
-        unknown(fields, TEAM_FIELDS).forEach { errors.add(LineError(line, it)) }
-        val name = attempt(errors, line) { fields.text("name") }
+        val fields = parseOrNull(errors, line) { row.asObject() } ?: return null
+        unknownFieldErrors(fields, TEAM_FIELDS).forEach { errors.add(LineError(line, it)) }
+        val name = parseOrNull(errors, line) { fields.text("name") }
 
-        fun number(field: String) = attempt(errors, name ?: line) { fields.numberOrNull(field) ?: 0.0 }
+        fun number(field: String) = parseOrNull(errors, name ?: line) { fields.numberOrNull(field) ?: 0.0 }
         val cores = number("cpus")
         val coresMax = number("cpus_max")
         val gpus = number("gpus")
@@ -67,21 +67,21 @@
         return TeamSetting(name, cores, coresMax, gpus, gpusMax)
     }
 
-    private fun unknown(
+    private fun unknownFieldErrors(
         fields: JsonObject,
         known: List<String>,
     ): List<String> =
         fields.keys.filter { it !in known }.map { "unknown field $it; did you mean ${nearestName(it, known)}?" }
 
-    private fun <T> attempt(
+    private fun <T> parseOrNull(
         errors: MutableList<LineError>,
         line: String,
         read: () -> T,
     ): T? =
         try {
             read()
-        } catch (e: MalformedMessage) {
-            errors.add(LineError(line, e.message ?: "can't be read"))
+        } catch (error: MalformedMessage) {
+            errors.add(LineError(line, error.message ?: "can't be read"))
             null
         }
 }
--- a/src/main/kotlin/micatally/config/Configuration.kt
+++ b/src/main/kotlin/micatally/config/Configuration.kt
@@ -49,15 +49,15 @@
 
     /** Repeats come soon; ids of long ago are forgotten, many at a time. All teams may be changed at once, and repeated. */
     private fun recentIds(version: Long): PersistentMap<String, Long> {
-        val most = maxOf(LEAST_IDS, entries.size * IDS_A_TEAM)
-        if (changeIds.size < most) return changeIds
-        val kept = changeIds.filterValues { it > version - most / 2 }
+        val maxIds = maxOf(MIN_REMEMBERED_IDS, entries.size * IDS_PER_TEAM)
+        if (changeIds.size < maxIds) return changeIds
+        val kept = changeIds.filterValues { it > version - maxIds / 2 }
         return persistentMapOf<String, Long>().putAll(kept)
     }
 
     companion object {
-        private const val LEAST_IDS = 2000
-        private const val IDS_A_TEAM = 4
+        private const val MIN_REMEMBERED_IDS = 2000
+        private const val IDS_PER_TEAM = 4
         val EMPTY = Configuration(0, persistentMapOf(), persistentMapOf())
 
         fun of(
--- a/src/main/kotlin/micatally/config/ConfigurationApi.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationApi.kt
@@ -59,7 +59,7 @@
     private suspend fun history(): HistoryAnswer {
         if (!live.isOn) return HistoryAnswer()
         val changes =
-            store.history(live.configuration.version, MOST_HISTORY) ?: return HistoryAnswer(isAvailable = false)
+            store.history(live.configuration.version, MAX_HISTORY_ENTRIES) ?: return HistoryAnswer(isAvailable = false)
         return HistoryAnswer(
             changes.map { HistoryEntry(it.version, it.author, it.reason, it.atMs, it.set.size, it.remove.size) },
         )
@@ -69,25 +69,25 @@
     private suspend fun rollback(request: RollbackRequest): ChangeAnswer {
         if (!live.isOn) return ChangeAnswer(ChangeStatus.SWITCHED_OFF)
         if (!live.refresh()) return ChangeAnswer(ChangeStatus.UNAVAILABLE)
-        val present = live.configuration
+        val current = live.configuration
         val head = live.head ?: return ChangeAnswer(ChangeStatus.UNAVAILABLE)
-        if (request.version !in 1..present.version) {
-            val error = LineError("", "version ${request.version} does not exist; the newest is ${present.version}")
-            return ChangeAnswer(ChangeStatus.INVALID, present.version, listOf(error))
+        if (request.version !in 1..current.version) {
+            val error = LineError("", "version ${request.version} does not exist; the newest is ${current.version}")
+            return ChangeAnswer(ChangeStatus.INVALID, current.version, listOf(error))
         }
-        val former = store.at(request.version, head)
+        val former = store.readVersion(request.version, head)
         if (former == null) {
             val error = LineError("", "version ${request.version} can't be read, or is too old to be known")
-            return ChangeAnswer(ChangeStatus.INVALID, present.version, listOf(error))
+            return ChangeAnswer(ChangeStatus.INVALID, current.version, listOf(error))
         }
         val change =
             ConfigurationChange(
                 id = request.id,
-                base = present.version,
+                base = current.version,
                 author = request.author,
                 reason = request.reason,
-                set = former.teams.map { it.toSetting() }.filter { it != present.team(it.name)?.toSetting() },
-                remove = present.teams.map { it.name }.filter { former.team(it) == null },
+                set = former.teams.map { it.toSetting() }.filter { it != current.team(it.name)?.toSetting() },
+                remove = current.teams.map { it.name }.filter { former.team(it) == null },
             )
         return writer.apply(change)
     }
@@ -97,53 +97,53 @@
      * since it was seen here that a controller without it can't start anything any more. The confirmation of a process
      * holds for its successors too: they read the shared keys before they decide anything.
      */
-    private suspend fun status(asked: Long): ConfigurationStatus {
+    private suspend fun status(requestedVersion: Long): ConfigurationStatus {
         if (!live.isOn) return ConfigurationStatus(isOn = false)
         live.refresh()
         val newest = live.configuration.version
-        val version = if (asked > 0) asked else newest
-        val all = askAll() + applied()
-        val missing = settings.peers.map { it.host }.plus(settings.host) - all.filter { it.version >= version }.hosts()
-        val leftMs = if (missing.isEmpty()) 0L else timeLeftMs(version)
+        val version = if (requestedVersion > 0) requestedVersion else newest
+        val confirmations = requestAppliedVersions() + applied()
+        val missing = settings.peers.map { it.host }.plus(settings.host) - confirmations.filter { it.version >= version }.hostSet()
+        val remainingMs = if (missing.isEmpty()) 0L else remainingMsUntilInForce(version)
         return ConfigurationStatus(
             isOn = true,
             version = version,
             newest = newest,
-            isInForce = leftMs == 0L,
-            inForceInMs = leftMs,
-            applied = all.sortedBy { it.host },
+            isInForce = remainingMs == 0L,
+            inForceInMs = remainingMs,
+            applied = confirmations.sortedBy { it.host },
             missing = missing.sorted(),
         )
     }
 
-    private fun List<AppliedVersion>.hosts() = map { it.host }.toSet()
+    private fun List<AppliedVersion>.hostSet() = map { it.host }.toSet()
 
     /** How long a controller that lacks the version may still start something; the drift of both clocks included. */
-    private fun timeLeftMs(version: Long): Long {
-        val boundMs = settings.startBoundMs * (1 + MOST_DRIFT * 2)
+    private fun remainingMsUntilInForce(version: Long): Long {
+        val boundMs = settings.startBoundMs * (1 + MAX_CLOCK_DRIFT * 2)
         val seenAtMs = live.appliedAtMs(version) ?: return boundMs.toLong()
         return maxOf(0L, (seenAtMs + boundMs - nowMs()).toLong())
     }
 
-    private suspend fun askAll(): List<AppliedVersion> =
+    private suspend fun requestAppliedVersions(): List<AppliedVersion> =
         coroutineScope {
             settings.peers
-                .map { peer -> async { ask(peer) } }
+                .map { peer -> async { requestAppliedVersion(peer) } }
                 .awaitAll()
                 .filterNotNull()
         }
 
-    private suspend fun ask(peer: Peer): AppliedVersion? {
+    private suspend fun requestAppliedVersion(peer: Peer): AppliedVersion? {
         val outcome = http.call(peer.addr, "POST", ConfigurationPaths.APPLIED, ByteArray(0), settings.leaseMs / 10)
         if (outcome !is Outcome.Answer || outcome.status != 200) return null
         return ProtoBuf.decodeFromByteArray<AppliedVersion>(outcome.body)
     }
 
     private companion object {
-        const val MOST_HISTORY = 50
+        const val MAX_HISTORY_ENTRIES = 50
 
         /** How far the steady clocks of two machines drift apart at the most, as a share. */
-        const val MOST_DRIFT = 0.0005
+        const val MAX_CLOCK_DRIFT = 0.0005
     }
 }
 
--- a/src/main/kotlin/micatally/config/ConfigurationClient.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationClient.kt
@@ -24,31 +24,31 @@
     private val address: String,
     private val timeoutMs: Long,
 ) {
-    suspend fun get(): ConfigurationView = ProtoBuf.decodeFromByteArray(ask(ConfigurationPaths.GET))
+    suspend fun get(): ConfigurationView = ProtoBuf.decodeFromByteArray(post(ConfigurationPaths.GET))
 
     suspend fun apply(change: ConfigurationChange): ChangeAnswer =
-        ProtoBuf.decodeFromByteArray(ask(ConfigurationPaths.APPLY, ProtoBuf.encodeToByteArray(change)))
+        ProtoBuf.decodeFromByteArray(post(ConfigurationPaths.APPLY, ProtoBuf.encodeToByteArray(change)))
 
-    suspend fun history(): HistoryAnswer = ProtoBuf.decodeFromByteArray(ask(ConfigurationPaths.HISTORY))
+    suspend fun history(): HistoryAnswer = ProtoBuf.decodeFromByteArray(post(ConfigurationPaths.HISTORY))
 
     suspend fun rollback(request: RollbackRequest): ChangeAnswer =
-        ProtoBuf.decodeFromByteArray(ask(ConfigurationPaths.ROLLBACK, ProtoBuf.encodeToByteArray(request)))
+        ProtoBuf.decodeFromByteArray(post(ConfigurationPaths.ROLLBACK, ProtoBuf.encodeToByteArray(request)))
 
     /** @param version 0: the newest */
     suspend fun status(version: Long = 0): ConfigurationStatus =
-        ProtoBuf.decodeFromByteArray(ask(ConfigurationPaths.STATUS, ProtoBuf.encodeToByteArray(StatusRequest(version))))
+        ProtoBuf.decodeFromByteArray(post(ConfigurationPaths.STATUS, ProtoBuf.encodeToByteArray(StatusRequest(version))))
 
-    private suspend fun ask(
+    private suspend fun post(
         path: String,
         body: ByteArray = ByteArray(0),
     ): ByteArray {
         val outcome = http.call(address, "POST", path, body, timeoutMs)
         if (outcome !is Outcome.Answer) throw NoAnswer("no answer from $address")
-        if (outcome.status != OK) throw NoAnswer("$address answers ${outcome.status}")
+        if (outcome.status != HTTP_OK) throw NoAnswer("$address answers ${outcome.status}")
         return outcome.body
     }
 
     private companion object {
-        const val OK = 200
+        const val HTTP_OK = 200
     }
 }
--- a/src/main/kotlin/micatally/config/ConfigurationSeed.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationSeed.kt
@@ -30,12 +30,12 @@
     private val isDue get() = sharedKeys.revision >= 0 && !sharedKeys.has(Keys.CONFIG) && mayWrite()
 
     /** Looks at the shared keys after a change. */
-    fun sharedChanged() {
+    fun sharedKeysChanged() {
         if (!isDue || isWriting) return
         isWriting = true
         scope.launch {
             try {
-                while (isDue) if (!write()) delay(settings.leaseMs / RETRIES_A_LEASE)
+                while (isDue) if (!write()) delay(settings.leaseMs / RETRIES_PER_LEASE)
             } finally {
                 isWriting = false
             }
@@ -46,10 +46,10 @@
     private suspend fun write(): Boolean {
         val teams = settings.teams.values.toList()
         val id = "settings-${settings.host}"
-        val record = ChangeRecord(FIRST, id, settings.host, "settings file", wallMs(), teams, emptyList())
+        val record = ChangeRecord(FIRST_VERSION, id, settings.host, "settings file", wallMs(), teams, emptyList())
         val value = store.stage(record) ?: return false
-        val head = ChangeCodec.encode(ConfigurationHead(FIRST, 0L, 0))
-        val group = Put(Keys.configChange(FIRST), ChangeCodec.group(listOf(value)))
+        val head = ChangeCodec.encode(ConfigurationHead(FIRST_VERSION, 0L, 0))
+        val group = Put(Keys.configChange(FIRST_VERSION), ChangeCodec.group(listOf(value)))
         val result =
             state.transact(2, Urgency.ACCEPTANCE) {
                 if (isDue) {
@@ -62,13 +62,13 @@
                 }
             }
         if (result is TransactionResult.Applied) {
-            log.info("configuration stored: {} teams of the settings file", teams.size)
+            log.info("configuration seeded: {} teams of the settings file stored", teams.size)
         }
         return result is TransactionResult.Applied
     }
 
     private companion object {
-        const val FIRST = 1L
-        const val RETRIES_A_LEASE = 20
+        const val FIRST_VERSION = 1L
+        const val RETRIES_PER_LEASE = 20
     }
 }
--- a/src/main/kotlin/micatally/config/ConfigurationService.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationService.kt
@@ -35,9 +35,9 @@
     }
 
     /** Looks at the shared keys after a change. */
-    fun sharedChanged() {
-        seed.sharedChanged()
-        live.sharedChanged()
+    fun sharedKeysChanged() {
+        seed.sharedKeysChanged()
+        live.sharedKeysChanged()
     }
 
     /** The answer to a request on the address for controllers, or null if there is no such resource. */
--- a/src/main/kotlin/micatally/config/ConfigurationStore.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationStore.kt
@@ -36,7 +36,7 @@
     /** Names this process, so that no two ever write the same values of a large change. */
     private val process: String,
 ) {
-    private var stages = 0L
+    private var stageCount = 0L
 
     suspend fun head(): HeadRead =
         when (val read = state.get(Keys.CONFIG, Urgency.ACCEPTANCE)) {
@@ -47,11 +47,11 @@
 
     /** Everything from the newest snapshot on; null if it can't be read whole now. */
     suspend fun load(head: ConfigurationHead): Configuration? {
-        if (head.snapshot == 0L) return follow(Configuration.EMPTY)
-        return follow(snapshot(head.snapshot, head.snapshotParts) ?: return null)
+        if (head.snapshot == 0L) return applyLaterChanges(Configuration.EMPTY)
+        return applyLaterChanges(readSnapshot(head.snapshot, head.snapshotParts) ?: return null)
     }
 
-    private suspend fun snapshot(
+    private suspend fun readSnapshot(
         version: Long,
         parts: Int,
     ): Configuration? {
@@ -61,26 +61,26 @@
     }
 
     /** [from] with all later changes up to [last]; null if they can't be read now or are not there any more. */
-    suspend fun follow(
+    suspend fun applyLaterChanges(
         from: Configuration,
         last: Long = Long.MAX_VALUE,
     ): Configuration? {
         var configuration = from
-        for (change in changesAfter(from.version) ?: return null) {
+        for (change in readChangesAfter(from.version) ?: return null) {
             if (configuration.version == last) break
             if (change.record.version != configuration.version + 1) return null
-            configuration = configuration.with(whole(change) ?: return null)
+            configuration = configuration.with(completeRecord(change) ?: return null)
         }
         return configuration
     }
 
     /** The configuration as it was at [version]; null if it can't be read or is too old to be known. */
-    suspend fun at(
+    suspend fun readVersion(
         version: Long,
         head: ConfigurationHead,
     ): Configuration? {
         val start = startBefore(version, head) ?: return null
-        return follow(start, last = version)?.takeIf { it.version == version }
+        return applyLaterChanges(start, last = version)?.takeIf { it.version == version }
     }
 
     private suspend fun startBefore(
@@ -89,13 +89,13 @@
     ): Configuration? {
         if (head.snapshot == 0L) return Configuration.EMPTY
         val items = state.list(Keys.CONFIG_SNAPSHOT, Urgency.ACCEPTANCE)?.items ?: return null
-        val usable = items.groupBy { versionIn(it) }.filterKeys { it <= version }
+        val usable = items.groupBy { snapshotVersion(it) }.filterKeys { it <= version }
         val newest = usable.maxByOrNull { it.key }
         if (newest != null) return Configuration.of(newest.key, newest.value.flatMap { ChangeCodec.entries(it.value) })
         return Configuration.EMPTY
     }
 
-    private fun versionIn(item: KeyValue) =
+    private fun snapshotVersion(item: KeyValue) =
         item.key
             .removePrefix(Keys.CONFIG_SNAPSHOT)
             .substringBefore('/')
@@ -106,16 +106,16 @@
         newest: Long,
         count: Int,
     ): List<ChangeRecord>? =
-        changesAfter(maxOf(0L, newest - count))?.map { whole(it) ?: it.record }?.sortedByDescending { it.version }
+        readChangesAfter(maxOf(0L, newest - count))?.map { completeRecord(it) ?: it.record }?.sortedByDescending { it.version }
 
-    private suspend fun changesAfter(version: Long): List<StoredChange>? =
+    private suspend fun readChangesAfter(version: Long): List<StoredChange>? =
         state
             .list(Keys.CONFIG_CHANGE, Urgency.LEASE, after = Keys.configChange(version))
             ?.items
             ?.flatMap { ChangeCodec.changes(it.value) }
             ?.filter { it.record.version > version }
 
-    private suspend fun whole(change: StoredChange): ChangeRecord? {
+    private suspend fun completeRecord(change: StoredChange): ChangeRecord? {
         if (change.parts == 0) return change.record
         val items = state.list(Keys.configPart(change.stage), Urgency.LEASE)?.items ?: return null
         return if (items.size == change.parts) ChangeCodec.joined(change, items.map { it.value }) else null
@@ -131,9 +131,9 @@
         val plain = ChangeCodec.encode(change)
         if (plain.toString().length <= limits.valueBytes / 2) return plain
         val parts = ChangeCodec.parts(change, limits.valueBytes)
-        val stage = "$process-${stages++}"
-        for ((i, part) in parts.withIndex()) {
-            val put = Put(Keys.configPart(stage) + "%04d".format(i), part)
+        val stage = "$process-${stageCount++}"
+        for ((index, part) in parts.withIndex()) {
+            val put = Put(Keys.configPart(stage) + "%04d".format(index), part)
             if (state.transact(
                     1,
                     Urgency.ACCEPTANCE,
@@ -148,8 +148,8 @@
     /** Writes a snapshot's values; the same version has the same content, whoever writes it and however often. */
     suspend fun writeSnapshot(configuration: Configuration): Int? {
         val parts = ChangeCodec.snapshot(configuration, limits.valueBytes)
-        for ((i, part) in parts.withIndex()) {
-            val put = Put(Keys.configSnapshot(configuration.version) + "%04d".format(i), part)
+        for ((index, part) in parts.withIndex()) {
+            val put = Put(Keys.configSnapshot(configuration.version) + "%04d".format(index), part)
             if (state.transact(
                     1,
                     Urgency.SUMMARY,
@@ -165,16 +165,16 @@
     suspend fun prune(version: Long) {
         val changes = state.list(Keys.CONFIG_CHANGE, Urgency.SUMMARY)?.items ?: return
         val snapshots = state.list(Keys.CONFIG_SNAPSHOT, Urgency.SUMMARY)?.items ?: return
-        val old = changes.filter { it.key <= Keys.configChange(version) }
+        val prunableChanges = changes.filter { it.key <= Keys.configChange(version) }
         val parts =
-            old
+            prunableChanges
                 .flatMap { ChangeCodec.changes(it.value) }
                 .filter { it.parts > 0 }
                 .flatMap { change -> state.list(Keys.configPart(change.stage), Urgency.SUMMARY)?.items ?: return }
         val deletes: List<Write> =
-            (old + parts + snapshots.filter { versionIn(it) < version }).map { Delete(it.key) }
-        for (some in deletes.chunked(limits.maxOperationsPerTransaction)) {
-            state.transact(some.size, Urgency.SUMMARY) { Transaction(emptyList(), some) }
+            (prunableChanges + parts + snapshots.filter { snapshotVersion(it) < version }).map { Delete(it.key) }
+        for (batch in deletes.chunked(limits.maxOperationsPerTransaction)) {
+            state.transact(batch.size, Urgency.SUMMARY) { Transaction(emptyList(), batch) }
         }
     }
 }
--- a/src/main/kotlin/micatally/config/ConfigurationWriter.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationWriter.kt
@@ -25,7 +25,7 @@
  * Stores changes of the configuration. Changes that wait are written together, each under a version of its own, as one
  * value in one transaction with the head, on the condition that the head is the one that they were checked against.
  *
- * @param refreshView reads the shared keys again
+ * @param refreshSharedKeys reads the shared keys again
  */
 class ConfigurationWriter(
     private val scope: CoroutineScope,
@@ -35,63 +35,63 @@
     private val live: LiveConfiguration,
     private val store: ConfigurationStore,
     private val wallMs: () -> Long,
-    private val refreshView: suspend () -> Unit,
+    private val refreshSharedKeys: suspend () -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("micatally.config")
-    private val answerMs = settings.leaseMs / 2
-    private val retryMs = maxOf(10L, settings.leaseMs / RETRIES_A_LEASE)
+    private val answerTimeoutMs = settings.leaseMs / 2
+    private val retryMs = maxOf(10L, settings.leaseMs / RETRIES_PER_LEASE)
 
-    private class Pending(
+    private class QueuedChange(
         val change: ConfigurationChange,
     ) {
         val answer = CompletableDeferred<ChangeAnswer>()
 
         /** A transaction with it has left: its outcome may be unknown. */
-        var hasLeft = false
-        var isGivenUp = false
+        var isSent = false
+        var hasTimedOut = false
     }
 
-    private val waiting = ArrayDeque<Pending>()
+    private val queue = ArrayDeque<QueuedChange>()
     private var isWriting = false
 
     /** Applies a change, or says why not. Returns within half a lease. */
     suspend fun apply(change: ConfigurationChange): ChangeAnswer {
         if (!live.isOn) return ChangeAnswer(ChangeStatus.SWITCHED_OFF)
         if (change.isDryRun) return dryRun(change)
-        if (waiting.size >= MOST_WAITING) return ChangeAnswer(ChangeStatus.UNAVAILABLE)
-        val pending = Pending(change)
-        waiting.addLast(pending)
-        write()
-        withTimeoutOrNull(answerMs) { pending.answer.await() }?.let { return it }
-        pending.isGivenUp = true
-        return ChangeAnswer(if (pending.hasLeft) ChangeStatus.UNKNOWN else ChangeStatus.UNAVAILABLE)
+        if (queue.size >= MAX_QUEUED_CHANGES) return ChangeAnswer(ChangeStatus.UNAVAILABLE)
+        val queued = QueuedChange(change)
+        queue.addLast(queued)
+        startWriting()
+        withTimeoutOrNull(answerTimeoutMs) { queued.answer.await() }?.let { return it }
+        queued.hasTimedOut = true
+        return ChangeAnswer(if (queued.isSent) ChangeStatus.UNKNOWN else ChangeStatus.UNAVAILABLE)
     }
 
     private suspend fun dryRun(change: ConfigurationChange): ChangeAnswer {
         if (!live.refresh()) return ChangeAnswer(ChangeStatus.UNAVAILABLE)
-        return refusal(change, live.configuration)
+        return rejection(change, live.configuration)
             ?: ChangeAnswer(ChangeStatus.VALID, live.configuration.version)
     }
 
-    /** Why the change can't be applied to [present]; null if it can. */
-    private fun refusal(
+    /** Why the change can't be applied to [current]; null if it can. */
+    private fun rejection(
         change: ConfigurationChange,
-        present: Configuration,
+        current: Configuration,
     ): ChangeAnswer? {
-        val errors = ChangeCheck.errors(change, present)
-        if (errors.isNotEmpty()) return ChangeAnswer(ChangeStatus.INVALID, present.version, errors)
-        val conflicts = ChangeCheck.conflicts(change, present)
+        val errors = ChangeCheck.errors(change, current)
+        if (errors.isNotEmpty()) return ChangeAnswer(ChangeStatus.INVALID, current.version, errors)
+        val conflicts = ChangeCheck.conflicts(change, current)
         if (conflicts.isEmpty()) return null
         val lines = conflicts.map { LineError(it, "changed since version ${change.base}") }
-        return ChangeAnswer(ChangeStatus.CONFLICT, present.version, lines)
+        return ChangeAnswer(ChangeStatus.CONFLICT, current.version, lines)
     }
 
-    private fun write() {
+    private fun startWriting() {
         if (isWriting) return
         isWriting = true
         scope.launch {
             try {
-                while (waiting.isNotEmpty()) writeSome()
+                while (queue.isNotEmpty()) commitBatch()
             } finally {
                 isWriting = false
             }
@@ -99,57 +99,57 @@
     }
 
     /** A change that has been checked, with its stored form. */
-    private class Staged(
-        val pending: Pending,
+    private class StagedChange(
+        val queued: QueuedChange,
         val record: ChangeRecord,
         val value: JsonObject,
     )
 
-    private suspend fun writeSome() {
+    private suspend fun commitBatch() {
         val head = live.head
         if (head?.version != live.configuration.version || live.phase != ConfigurationPhase.CURRENT) {
-            waiting.removeAll { it.isGivenUp }
+            queue.removeAll { it.hasTimedOut }
             delay(retryMs)
             return
         }
         val modRevision = sharedKeys.modRevision(Keys.CONFIG)
-        val batch = stageSome()
+        val batch = stageBatch()
         if (batch.isEmpty()) return
         val newest = batch.last().record.version
         val nextHead = ChangeCodec.encode(ConfigurationHead(newest, head.snapshot, head.snapshotParts))
         val group = Put(Keys.configChange(newest), ChangeCodec.group(batch.map { it.value }))
         val transaction =
             Transaction(listOf(Compare(Keys.CONFIG, modRevision)), listOf(Put(Keys.CONFIG, nextHead), group))
-        batch.forEach { it.pending.hasLeft = true }
-        if (commit(transaction)) live.awaitVersion(newest, answerMs) else catchUp(modRevision)
-        for (staged in batch) settle(staged.pending)
+        batch.forEach { it.queued.isSent = true }
+        if (commit(transaction)) live.awaitVersion(newest, answerTimeoutMs) else catchUp(modRevision)
+        for (staged in batch) completeOrRequeue(staged.queued)
         compact()
     }
 
     /** Takes waiting changes as long as they fit in one value; those that can't be applied are answered here. */
-    private suspend fun stageSome(): List<Staged> {
-        val batch = ArrayList<Staged>()
-        var working = live.configuration
+    private suspend fun stageBatch(): List<StagedChange> {
+        val batch = ArrayList<StagedChange>()
+        var next = live.configuration
         var bytes = 0
-        while (waiting.isNotEmpty() && bytes < settings.valueBytes / 2 - ENVELOPE_BYTES) {
-            val pending = waiting.removeFirst()
-            if (pending.isGivenUp) continue
-            val known = working.versionOf(pending.change.id)
+        while (queue.isNotEmpty() && bytes < settings.valueBytes / 2 - ENVELOPE_BYTES) {
+            val queued = queue.removeFirst()
+            if (queued.hasTimedOut) continue
+            val appliedVersion = next.versionOf(queued.change.id)
             val answer =
-                known?.let { ChangeAnswer(ChangeStatus.APPLIED, it) } ?: refusal(pending.change, working)
+                appliedVersion?.let { ChangeAnswer(ChangeStatus.APPLIED, it) } ?: rejection(queued.change, next)
             if (answer != null) {
-                pending.answer.complete(answer)
+                queued.answer.complete(answer)
                 continue
             }
-            val record = recordOf(pending.change, working.version + 1)
+            val record = recordOf(queued.change, next.version + 1)
             val value = store.stage(record)
             if (value == null) {
-                pending.answer.complete(ChangeAnswer(ChangeStatus.UNAVAILABLE))
+                queued.answer.complete(ChangeAnswer(ChangeStatus.UNAVAILABLE))
                 continue
             }
             bytes += value.toString().length + 1
-            batch.add(Staged(pending, record, value))
-            working = working.with(record)
+            batch.add(StagedChange(queued, record, value))
+            next = next.with(record)
         }
         return batch
     }
@@ -172,13 +172,13 @@
      * same condition, until an answer shows that it has been or can't be any more.
      */
     private suspend fun commit(transaction: Transaction): Boolean {
-        var wasSilent = false
+        var mayBeCommitted = false
         while (true) {
             when (state.transact(transaction.changes.size, Urgency.ACCEPTANCE) { transaction }) {
                 is TransactionResult.Applied -> return true
                 is TransactionResult.Failed -> return false
-                TransactionResult.Unknown -> wasSilent = true
-                else -> if (!wasSilent) return false
+                TransactionResult.Unknown -> mayBeCommitted = true
+                else -> if (!mayBeCommitted) return false
             }
             delay(retryMs)
         }
@@ -186,20 +186,20 @@
 
     /** Another writer was first, or this one's answer was lost: waits until the newer head is known here. */
     private suspend fun catchUp(modRevision: Long) {
-        refreshView()
+        refreshSharedKeys()
         if (sharedKeys.modRevision(Keys.CONFIG) == modRevision) delay(retryMs)
-        live.head?.let { live.awaitVersion(it.version, answerMs) }
+        live.head?.let { live.awaitVersion(it.version, answerTimeoutMs) }
     }
 
     /** Answers a change whose transaction has ended, or has it tried again. */
-    private fun settle(pending: Pending) {
-        val version = live.configuration.versionOf(pending.change.id)
+    private fun completeOrRequeue(queued: QueuedChange) {
+        val version = live.configuration.versionOf(queued.change.id)
         if (version != null) {
-            log.info("change {} by {}: {}", version, pending.change.author, pending.change.reason)
-            pending.answer.complete(ChangeAnswer(ChangeStatus.APPLIED, version))
-        } else if (!pending.isGivenUp) {
-            pending.hasLeft = false
-            waiting.addFirst(pending)
+            log.info("configuration change committed: version {} by {}: {}", version, queued.change.author, queued.change.reason)
+            queued.answer.complete(ChangeAnswer(ChangeStatus.APPLIED, version))
+        } else if (!queued.hasTimedOut) {
+            queued.isSent = false
+            queue.addFirst(queued)
         }
     }
 
@@ -214,12 +214,12 @@
         val transaction = Transaction(listOf(Compare(Keys.CONFIG, modRevision)), listOf(Put(Keys.CONFIG, next)))
         if (commit(transaction) && head.snapshot > 0) store.prune(head.snapshot)
         // The next change must be checked against the head that was just written.
-        refreshView()
+        refreshSharedKeys()
     }
 
     companion object {
-        private const val RETRIES_A_LEASE = 200
-        private const val MOST_WAITING = 1000
+        private const val RETRIES_PER_LEASE = 200
+        private const val MAX_QUEUED_CHANGES = 1000
 
         /** What surrounds the changes in their value. */
         private const val ENVELOPE_BYTES = 64
--- a/src/main/kotlin/micatally/config/LiveConfiguration.kt
+++ b/src/main/kotlin/micatally/config/LiveConfiguration.kt
@@ -31,7 +31,7 @@
     private val nowMs: () -> Long,
 ) : TeamDirectory {
     private val log = LoggerFactory.getLogger("micatally.config")
-    private val retryMs = maxOf(10L, settings.leaseMs / RETRIES_A_LEASE)
+    private val retryMs = maxOf(10L, settings.leaseMs / RETRIES_PER_LEASE)
     private var isLoading = false
 
     var phase = ConfigurationPhase.OFF
@@ -41,9 +41,9 @@
         private set
 
     /** When this controller first decided by a version, oldest first. */
-    private val appliedAt = ArrayDeque<AppliedAt>()
+    private val appliedVersions = ArrayDeque<AppliedVersionTime>()
 
-    private class AppliedAt(
+    private class AppliedVersionTime(
         val version: Long,
         val atMs: Long,
     )
@@ -65,12 +65,12 @@
     private fun transitionTo(next: ConfigurationPhase) {
         if (next == phase) return
         check(next != ConfigurationPhase.OFF) { "a stored configuration is never switched off" }
-        if (phase == ConfigurationPhase.OFF) log.info("configuration is that of the state service from now on")
+        if (phase == ConfigurationPhase.OFF) log.info("teams are read from the state store from now on")
         phase = next
     }
 
     /** Looks at the shared keys after a change. */
-    fun sharedChanged() {
+    fun sharedKeysChanged() {
         val newest = head?.version ?: return
         if (newest <= configuration.version) return
         transitionTo(ConfigurationPhase.BEHIND)
@@ -88,8 +88,8 @@
     /** One try to come to the newest version; false if it can't be read whole now. */
     private suspend fun load(): Boolean {
         val newest = head ?: return false
-        val followed = if (configuration.version > 0) store.follow(configuration) else null
-        val next = followed?.takeIf { it.version >= newest.version } ?: store.load(newest) ?: return false
+        val updated = if (configuration.version > 0) store.applyLaterChanges(configuration) else null
+        val next = updated?.takeIf { it.version >= newest.version } ?: store.load(newest) ?: return false
         if (next.version < newest.version) return false
         apply(next)
         return true
@@ -99,9 +99,9 @@
         val former = configuration
         configuration = next
         onApplied(former, next)
-        appliedAt.addLast(AppliedAt(next.version, nowMs()))
-        while (appliedAt.size > MOST_TIMES) appliedAt.removeFirst()
-        log.info("configuration {} -> {}", former.version, next.version)
+        appliedVersions.addLast(AppliedVersionTime(next.version, nowMs()))
+        while (appliedVersions.size > MAX_APPLIED_VERSIONS) appliedVersions.removeFirst()
+        log.info("configuration version applied: {} -> {}", former.version, next.version)
         transitionTo(
             if ((head?.version ?: 0L) <=
                 next.version
@@ -114,7 +114,7 @@
     }
 
     /** When this controller first decided by [version] or a later one; null if it does not yet. */
-    fun appliedAtMs(version: Long): Long? = appliedAt.find { it.version >= version }?.atMs
+    fun appliedAtMs(version: Long): Long? = appliedVersions.find { it.version >= version }?.atMs
 
     /**
      * Whether a task may be started as far as the configuration is concerned. A controller that has had no contact with
@@ -130,7 +130,7 @@
         val read = store.head()
         if (read == HeadRead.Unavailable) return false
         if (read !is HeadRead.Found) return !isOn
-        return awaitVersion(read.head.version, settings.leaseMs / REFRESHES_A_LEASE)
+        return awaitVersion(read.head.version, settings.leaseMs / REFRESHES_PER_LEASE)
     }
 
     /** Waits until decisions rest on [version] or a later one; false if that takes too long. */
@@ -138,18 +138,18 @@
         version: Long,
         timeoutMs: Long,
     ): Boolean {
-        val untilMs = nowMs() + timeoutMs
+        val deadlineMs = nowMs() + timeoutMs
         while (configuration.version < version || phase != ConfigurationPhase.CURRENT) {
-            if (nowMs() >= untilMs) return false
-            delay(STEP_MS)
+            if (nowMs() >= deadlineMs) return false
+            delay(POLL_INTERVAL_MS)
         }
         return true
     }
 
     companion object {
-        private const val RETRIES_A_LEASE = 200
-        private const val REFRESHES_A_LEASE = 10
-        private const val STEP_MS = 10L
-        private const val MOST_TIMES = 1000
+        private const val RETRIES_PER_LEASE = 200
+        private const val REFRESHES_PER_LEASE = 10
+        private const val POLL_INTERVAL_MS = 10L
+        private const val MAX_APPLIED_VERSIONS = 1000
     }
 }
--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -332,7 +332,7 @@
     /** Parts that rest on others come after them: the format, the configuration, then the shards, then single keys. */
     private fun applySharedKeyChanges(keys: Set<String>) {
         upgrade.sharedKeysChanged()
-        configuration.sharedChanged()
+        configuration.sharedKeysChanged()
         jobManager.checkShards()
         sharedKeyEvents.handleChanges(keys)
         peers.sharedKeysChanged()
