--- a/src/main/kotlin/micatally/config/ChangeCheck.kt
+++ b/src/main/kotlin/micatally/config/ChangeCheck.kt
@@ -5,9 +5,9 @@
 import micatally.wire.LineError
 import micatally.wire.TeamSetting
 
-/** Whether a change may be applied to a configuration. Decisions only. */
+/** Validates a change against a configuration. Pure functions without I/O. */
 object ChangeCheck {
-    /** What is wrong with the change, line by line; empty if nothing is. */
+    /** Returns all errors of the change, each with the team that it concerns; empty if the change is valid. */
     fun errors(
         change: ConfigurationChange,
         current: Configuration,
@@ -17,8 +17,12 @@
         if (!hasId) errors.add(LineError("", "the change has no id, or one with other signs than a name"))
         if (change.author.isBlank()) errors.add(LineError("", "author is missing"))
         if (change.reason.isBlank()) errors.add(LineError("", "reason is missing"))
-        if (change.author.length > MAX_TEXT_LENGTH) errors.add(LineError("", "author is longer than $MAX_TEXT_LENGTH characters"))
-        if (change.reason.length > MAX_TEXT_LENGTH) errors.add(LineError("", "reason is longer than $MAX_TEXT_LENGTH characters"))
+        if (change.author.length > MAX_TEXT_LENGTH) {
+            errors.add(LineError("", "author is longer than $MAX_TEXT_LENGTH characters"))
+        }
+        if (change.reason.length > MAX_TEXT_LENGTH) {
+            errors.add(LineError("", "reason is longer than $MAX_TEXT_LENGTH characters"))
+        }
         if (change.set.isEmpty() && change.remove.isEmpty()) errors.add(LineError("", "nothing to change"))
         if (change.base > current.version) {
             errors.add(LineError("", "version ${change.base} does not exist; the newest is ${current.version}"))
@@ -34,7 +38,7 @@
         return errors
     }
 
-    /** The teams of the change that have been changed since its base. */
+    /** Returns the teams of the change that were changed after its base version. */
     fun conflicts(
         change: ConfigurationChange,
         current: Configuration,
@@ -72,8 +76,11 @@
     }
 
     /**
-     * What an unlimited team runs is not counted in its allotments, so a limit that came later would not hold it; and
-     * what runs when a limit goes would be missing when it comes back.
+     * A team can't switch between limited and unlimited. Work of an unlimited team is not counted in its
+     * allotments, so a
+     * limit that is set later would not apply to it; and work that runs when a limit is removed would be missing
+     * from the
+     * allotments if the limit were set again.
      */
     private fun limitErrors(
         setting: TeamSetting,
@@ -85,9 +92,10 @@
         return errors
     }
 
-    private const val LIMIT_KIND_IS_FIXED = "%s can't go between 0 (no limit) and a limit while the team exists; set a high one"
+    private const val LIMIT_KIND_IS_FIXED =
+        "%s can't go between 0 (no limit) and a limit while the team exists; set a high one"
 
-    /** Names are part of keys of the state service, which have at most 200 bytes. */
+    /** Names are part of keys of the state store, which have at most 200 bytes. */
     private const val MAX_NAME_LENGTH = 100
     private val NAME = Regex("[A-Za-z0-9._-]{1,$MAX_NAME_LENGTH}")
     private const val MAX_TEXT_LENGTH = 200
--- a/src/main/kotlin/micatally/config/ChangeCodec.kt
+++ b/src/main/kotlin/micatally/config/ChangeCodec.kt
@@ -40,7 +40,7 @@
     val stage: String,
 )
 
-/** The stored forms of the configuration. */
+/** The codec of the values of the configuration in the state store. */
 object ChangeCodec {
     fun encode(head: ConfigurationHead): JsonObject =
         buildJsonObject {
@@ -98,7 +98,7 @@
             value.textOrNull("stage") ?: "",
         )
 
-    /** The change with the teams that its parts hold. */
+    /** Returns the change with the teams and removals of its [parts]. */
     fun joined(
         stored: StoredChange,
         parts: List<JsonObject>,
@@ -115,7 +115,7 @@
         )
     }
 
-    /** The teams of a change, split into values of at most [valueBytes]. */
+    /** Encodes the teams and removals of a change, split into values of at most [valueBytes]. */
     fun parts(
         change: ChangeRecord,
         valueBytes: Int,
@@ -129,7 +129,7 @@
         }
     }
 
-    /** A snapshot, split into values of at most [valueBytes]. */
+    /** Encodes a snapshot, split into values of at most [valueBytes]. */
     fun snapshot(
         configuration: Configuration,
         valueBytes: Int,
@@ -146,7 +146,7 @@
             TeamEntry(TeamJson.decode(row), row.longOrNull("removed") == 1L, row.long("n"))
         }
 
-    /** Fills one value after the other, with some room for what surrounds the rows. */
+    /** Splits [rows] into values of at most [valueBytes]; a row that is larger by itself gets a value of its own. */
     private fun <T> packRows(
         rows: List<T>,
         valueBytes: Int,
--- a/src/main/kotlin/micatally/config/ChangeFile.kt
+++ b/src/main/kotlin/micatally/config/ChangeFile.kt
@@ -21,7 +21,8 @@
 ) : Exception(errors.joinToString("; ") { "${it.team} ${it.message}".trim() })
 
 /**
- * Reads the file of `micatally config apply`: a JSON object with `base`, `author`, `reason`, `teams` (objects with `name`,
+ * Reads the file of `micatally config apply`: a JSON object with `base`, `author`, `reason`, `teams` (objects
+ * with `name`,
  * `cpus`, `cpus_max`, `gpus` and `gpus_max`, as in the settings file) and `remove` (names).
  */
 object ChangeFile {
--- a/src/main/kotlin/micatally/config/Configuration.kt
+++ b/src/main/kotlin/micatally/config/Configuration.kt
@@ -6,8 +6,10 @@
 import micatally.wire.TeamSetting
 
 /**
- * What a team was changed to last. A removed team keeps its last values: work that it had still counts against them
- * should it come back.
+ * The latest values of a team. A removed team keeps its values, because its remaining work counts against them if the
+ * team is added again.
+ *
+ * @property changedAt the version that changed the team last
  */
 class TeamEntry(
     val team: Team,
@@ -25,8 +27,10 @@
     private val entries: PersistentMap<String, TeamEntry>,
     private val changeIds: PersistentMap<String, Long>,
 ) {
+    /** Returns the latest values of a team, also of a removed one. */
     fun entry(name: String): TeamEntry? = entries[name]
 
+    /** Returns the team, or null if it does not exist or was removed. */
     fun team(name: String): Team? = entries[name]?.takeUnless { it.isRemoved }?.team
 
     val teams: List<Team> get() = entries.values.filter { !it.isRemoved }.map { it.team }
@@ -47,7 +51,11 @@
         return Configuration(change.version, next, recentIds(change.version).put(change.id, change.version))
     }
 
-    /** Repeats come soon; ids of long ago are forgotten, many at a time. All teams may be changed at once, and repeated. */
+    /**
+     * A change is repeated soon or never, so the older half of the ids is dropped when there are too many. The
+     * limit grows
+     * with the number of teams: all of them may be changed at once, and each change repeated.
+     */
     private fun recentIds(version: Long): PersistentMap<String, Long> {
         val maxIds = maxOf(MIN_REMEMBERED_IDS, entries.size * IDS_PER_TEAM)
         if (changeIds.size < maxIds) return changeIds
@@ -60,6 +68,7 @@
         private const val IDS_PER_TEAM = 4
         val EMPTY = Configuration(0, persistentMapOf(), persistentMapOf())
 
+        /** Restores a configuration from a snapshot, which does not hold the ids of its changes. */
         fun of(
             version: Long,
             entries: List<TeamEntry>,
@@ -77,7 +86,7 @@
 /**
  * One change as it is stored.
  *
- * @property atMs time of day of the writer, in milliseconds; for people only
+ * @property atMs wall-clock time of the writer in milliseconds; informational, no decision depends on it
  */
 class ChangeRecord(
     val version: Long,
--- a/src/main/kotlin/micatally/config/ConfigurationApi.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationApi.kt
@@ -22,7 +22,7 @@
 import micatally.wire.RollbackRequest
 import micatally.wire.StatusRequest
 
-/** What operators and other controllers ask about the configuration, on the address for controllers. */
+/** Serves the requests of operators and other controllers about the configuration, on the address for controllers. */
 class ConfigurationApi(
     private val settings: Settings,
     private val http: HttpCaller,
@@ -93,9 +93,11 @@
     }
 
     /**
-     * A version is in force when every controller has confirmed that it decides by it, or when so much time has passed
-     * since it was seen here that a controller without it can't start anything any more. The confirmation of a process
-     * holds for its successors too: they read the shared keys before they decide anything.
+     * Returns the rollout status of a version; 0 requests the newest. A version is in force when every controller has
+     * confirmed that it decides by it, or when so much time has passed since it was applied here that a controller
+     * without it can't start anything any more. The confirmation of a process holds for its successors too: they
+     * read the
+     * shared keys before they decide anything.
      */
     private suspend fun status(requestedVersion: Long): ConfigurationStatus {
         if (!live.isOn) return ConfigurationStatus(isOn = false)
@@ -103,7 +105,8 @@
         val newest = live.configuration.version
         val version = if (requestedVersion > 0) requestedVersion else newest
         val confirmations = requestAppliedVersions() + applied()
-        val missing = settings.peers.map { it.host }.plus(settings.host) - confirmations.filter { it.version >= version }.hostSet()
+        val confirmed = confirmations.filter { it.version >= version }.hostSet()
+        val missing = settings.peers.map { it.host }.plus(settings.host) - confirmed
         val remainingMs = if (missing.isEmpty()) 0L else remainingMsUntilInForce(version)
         return ConfigurationStatus(
             isOn = true,
@@ -118,7 +121,7 @@
 
     private fun List<AppliedVersion>.hostSet() = map { it.host }.toSet()
 
-    /** How long a controller that lacks the version may still start something; the drift of both clocks included. */
+    /** The time for which a controller that lacks the version may still start tasks, with the drift of both clocks. */
     private fun remainingMsUntilInForce(version: Long): Long {
         val boundMs = settings.startBoundMs * (1 + MAX_CLOCK_DRIFT * 2)
         val seenAtMs = live.appliedAtMs(version) ?: return boundMs.toLong()
@@ -142,7 +145,7 @@
     private companion object {
         const val MAX_HISTORY_ENTRIES = 50
 
-        /** How far the steady clocks of two machines drift apart at the most, as a share. */
+        /** The largest drift between the monotonic clocks of two machines, as a fraction. */
         const val MAX_CLOCK_DRIFT = 0.0005
     }
 }
--- a/src/main/kotlin/micatally/config/ConfigurationClient.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationClient.kt
@@ -13,12 +13,16 @@
 import micatally.wire.RollbackRequest
 import micatally.wire.StatusRequest
 
-/** The controller gave no answer that can be used; a change may have been applied all the same. */
+/** The controller gave no usable answer. A change that was sent may have been applied nevertheless. */
 class NoAnswer(
     message: String,
 ) : Exception(message)
 
-/** Asks one controller about the configuration, at its address for controllers. */
+/**
+ * Client of one controller's [ConfigurationApi]. Each call suspends for at most [timeoutMs] and throws
+ * [NoAnswer] if there
+ * is no usable answer.
+ */
 class ConfigurationClient(
     private val http: HttpCaller,
     private val address: String,
@@ -34,9 +38,11 @@
     suspend fun rollback(request: RollbackRequest): ChangeAnswer =
         ProtoBuf.decodeFromByteArray(post(ConfigurationPaths.ROLLBACK, ProtoBuf.encodeToByteArray(request)))
 
-    /** @param version 0: the newest */
+    /** @param version the version to look up; 0 is the newest */
     suspend fun status(version: Long = 0): ConfigurationStatus =
-        ProtoBuf.decodeFromByteArray(post(ConfigurationPaths.STATUS, ProtoBuf.encodeToByteArray(StatusRequest(version))))
+        ProtoBuf.decodeFromByteArray(
+            post(ConfigurationPaths.STATUS, ProtoBuf.encodeToByteArray(StatusRequest(version))),
+        )
 
     private suspend fun post(
         path: String,
--- a/src/main/kotlin/micatally/config/ConfigurationSeed.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationSeed.kt
@@ -14,7 +14,7 @@
 import micatally.state.Urgency
 import org.slf4j.LoggerFactory
 
-/** Stores the teams of the settings file as the first version, once: on the condition that none is stored. */
+/** Stores the teams of the settings file as the first version, by a transaction that requires that no head exists. */
 class ConfigurationSeed(
     private val scope: CoroutineScope,
     private val settings: Settings,
@@ -29,7 +29,7 @@
 
     private val isDue get() = sharedKeys.revision >= 0 && !sharedKeys.has(Keys.CONFIG) && mayWrite()
 
-    /** Looks at the shared keys after a change. */
+    /** Starts to store the first version if none is stored. To be called after each change of the shared keys. */
     fun sharedKeysChanged() {
         if (!isDue || isWriting) return
         isWriting = true
@@ -42,7 +42,10 @@
         }
     }
 
-    /** False if it has to be tried again. After silence the condition makes a repeat harmless. */
+    /**
+     * Returns false if the attempt has to be repeated. Its condition makes that safe, also after an unknown
+     * outcome.
+     */
     private suspend fun write(): Boolean {
         val teams = settings.teams.values.toList()
         val id = "settings-${settings.host}"
--- a/src/main/kotlin/micatally/config/ConfigurationService.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationService.kt
@@ -27,6 +27,7 @@
         ConfigurationWriter(scope, settings, state, sharedKeys, live, store, wallMs) { membership.refresh() }
     private val api = ConfigurationApi(settings, http, live, writer, store, nowMs)
 
+    /** The teams and their limits that are in force now. */
     val teams: TeamDirectory get() = live
 
     /** @param onApplied told of each new version before it counts as applied */
@@ -34,7 +35,7 @@
         live.onApplied = onApplied
     }
 
-    /** Looks at the shared keys after a change. */
+    /** Follows a change of the shared keys. To be called after each of them. */
     fun sharedKeysChanged() {
         seed.sharedKeysChanged()
         live.sharedKeysChanged()
--- a/src/main/kotlin/micatally/config/ConfigurationStore.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationStore.kt
@@ -13,8 +13,9 @@
 import micatally.state.Urgency
 import micatally.state.Write
 
-/** What became of looking at the stored head. */
+/** The outcome of reading the stored head. */
 sealed interface HeadRead {
+    /** The head as it is stored now. */
     class Found(
         val head: ConfigurationHead,
     ) : HeadRead
@@ -22,22 +23,27 @@
     /** The configuration has not been stored yet. */
     data object Missing : HeadRead
 
+    /** The state store gave no answer. */
     data object Unavailable : HeadRead
 }
 
 /**
- * The configuration in the state service: a head that all controllers watch, one immutable value for each group of changes
- * that were written together, named by the last of them, and now and then a snapshot, so that a start reads a bounded
- * number of changes. Changes are written in one transaction with the head.
+ * The configuration in the state store:
+ * - the head, which all controllers watch;
+ * - one immutable value for each batch of changes, under the version of its last change, written in one
+ * transaction with
+ *   the head;
+ * - snapshots, written from time to time, so that a start reads a bounded number of changes.
  */
 class ConfigurationStore(
     private val state: StateStoreClient,
     private val limits: StateLimits,
-    /** Names this process, so that no two ever write the same values of a large change. */
+    /** The identity of this process. It keeps the parts of a large change apart from those of any other process. */
     private val process: String,
 ) {
     private var stageCount = 0L
 
+    /** Reads the head from the state store, not from the cached shared keys. */
     suspend fun head(): HeadRead =
         when (val read = state.get(Keys.CONFIG, Urgency.ACCEPTANCE)) {
             is ReadResult.Found -> HeadRead.Found(ChangeCodec.head(read.item.value))
@@ -45,7 +51,7 @@
             ReadResult.Unavailable -> HeadRead.Unavailable
         }
 
-    /** Everything from the newest snapshot on; null if it can't be read whole now. */
+    /** Returns the newest snapshot with all later changes applied; null if some of it can't be read now. */
     suspend fun load(head: ConfigurationHead): Configuration? {
         if (head.snapshot == 0L) return applyLaterChanges(Configuration.EMPTY)
         return applyLaterChanges(readSnapshot(head.snapshot, head.snapshotParts) ?: return null)
@@ -60,7 +66,10 @@
         return Configuration.of(version, items.flatMap { ChangeCodec.entries(it.value) })
     }
 
-    /** [from] with all later changes up to [last]; null if they can't be read now or are not there any more. */
+    /**
+     * Returns [from] with all later changes up to [last] applied; null if they can't be read now or have been
+     * pruned.
+     */
     suspend fun applyLaterChanges(
         from: Configuration,
         last: Long = Long.MAX_VALUE,
@@ -74,7 +83,7 @@
         return configuration
     }
 
-    /** The configuration as it was at [version]; null if it can't be read or is too old to be known. */
+    /** Returns the configuration at [version]; null if it can't be read now or has been pruned. */
     suspend fun readVersion(
         version: Long,
         head: ConfigurationHead,
@@ -101,12 +110,17 @@
             .substringBefore('/')
             .toLong()
 
-    /** The last changes, newest first; null if they can't be read now. */
+    /**
+     * Returns up to [count] changes before and including version [newest], newest first; null if they can't be
+     * read now.
+     */
     suspend fun history(
         newest: Long,
         count: Int,
     ): List<ChangeRecord>? =
-        readChangesAfter(maxOf(0L, newest - count))?.map { completeRecord(it) ?: it.record }?.sortedByDescending { it.version }
+        readChangesAfter(maxOf(0L, newest - count))
+            ?.map { completeRecord(it) ?: it.record }
+            ?.sortedByDescending { it.version }
 
     private suspend fun readChangesAfter(version: Long): List<StoredChange>? =
         state
@@ -122,8 +136,10 @@
     }
 
     /**
-     * Prepares a change for its commit: one that is too large for a value has its teams written apart first, where nobody
-     * looks until the change itself is stored. They stay if it never is.
+     * Prepares a change for its commit. The teams of a change that is too large for one value are written first, as
+     * parts under a key of their own, which nothing refers to until the change itself is committed. The parts of
+     * a change
+     * that is never committed are left in the store.
      *
      * @return the form to store, at most half a value; null if the parts could not be written
      */
@@ -145,7 +161,11 @@
         return ChangeCodec.encode(change, parts.size, stage)
     }
 
-    /** Writes a snapshot's values; the same version has the same content, whoever writes it and however often. */
+    /**
+     * Writes a snapshot. Repeating it is idempotent: the content depends on the version alone.
+     *
+     * @return the number of values written; null if not all were confirmed
+     */
     suspend fun writeSnapshot(configuration: Configuration): Int? {
         val parts = ChangeCodec.snapshot(configuration, limits.valueBytes)
         for ((index, part) in parts.withIndex()) {
@@ -161,7 +181,7 @@
         return parts.size
     }
 
-    /** Removes what a start does not need any more: changes up to [version] and the snapshots before it. */
+    /** Deletes what a start does not need any more: changes up to [version], their parts, and older snapshots. */
     suspend fun prune(version: Long) {
         val changes = state.list(Keys.CONFIG_CHANGE, Urgency.SUMMARY)?.items ?: return
         val snapshots = state.list(Keys.CONFIG_SNAPSHOT, Urgency.SUMMARY)?.items ?: return
--- a/src/main/kotlin/micatally/config/ConfigurationWriter.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationWriter.kt
@@ -22,10 +22,14 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Stores changes of the configuration. Changes that wait are written together, each under a version of its own, as one
- * value in one transaction with the head, on the condition that the head is the one that they were checked against.
+ * Commits changes of the configuration. Queued changes are committed in batches: each change gets a version of its own,
+ * and the whole batch is stored as one value by a compare-and-swap of the head. The transaction is applied only if the
+ * head is still the one that the changes were checked against, so no change is ever based on values that it was not
+ * checked with.
  *
- * @param refreshSharedKeys reads the shared keys again
+ * At most one batch is in flight at a time on a controller; other controllers may write concurrently.
+ *
+ * @param refreshSharedKeys reads the shared keys from the state store again
  */
 class ConfigurationWriter(
     private val scope: CoroutineScope,
@@ -46,15 +50,25 @@
     ) {
         val answer = CompletableDeferred<ChangeAnswer>()
 
-        /** A transaction with it has left: its outcome may be unknown. */
+        /** Whether a transaction with this change has been sent, so that its outcome may be unknown. */
         var isSent = false
+
+        /**
+         * Whether the caller was answered without waiting for the outcome. A change that was not sent by then is
+         * dropped.
+         */
         var hasTimedOut = false
     }
 
     private val queue = ArrayDeque<QueuedChange>()
     private var isWriting = false
 
-    /** Applies a change, or says why not. Returns within half a lease. */
+    /**
+     * Commits a change, or only checks it if it is a dry run. Suspends until the change is applied or rejected, but no
+     * longer than half a lease: then the answer is [ChangeStatus.UNKNOWN] if a transaction with the change has
+     * been sent and
+     * [ChangeStatus.UNAVAILABLE] otherwise. Repeating a change with the same id is idempotent.
+     */
     suspend fun apply(change: ConfigurationChange): ChangeAnswer {
         if (!live.isOn) return ChangeAnswer(ChangeStatus.SWITCHED_OFF)
         if (change.isDryRun) return dryRun(change)
@@ -98,7 +112,7 @@
         }
     }
 
-    /** A change that has been checked, with its stored form. */
+    /** A change that passed the checks, with the record and the value to store. */
     private class StagedChange(
         val queued: QueuedChange,
         val record: ChangeRecord,
@@ -126,7 +140,10 @@
         compact()
     }
 
-    /** Takes waiting changes as long as they fit in one value; those that can't be applied are answered here. */
+    /**
+     * Takes changes from the queue as long as they fit in one value, and checks each against the configuration with all
+     * earlier changes of the batch. Changes that can't be applied are answered here.
+     */
     private suspend fun stageBatch(): List<StagedChange> {
         val batch = ArrayList<StagedChange>()
         var next = live.configuration
@@ -168,8 +185,9 @@
     )
 
     /**
-     * Whether the transaction was applied by this call. After silence it may yet be carried out, so it is repeated, under the
-     * same condition, until an answer shows that it has been or can't be any more.
+     * Returns whether this call applied the transaction. While the outcome of a request is unknown the transaction may
+     * still be applied later, so it is repeated under the same condition until an answer shows that it was applied or
+     * can't be applied any more.
      */
     private suspend fun commit(transaction: Transaction): Boolean {
         var mayBeCommitted = false
@@ -184,18 +202,22 @@
         }
     }
 
-    /** Another writer was first, or this one's answer was lost: waits until the newer head is known here. */
+    /** After a lost compare-and-swap (another writer was first, or an answer was lost): waits for the newer head. */
     private suspend fun catchUp(modRevision: Long) {
         refreshSharedKeys()
         if (sharedKeys.modRevision(Keys.CONFIG) == modRevision) delay(retryMs)
         live.head?.let { live.awaitVersion(it.version, answerTimeoutMs) }
     }
 
-    /** Answers a change whose transaction has ended, or has it tried again. */
+    /**
+     * Answers a change of a finished transaction if it was applied; otherwise puts it back at the head of the
+     * queue.
+     */
     private fun completeOrRequeue(queued: QueuedChange) {
         val version = live.configuration.versionOf(queued.change.id)
         if (version != null) {
-            log.info("configuration change committed: version {} by {}: {}", version, queued.change.author, queued.change.reason)
+            val change = queued.change
+            log.info("configuration change committed: version {} by {}: {}", version, change.author, change.reason)
             queued.answer.complete(ChangeAnswer(ChangeStatus.APPLIED, version))
         } else if (!queued.hasTimedOut) {
             queued.isSent = false
@@ -203,7 +225,7 @@
         }
     }
 
-    /** Bounds what a start has to read. */
+    /** Writes a snapshot once enough changes have piled up, so that a start reads a bounded number of them. */
     private suspend fun compact() {
         val head = live.head ?: return
         val configuration = live.configuration
@@ -221,10 +243,13 @@
         private const val RETRIES_PER_LEASE = 200
         private const val MAX_QUEUED_CHANGES = 1000
 
-        /** What surrounds the changes in their value. */
+        /** Bytes of a value around the changes in it. */
         private const val ENVELOPE_BYTES = 64
 
-        /** After so many changes a snapshot is written; so many, and as many again, can be rolled back to. */
+        /**
+         * Number of changes between two snapshots. At least as many versions can be rolled back to, at most
+         * twice as many.
+         */
         const val SNAPSHOT_EVERY = 500
     }
 }
--- a/src/main/kotlin/micatally/config/LiveConfiguration.kt
+++ b/src/main/kotlin/micatally/config/LiveConfiguration.kt
@@ -10,15 +10,20 @@
 import micatally.settings.TeamDirectory
 import org.slf4j.LoggerFactory
 
-/**
- * OFF: the teams are those of the settings file.
- * BEHIND: a newer version is known to exist and is not loaded here; nothing may be decided.
- * CURRENT: decisions rest on the newest version that this controller's copy of the shared keys shows.
- */
-enum class ConfigurationPhase { OFF, BEHIND, CURRENT }
+/** How this controller's configuration relates to the stored one. */
+enum class ConfigurationPhase {
+    /** No configuration is stored: the teams are those of the settings file. */
+    OFF,
+
+    /** A newer version is known to exist but is not loaded yet; nothing may be decided. */
+    BEHIND,
+
+    /** The newest version in this controller's copy of the shared keys is loaded. */
+    CURRENT,
+}
 
 /**
- * The configuration that this controller decides by, swapped as a whole.
+ * The configuration that this controller decides by. It is immutable and replaced as a whole.
  *
  * @param mayBeOn whether the stored configuration may have been switched on without this controller having seen it yet
  */
@@ -69,7 +74,10 @@
         phase = next
     }
 
-    /** Looks at the shared keys after a change. */
+    /**
+     * Loads the newest version if the shared keys show a newer one. To be called after each change of the shared
+     * keys.
+     */
     fun sharedKeysChanged() {
         val newest = head?.version ?: return
         if (newest <= configuration.version) return
@@ -85,7 +93,7 @@
         }
     }
 
-    /** One try to come to the newest version; false if it can't be read whole now. */
+    /** Makes one attempt to load the newest version; returns false if some of it can't be read now. */
     private suspend fun load(): Boolean {
         val newest = head ?: return false
         val updated = if (configuration.version > 0) store.applyLaterChanges(configuration) else null
@@ -113,12 +121,17 @@
         )
     }
 
-    /** When this controller first decided by [version] or a later one; null if it does not yet. */
+    /**
+     * Returns the time in milliseconds at which this controller applied [version] or a later one; null if it has
+     * not.
+     */
     fun appliedAtMs(version: Long): Long? = appliedVersions.find { it.version >= version }?.atMs
 
     /**
-     * Whether a task may be started as far as the configuration is concerned. A controller that has had no contact with
-     * the state service for nine tenths of a lease may lack a version that is in force by then.
+     * Returns whether the configuration permits starting a task. A controller without contact to the state store for
+     * nine tenths of a lease may lack a version that is in force by then, so it may not start anything.
+     *
+     * @param viewAgeMs the age of this controller's copy of the shared keys
      */
     fun mayStart(viewAgeMs: Long): Boolean {
         if (!isOn && !mayBeOn()) return true
@@ -133,7 +146,7 @@
         return awaitVersion(read.head.version, settings.leaseMs / REFRESHES_PER_LEASE)
     }
 
-    /** Waits until decisions rest on [version] or a later one; false if that takes too long. */
+    /** Suspends until [version] or a later one is applied here; returns false after [timeoutMs]. */
     suspend fun awaitVersion(
         version: Long,
         timeoutMs: Long,
