--- a/src/main/kotlin/micatally/config/ConfigurationService.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationService.kt
@@ -8,7 +8,11 @@
 import micatally.state.StateStoreClient
 import micatally.upgrade.Upgrade
 
-/** The parts of the stored configuration on one controller, put together. */
+/**
+ * The parts of the stored configuration on one controller, put together.
+ *
+ * @param onApplied called with each new version of the teams, before it counts as applied
+ */
 class ConfigurationService(
     scope: CoroutineScope,
     settings: Settings,
@@ -18,10 +22,11 @@
     http: HttpCaller,
     nowMs: () -> Long,
     wallMs: () -> Long,
+    onApplied: (former: Configuration, next: Configuration) -> Unit,
 ) {
     private val sharedKeys = membership.sharedKeys
     private val store = ConfigurationStore(state, settings.stateLimits, membership.process)
-    val live = LiveConfiguration(scope, settings, sharedKeys, store, { upgrade.mayTeamsBeStored }, nowMs)
+    val live = LiveConfiguration(scope, settings, sharedKeys, store, { upgrade.mayTeamsBeStored }, nowMs, onApplied)
     private val seed = ConfigurationSeed(scope, settings, state, sharedKeys, store, { upgrade.mayStoreTeams }, wallMs)
     private val writer =
         ConfigurationWriter(scope, settings, state, sharedKeys, live, store, wallMs) { membership.refresh() }
@@ -30,11 +35,6 @@
     /** The teams and their limits that are in force now. */
     val teams: TeamDirectory get() = live
 
-    /** @param onApplied told of each new version before it counts as applied */
-    fun start(onApplied: (former: Configuration, next: Configuration) -> Unit) {
-        live.onApplied = onApplied
-    }
-
     /** Follows a change of the shared keys. To be called after each of them. */
     fun sharedKeysChanged() {
         seed.sharedKeysChanged()
--- a/src/main/kotlin/micatally/config/LiveConfiguration.kt
+++ b/src/main/kotlin/micatally/config/LiveConfiguration.kt
@@ -26,6 +26,7 @@
  * The configuration that this controller decides by. It is immutable and replaced as a whole.
  *
  * @param mayBeOn whether the stored configuration may have been switched on without this controller having seen it yet
+ * @param onApplied called with each replacement of the configuration, before the new version counts as applied
  */
 class LiveConfiguration(
     private val scope: CoroutineScope,
@@ -34,6 +35,7 @@
     private val store: ConfigurationStore,
     private val mayBeOn: () -> Boolean,
     private val nowMs: () -> Long,
+    private val onApplied: (former: Configuration, next: Configuration) -> Unit,
 ) : TeamDirectory {
     private val log = LoggerFactory.getLogger("micatally.config")
     private val retryMs = maxOf(10L, settings.leaseMs / RETRIES_PER_LEASE)
@@ -53,9 +55,6 @@
         val atMs: Long,
     )
 
-    /** Told of each swap; what it does is done before the version counts as applied. */
-    var onApplied: (former: Configuration, next: Configuration) -> Unit = { _, _ -> }
-
     val isOn get() = phase != ConfigurationPhase.OFF
     override val isCurrent get() = phase != ConfigurationPhase.BEHIND
 
@@ -86,7 +85,9 @@
         isLoading = true
         scope.launch {
             try {
-                while (phase == ConfigurationPhase.BEHIND) if (!load()) delay(retryMs)
+                while (phase == ConfigurationPhase.BEHIND) {
+                    if (!load()) delay(retryMs)
+                }
             } finally {
                 isLoading = false
             }
@@ -110,15 +111,8 @@
         appliedVersions.addLast(AppliedVersionTime(next.version, nowMs()))
         while (appliedVersions.size > MAX_APPLIED_VERSIONS) appliedVersions.removeFirst()
         log.info("configuration version applied: {} -> {}", former.version, next.version)
-        transitionTo(
-            if ((head?.version ?: 0L) <=
-                next.version
-            ) {
-                ConfigurationPhase.CURRENT
-            } else {
-                ConfigurationPhase.BEHIND
-            },
-        )
+        val newest = head?.version ?: 0L
+        transitionTo(if (newest <= next.version) ConfigurationPhase.CURRENT else ConfigurationPhase.BEHIND)
     }
 
     /**
--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -120,7 +120,9 @@
 
     /** The teams and their limits, as they are in force. */
     val configuration =
-        ConfigurationService(scope, settings, state, membership, upgrade, http, nowMs, wallMs)
+        ConfigurationService(scope, settings, state, membership, upgrade, http, nowMs, wallMs) { former, next ->
+            configurationApplied(former, next)
+        }
     private val forms = RecordForms(settings.stateLimits) { upgrade.isUniform }
     private val archive: RecordArchive =
         RecordArchive(scope, settings, state, membership, operator.archiveMode, loadedShards())
@@ -300,7 +302,6 @@
 
     /** Connects the parts and starts their coroutines. To be called once, before the first request is handled. */
     fun start() {
-        configuration.start { former, next -> configurationApplied(former, next) }
         membership.start()
         fleetManager.start()
         peers.start()
