--- a/src/main/kotlin/micatally/config/ChangeCheck.kt
+++ b/src/main/kotlin/micatally/config/ChangeCheck.kt
@@ -12,6 +12,23 @@
         change: ConfigurationChange,
         current: Configuration,
     ): List<LineError> {
+        val errors = ArrayList<LineError>()
+        errors.addAll(textErrors(change))
+        if (change.set.isEmpty() && change.remove.isEmpty()) errors.add(LineError("", "nothing to change"))
+        if (change.base > current.version) {
+            errors.add(LineError("", "version ${change.base} does not exist; the newest is ${current.version}"))
+        }
+        errors.addAll(duplicateErrors(change))
+        for (setting in change.set) {
+            settingErrors(setting, current).forEach { errors.add(LineError(setting.name, it)) }
+        }
+        for (name in change.remove) {
+            if (current.team(name) == null) errors.add(LineError(name, "there is no such team to remove"))
+        }
+        return errors
+    }
+
+    private fun textErrors(change: ConfigurationChange): List<LineError> {
         val errors = ArrayList<LineError>()
         val hasId = NAME.matches(change.id)
         if (!hasId) errors.add(LineError("", "the change has no id, or one with other signs than a name"))
@@ -23,21 +40,14 @@
         if (change.reason.length > MAX_TEXT_LENGTH) {
             errors.add(LineError("", "reason is longer than $MAX_TEXT_LENGTH characters"))
         }
-        if (change.set.isEmpty() && change.remove.isEmpty()) errors.add(LineError("", "nothing to change"))
-        if (change.base > current.version) {
-            errors.add(LineError("", "version ${change.base} does not exist; the newest is ${current.version}"))
-        }
-        val names = change.set.map { it.name } + change.remove
-        for ((name, count) in names.groupingBy { it }.eachCount()) {
-            if (count > 1) errors.add(LineError(name, "named $count times"))
-        }
-        for (setting in change.set) settingErrors(setting, current).forEach { errors.add(LineError(setting.name, it)) }
-        for (name in change.remove) {
-            if (current.team(name) == null) errors.add(LineError(name, "there is no such team to remove"))
-        }
         return errors
     }
 
+    private fun duplicateErrors(change: ConfigurationChange): List<LineError> {
+        val counts = (change.set.map { it.name } + change.remove).groupingBy { it }.eachCount()
+        return counts.filterValues { it > 1 }.map { (name, count) -> LineError(name, "named $count times") }
+    }
+
     /** Returns the teams of the change that were changed after its base version. */
     fun conflicts(
         change: ConfigurationChange,
@@ -55,6 +65,14 @@
         if (!NAME.matches(setting.name)) {
             errors.add("a name has 1 to $MAX_NAME_LENGTH letters, digits, dots, hyphens and underscores")
         }
+        errors.addAll(numberErrors(setting))
+        if (setting.coresMax > 0 && setting.cores > setting.coresMax) errors.add("cpus is above cpus_max")
+        if (setting.gpusMax > 0 && setting.gpus > setting.gpusMax) errors.add("gpus is above gpus_max")
+        current.entry(setting.name)?.let { errors.addAll(limitErrors(setting, it.team)) }
+        return errors
+    }
+
+    private fun numberErrors(setting: TeamSetting): List<String> {
         val numbers =
             mapOf(
                 "cpus" to setting.cores,
@@ -62,17 +80,13 @@
                 "gpus" to setting.gpus,
                 "gpus_max" to setting.gpusMax,
             )
-        for ((field, value) in numbers) {
-            if (!value.isFinite()) {
-                errors.add("$field is not a number")
-            } else if (value < 0) {
-                errors.add("$field must not be negative")
+        return numbers.mapNotNull { (field, value) ->
+            when {
+                !value.isFinite() -> "$field is not a number"
+                value < 0 -> "$field must not be negative"
+                else -> null
             }
         }
-        if (setting.coresMax > 0 && setting.cores > setting.coresMax) errors.add("cpus is above cpus_max")
-        if (setting.gpusMax > 0 && setting.gpus > setting.gpusMax) errors.add("gpus is above gpus_max")
-        current.entry(setting.name)?.let { errors.addAll(limitErrors(setting, it.team)) }
-        return errors
     }
 
     /**
--- a/src/main/kotlin/micatally/config/ChangeCodec.kt
+++ b/src/main/kotlin/micatally/config/ChangeCodec.kt
@@ -5,13 +5,13 @@
 import kotlinx.serialization.json.JsonPrimitive
 import kotlinx.serialization.json.buildJsonObject
 import kotlinx.serialization.json.put
+import micatally.settings.Team
 import micatally.settings.TeamJson
 import micatally.wire.asObject
 import micatally.wire.asText
 import micatally.wire.listOrNull
 import micatally.wire.long
 import micatally.wire.longOrNull
-import micatally.wire.numberOrNull
 import micatally.wire.text
 import micatally.wire.textOrNull
 
@@ -91,8 +91,8 @@
                 value.text("author"),
                 value.text("reason"),
                 value.long("at"),
-                (value.listOrNull("set") ?: emptyList()).map { TeamJson.decode(it.asObject()) },
-                (value.listOrNull("remove") ?: emptyList()).map { it.asText() },
+                changedTeams(value),
+                removedNames(value),
             ),
             (value.longOrNull("parts") ?: 0L).toInt(),
             value.textOrNull("stage") ?: "",
@@ -110,11 +110,17 @@
             record.author,
             record.reason,
             record.atMs,
-            parts.flatMap { part -> (part.listOrNull("set") ?: emptyList()).map { TeamJson.decode(it.asObject()) } },
-            parts.flatMap { part -> (part.listOrNull("remove") ?: emptyList()).map { it.asText() } },
+            parts.flatMap { changedTeams(it) },
+            parts.flatMap { removedNames(it) },
         )
     }
 
+    private fun changedTeams(value: JsonObject): List<Team> =
+        (value.listOrNull("set") ?: emptyList()).map { TeamJson.decode(it.asObject()) }
+
+    private fun removedNames(value: JsonObject): List<String> =
+        (value.listOrNull("remove") ?: emptyList()).map { it.asText() }
+
     /** Encodes the teams and removals of a change, split into values of at most [valueBytes]. */
     fun parts(
         change: ChangeRecord,
--- a/src/main/kotlin/micatally/config/ChangeFile.kt
+++ b/src/main/kotlin/micatally/config/ChangeFile.kt
@@ -27,7 +27,8 @@
  */
 object ChangeFile {
     private val FIELDS = listOf("base", "author", "reason", "teams", "remove")
-    private val TEAM_FIELDS = listOf("name", "cpus", "cpus_max", "gpus", "gpus_max")
+    private val QUOTA_FIELDS = listOf("cpus", "cpus_max", "gpus", "gpus_max")
+    private val TEAM_FIELDS = listOf("name") + QUOTA_FIELDS
 
     /** @param id of the change, see [ConfigurationChange.id] */
     fun parse(
@@ -60,12 +61,16 @@
         val name = parseOrNull(errors, line) { fields.text("name") }
 
         fun number(field: String) = parseOrNull(errors, name ?: line) { fields.numberOrNull(field) ?: 0.0 }
-        val cores = number("cpus")
-        val coresMax = number("cpus_max")
-        val gpus = number("gpus")
-        val gpusMax = number("gpus_max")
-        if (name == null || cores == null || coresMax == null || gpus == null || gpusMax == null) return null
-        return TeamSetting(name, cores, coresMax, gpus, gpusMax)
+        val numbers = HashMap<String, Double>()
+        for (field in QUOTA_FIELDS) number(field)?.let { numbers[field] = it }
+        if (name == null || numbers.size < QUOTA_FIELDS.size) return null
+        return TeamSetting(
+            name,
+            cores = numbers.getValue("cpus"),
+            coresMax = numbers.getValue("cpus_max"),
+            gpus = numbers.getValue("gpus"),
+            gpusMax = numbers.getValue("gpus_max"),
+        )
     }
 
     private fun unknownFieldErrors(
--- a/src/main/kotlin/micatally/config/ConfigurationApi.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationApi.kt
@@ -72,26 +72,33 @@
         val current = live.configuration
         val head = live.head ?: return ChangeAnswer(ChangeStatus.UNAVAILABLE)
         if (request.version !in 1..current.version) {
-            val error = LineError("", "version ${request.version} does not exist; the newest is ${current.version}")
-            return ChangeAnswer(ChangeStatus.INVALID, current.version, listOf(error))
+            return invalid(current, "version ${request.version} does not exist; the newest is ${current.version}")
         }
-        val former = store.readVersion(request.version, head)
-        if (former == null) {
-            val error = LineError("", "version ${request.version} can't be read, or is too old to be known")
-            return ChangeAnswer(ChangeStatus.INVALID, current.version, listOf(error))
-        }
-        val change =
-            ConfigurationChange(
-                id = request.id,
-                base = current.version,
-                author = request.author,
-                reason = request.reason,
-                set = former.teams.map { it.toSetting() }.filter { it != current.team(it.name)?.toSetting() },
-                remove = current.teams.map { it.name }.filter { former.team(it) == null },
-            )
-        return writer.apply(change)
+        val former =
+            store.readVersion(request.version, head)
+                ?: return invalid(current, "version ${request.version} can't be read, or is too old to be known")
+        return writer.apply(changeBack(request, current, former))
     }
 
+    private fun invalid(
+        current: Configuration,
+        message: String,
+    ) = ChangeAnswer(ChangeStatus.INVALID, current.version, listOf(LineError("", message)))
+
+    /** The change that turns [current] into [former]. */
+    private fun changeBack(
+        request: RollbackRequest,
+        current: Configuration,
+        former: Configuration,
+    ) = ConfigurationChange(
+        id = request.id,
+        base = current.version,
+        author = request.author,
+        reason = request.reason,
+        set = former.teams.map { it.toSetting() }.filter { it != current.team(it.name)?.toSetting() },
+        remove = current.teams.map { it.name }.filter { former.team(it) == null },
+    )
+
     /**
      * Returns the rollout status of a version; 0 requests the newest. A version is in force when every controller has
      * confirmed that it decides by it, or when so much time has passed since it was applied here that a controller
--- a/src/main/kotlin/micatally/config/ConfigurationStore.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationStore.kt
@@ -148,16 +148,7 @@
         if (plain.toString().length <= limits.valueBytes / 2) return plain
         val parts = ChangeCodec.parts(change, limits.valueBytes)
         val stage = "$process-${stageCount++}"
-        for ((index, part) in parts.withIndex()) {
-            val put = Put(Keys.configPart(stage) + "%04d".format(index), part)
-            if (state.transact(
-                    1,
-                    Urgency.ACCEPTANCE,
-                ) { Transaction(emptyList(), listOf(put)) } !is TransactionResult.Applied
-            ) {
-                return null
-            }
-        }
+        if (!writeParts(Keys.configPart(stage), parts, Urgency.ACCEPTANCE)) return null
         return ChangeCodec.encode(change, parts.size, stage)
     }
 
@@ -168,17 +159,21 @@
      */
     suspend fun writeSnapshot(configuration: Configuration): Int? {
         val parts = ChangeCodec.snapshot(configuration, limits.valueBytes)
+        return if (writeParts(Keys.configSnapshot(configuration.version), parts, Urgency.SUMMARY)) parts.size else null
+    }
+
+    /** Writes the values one after the other under numbered keys; false as soon as one was not confirmed. */
+    private suspend fun writeParts(
+        prefix: String,
+        parts: List<JsonObject>,
+        urgency: Urgency,
+    ): Boolean {
         for ((index, part) in parts.withIndex()) {
-            val put = Put(Keys.configSnapshot(configuration.version) + "%04d".format(index), part)
-            if (state.transact(
-                    1,
-                    Urgency.SUMMARY,
-                ) { Transaction(emptyList(), listOf(put)) } !is TransactionResult.Applied
-            ) {
-                return null
-            }
+            val put = Put(prefix + "%04d".format(index), part)
+            val result = state.transact(1, urgency) { Transaction(emptyList(), listOf(put)) }
+            if (result !is TransactionResult.Applied) return false
         }
-        return parts.size
+        return true
     }
 
     /** Deletes what a start does not need any more: changes up to [version], their parts, and older snapshots. */
--- a/src/main/kotlin/micatally/config/ConfigurationWriter.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationWriter.kt
@@ -130,16 +130,25 @@
         val batch = stageBatch()
         if (batch.isEmpty()) return
         val newest = batch.last().record.version
-        val nextHead = ChangeCodec.encode(ConfigurationHead(newest, head.snapshot, head.snapshotParts))
+        val nextHead = ConfigurationHead(newest, head.snapshot, head.snapshotParts)
         val group = Put(Keys.configChange(newest), ChangeCodec.group(batch.map { it.value }))
-        val transaction =
-            Transaction(listOf(Compare(Keys.CONFIG, modRevision)), listOf(Put(Keys.CONFIG, nextHead), group))
         batch.forEach { it.queued.isSent = true }
-        if (commit(transaction)) live.awaitVersion(newest, answerTimeoutMs) else catchUp(modRevision)
+        val isApplied = commit(replaceHead(modRevision, nextHead, listOf(group)))
+        if (isApplied) live.awaitVersion(newest, answerTimeoutMs) else catchUp(modRevision)
         for (staged in batch) completeOrRequeue(staged.queued)
         compact()
     }
 
+    /** The compare-and-swap of the head that was read at [modRevision], with [writes] beside it. */
+    private fun replaceHead(
+        modRevision: Long,
+        next: ConfigurationHead,
+        writes: List<Put> = emptyList(),
+    ): Transaction {
+        val head = Put(Keys.CONFIG, ChangeCodec.encode(next))
+        return Transaction(listOf(Compare(Keys.CONFIG, modRevision)), listOf(head) + writes)
+    }
+
     /**
      * Takes changes from the queue as long as they fit in one value, and checks each against the configuration with all
      * earlier changes of the batch. Changes that can't be applied are answered here.
@@ -151,26 +160,35 @@
         while (queue.isNotEmpty() && bytes < settings.valueBytes / 2 - ENVELOPE_BYTES) {
             val queued = queue.removeFirst()
             if (queued.hasTimedOut) continue
-            val appliedVersion = next.versionOf(queued.change.id)
-            val answer =
-                appliedVersion?.let { ChangeAnswer(ChangeStatus.APPLIED, it) } ?: rejection(queued.change, next)
-            if (answer != null) {
-                queued.answer.complete(answer)
-                continue
-            }
-            val record = recordOf(queued.change, next.version + 1)
-            val value = store.stage(record)
-            if (value == null) {
-                queued.answer.complete(ChangeAnswer(ChangeStatus.UNAVAILABLE))
-                continue
-            }
-            bytes += value.toString().length + 1
-            batch.add(StagedChange(queued, record, value))
-            next = next.with(record)
+            val staged = stageOrAnswer(queued, next) ?: continue
+            bytes += staged.value.toString().length + 1
+            batch.add(staged)
+            next = next.with(staged.record)
         }
         return batch
     }
 
+    /** Stages the change as the successor of [current]; answers it and returns null if that can't be done. */
+    private suspend fun stageOrAnswer(
+        queued: QueuedChange,
+        current: Configuration,
+    ): StagedChange? {
+        val appliedVersion = current.versionOf(queued.change.id)
+        val answer =
+            appliedVersion?.let { ChangeAnswer(ChangeStatus.APPLIED, it) } ?: rejection(queued.change, current)
+        if (answer != null) {
+            queued.answer.complete(answer)
+            return null
+        }
+        val record = recordOf(queued.change, current.version + 1)
+        val value = store.stage(record)
+        if (value == null) {
+            queued.answer.complete(ChangeAnswer(ChangeStatus.UNAVAILABLE))
+            return null
+        }
+        return StagedChange(queued, record, value)
+    }
+
     private fun recordOf(
         change: ConfigurationChange,
         version: Long,
@@ -232,9 +250,8 @@
         if (configuration.version != head.version || head.version - head.snapshot < SNAPSHOT_EVERY) return
         val modRevision = sharedKeys.modRevision(Keys.CONFIG)
         val parts = store.writeSnapshot(configuration) ?: return
-        val next = ChangeCodec.encode(ConfigurationHead(head.version, head.version, parts))
-        val transaction = Transaction(listOf(Compare(Keys.CONFIG, modRevision)), listOf(Put(Keys.CONFIG, next)))
-        if (commit(transaction) && head.snapshot > 0) store.prune(head.snapshot)
+        val nextHead = ConfigurationHead(head.version, head.version, parts)
+        if (commit(replaceHead(modRevision, nextHead)) && head.snapshot > 0) store.prune(head.snapshot)
         // The next change must be checked against the head that was just written.
         refreshSharedKeys()
     }
