--- a/src/main/kotlin/micatally/config/ChangeCodec.kt
+++ b/src/main/kotlin/micatally/config/ChangeCodec.kt
@@ -5,13 +5,13 @@
 import kotlinx.serialization.json.JsonPrimitive
 import kotlinx.serialization.json.buildJsonObject
 import kotlinx.serialization.json.put
+import micatally.settings.Team
 import micatally.settings.TeamJson
 import micatally.wire.asObject
 import micatally.wire.asText
 import micatally.wire.listOrNull
 import micatally.wire.long
 import micatally.wire.longOrNull
-import micatally.wire.numberOrNull
 import micatally.wire.text
 import micatally.wire.textOrNull
 
@@ -40,7 +40,7 @@
     val stage: String,
 )
 
-/** The stored forms of the configuration. */
+/** The codec of the values of the configuration in the state store. */
 object ChangeCodec {
     fun encode(head: ConfigurationHead): JsonObject =
         buildJsonObject {
@@ -91,14 +91,14 @@
                 value.text("author"),
                 value.text("reason"),
                 value.long("at"),
-                (value.listOrNull("set") ?: emptyList()).map { TeamJson.decode(it.asObject()) },
-                (value.listOrNull("remove") ?: emptyList()).map { it.asText() },
+                changedTeams(value),
+                removedNames(value),
             ),
             (value.longOrNull("parts") ?: 0L).toInt(),
             value.textOrNull("stage") ?: "",
         )
 
-    /** The change with the teams that its parts hold. */
+    /** Returns the change with the teams and removals of its [parts]. */
     fun joined(
         stored: StoredChange,
         parts: List<JsonObject>,
@@ -110,18 +110,24 @@
             record.author,
             record.reason,
             record.atMs,
-            parts.flatMap { part -> (part.listOrNull("set") ?: emptyList()).map { TeamJson.decode(it.asObject()) } },
-            parts.flatMap { part -> (part.listOrNull("remove") ?: emptyList()).map { it.asText() } },
+            parts.flatMap { changedTeams(it) },
+            parts.flatMap { removedNames(it) },
         )
     }
 
-    /** The teams of a change, split into values of at most [valueBytes]. */
+    private fun changedTeams(value: JsonObject): List<Team> =
+        (value.listOrNull("set") ?: emptyList()).map { TeamJson.decode(it.asObject()) }
+
+    private fun removedNames(value: JsonObject): List<String> =
+        (value.listOrNull("remove") ?: emptyList()).map { it.asText() }
+
+    /** Encodes the teams and removals of a change, split into values of at most [valueBytes]. */
     fun parts(
         change: ChangeRecord,
         valueBytes: Int,
     ): List<JsonObject> {
         val rows = change.set.map { "set" to TeamJson.encode(it) } + change.remove.map { "remove" to JsonPrimitive(it) }
-        return packed(rows, valueBytes) { part ->
+        return packRows(rows, valueBytes) { part ->
             buildJsonObject {
                 put("set", JsonArray(part.filter { it.first == "set" }.map { it.second }))
                 put("remove", JsonArray(part.filter { it.first == "remove" }.map { it.second }))
@@ -129,13 +135,13 @@
         }
     }
 
-    /** A snapshot, split into values of at most [valueBytes]. */
+    /** Encodes a snapshot, split into values of at most [valueBytes]. */
     fun snapshot(
         configuration: Configuration,
         valueBytes: Int,
     ): List<JsonObject> {
         val rows = configuration.allEntries.sortedBy { it.team.name }.map { "entries" to encode(it) }
-        return packed(rows, valueBytes) { part ->
+        return packRows(rows, valueBytes) { part ->
             buildJsonObject { put("entries", JsonArray(part.map { it.second })) }
         }
     }
@@ -146,8 +152,8 @@
             TeamEntry(TeamJson.decode(row), row.longOrNull("removed") == 1L, row.long("n"))
         }
 
-    /** Fills one value after the other, with some room for what surrounds the rows. */
-    private fun <T> packed(
+    /** Splits [rows] into values of at most [valueBytes]; a row that is larger by itself gets a value of its own. */
+    private fun <T> packRows(
         rows: List<T>,
         valueBytes: Int,
         build: (List<T>) -> JsonObject,
@@ -171,8 +177,8 @@
 
     private fun encode(entry: TeamEntry): JsonObject {
         val isRemoved = JsonPrimitive(if (entry.isRemoved) 1 else 0)
-        val more = mapOf("n" to JsonPrimitive(entry.changedAt), "removed" to isRemoved)
-        return JsonObject(TeamJson.encode(entry.team) + more)
+        val entryFields = mapOf("n" to JsonPrimitive(entry.changedAt), "removed" to isRemoved)
+        return JsonObject(TeamJson.encode(entry.team) + entryFields)
     }
 
     private const val ENVELOPE_BYTES = 64
--- a/src/main/kotlin/micatally/config/ConfigurationClient.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationClient.kt
@@ -13,42 +13,48 @@
 import micatally.wire.RollbackRequest
 import micatally.wire.StatusRequest
 
-/** The controller gave no answer that can be used; a change may have been applied all the same. */
+/** The controller gave no usable answer. A change that was sent may have been applied nevertheless. */
 class NoAnswer(
     message: String,
 ) : Exception(message)
 
-/** Asks one controller about the configuration, at its address for controllers. */
+/**
+ * Client of one controller's [ConfigurationApi]. Each call suspends for at most [timeoutMs] and throws
+ * [NoAnswer] if there
+ * is no usable answer.
+ */
 class ConfigurationClient(
     private val http: HttpCaller,
     private val address: String,
     private val timeoutMs: Long,
 ) {
-    suspend fun get(): ConfigurationView = ProtoBuf.decodeFromByteArray(ask(ConfigurationPaths.GET))
+    suspend fun get(): ConfigurationView = ProtoBuf.decodeFromByteArray(post(ConfigurationPaths.GET))
 
     suspend fun apply(change: ConfigurationChange): ChangeAnswer =
-        ProtoBuf.decodeFromByteArray(ask(ConfigurationPaths.APPLY, ProtoBuf.encodeToByteArray(change)))
+        ProtoBuf.decodeFromByteArray(post(ConfigurationPaths.APPLY, ProtoBuf.encodeToByteArray(change)))
 
-    suspend fun history(): HistoryAnswer = ProtoBuf.decodeFromByteArray(ask(ConfigurationPaths.HISTORY))
+    suspend fun history(): HistoryAnswer = ProtoBuf.decodeFromByteArray(post(ConfigurationPaths.HISTORY))
 
     suspend fun rollback(request: RollbackRequest): ChangeAnswer =
-        ProtoBuf.decodeFromByteArray(ask(ConfigurationPaths.ROLLBACK, ProtoBuf.encodeToByteArray(request)))
+        ProtoBuf.decodeFromByteArray(post(ConfigurationPaths.ROLLBACK, ProtoBuf.encodeToByteArray(request)))
 
-    /** @param version 0: the newest */
+    /** @param version the version to look up; 0 is the newest */
     suspend fun status(version: Long = 0): ConfigurationStatus =
-        ProtoBuf.decodeFromByteArray(ask(ConfigurationPaths.STATUS, ProtoBuf.encodeToByteArray(StatusRequest(version))))
+        ProtoBuf.decodeFromByteArray(
+            post(ConfigurationPaths.STATUS, ProtoBuf.encodeToByteArray(StatusRequest(version))),
+        )
 
-    private suspend fun ask(
+    private suspend fun post(
         path: String,
         body: ByteArray = ByteArray(0),
     ): ByteArray {
         val outcome = http.call(address, "POST", path, body, timeoutMs)
         if (outcome !is Outcome.Answer) throw NoAnswer("no answer from $address")
-        if (outcome.status != OK) throw NoAnswer("$address answers ${outcome.status}")
+        if (outcome.status != HTTP_OK) throw NoAnswer("$address answers ${outcome.status}")
         return outcome.body
     }
 
     private companion object {
-        const val OK = 200
+        const val HTTP_OK = 200
     }
 }
--- a/src/main/kotlin/micatally/config/ConfigurationStore.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationStore.kt
@@ -13,8 +13,9 @@
 import micatally.state.Urgency
 import micatally.state.Write
 
-/** What became of looking at the stored head. */
+/** The outcome of reading the stored head. */
 sealed interface HeadRead {
+    /** The head as it is stored now. */
     class Found(
         val head: ConfigurationHead,
     ) : HeadRead
@@ -22,22 +23,27 @@
     /** The configuration has not been stored yet. */
     data object Missing : HeadRead
 
+    /** The state store gave no answer. */
     data object Unavailable : HeadRead
 }
 
 /**
- * The configuration in the state service: a head that all controllers watch, one immutable value for each group of changes
- * that were written together, named by the last of them, and now and then a snapshot, so that a start reads a bounded
- * number of changes. Changes are written in one transaction with the head.
+ * The configuration in the state store:
+ * - the head, which all controllers watch;
+ * - one immutable value for each batch of changes, under the version of its last change, written in one
+ * transaction with
+ *   the head;
+ * - snapshots, written from time to time, so that a start reads a bounded number of changes.
  */
 class ConfigurationStore(
     private val state: StateStoreClient,
     private val limits: StateLimits,
-    /** Names this process, so that no two ever write the same values of a large change. */
+    /** The identity of this process. It keeps the parts of a large change apart from those of any other process. */
     private val process: String,
 ) {
-    private var stages = 0L
+    private var stageCount = 0L
 
+    /** Reads the head from the state store, not from the cached shared keys. */
     suspend fun head(): HeadRead =
         when (val read = state.get(Keys.CONFIG, Urgency.ACCEPTANCE)) {
             is ReadResult.Found -> HeadRead.Found(ChangeCodec.head(read.item.value))
@@ -45,13 +51,13 @@
             ReadResult.Unavailable -> HeadRead.Unavailable
         }
 
-    /** Everything from the newest snapshot on; null if it can't be read whole now. */
+    /** Returns the newest snapshot with all later changes applied; null if some of it can't be read now. */
     suspend fun load(head: ConfigurationHead): Configuration? {
-        if (head.snapshot == 0L) return follow(Configuration.EMPTY)
-        return follow(snapshot(head.snapshot, head.snapshotParts) ?: return null)
+        if (head.snapshot == 0L) return applyLaterChanges(Configuration.EMPTY)
+        return applyLaterChanges(readSnapshot(head.snapshot, head.snapshotParts) ?: return null)
     }
 
-    private suspend fun snapshot(
+    private suspend fun readSnapshot(
         version: Long,
         parts: Int,
     ): Configuration? {
@@ -60,27 +66,30 @@
         return Configuration.of(version, items.flatMap { ChangeCodec.entries(it.value) })
     }
 
-    /** [from] with all later changes up to [last]; null if they can't be read now or are not there any more. */
-    suspend fun follow(
+    /**
+     * Returns [from] with all later changes up to [last] applied; null if they can't be read now or have been
+     * pruned.
+     */
+    suspend fun applyLaterChanges(
         from: Configuration,
         last: Long = Long.MAX_VALUE,
     ): Configuration? {
         var configuration = from
-        for (change in changesAfter(from.version) ?: return null) {
+        for (change in readChangesAfter(from.version) ?: return null) {
             if (configuration.version == last) break
             if (change.record.version != configuration.version + 1) return null
-            configuration = configuration.with(whole(change) ?: return null)
+            configuration = configuration.with(completeRecord(change) ?: return null)
         }
         return configuration
     }
 
-    /** The configuration as it was at [version]; null if it can't be read or is too old to be known. */
-    suspend fun at(
+    /** Returns the configuration at [version]; null if it can't be read now or has been pruned. */
+    suspend fun readVersion(
         version: Long,
         head: ConfigurationHead,
     ): Configuration? {
         val start = startBefore(version, head) ?: return null
-        return follow(start, last = version)?.takeIf { it.version == version }
+        return applyLaterChanges(start, last = version)?.takeIf { it.version == version }
     }
 
     private suspend fun startBefore(
@@ -89,41 +98,48 @@
     ): Configuration? {
         if (head.snapshot == 0L) return Configuration.EMPTY
         val items = state.list(Keys.CONFIG_SNAPSHOT, Urgency.ACCEPTANCE)?.items ?: return null
-        val usable = items.groupBy { versionIn(it) }.filterKeys { it <= version }
+        val usable = items.groupBy { snapshotVersion(it) }.filterKeys { it <= version }
         val newest = usable.maxByOrNull { it.key }
         if (newest != null) return Configuration.of(newest.key, newest.value.flatMap { ChangeCodec.entries(it.value) })
         return Configuration.EMPTY
     }
 
-    private fun versionIn(item: KeyValue) =
+    private fun snapshotVersion(item: KeyValue) =
         item.key
             .removePrefix(Keys.CONFIG_SNAPSHOT)
             .substringBefore('/')
             .toLong()
 
-    /** The last changes, newest first; null if they can't be read now. */
+    /**
+     * Returns up to [count] changes before and including version [newest], newest first; null if they can't be
+     * read now.
+     */
     suspend fun history(
         newest: Long,
         count: Int,
     ): List<ChangeRecord>? =
-        changesAfter(maxOf(0L, newest - count))?.map { whole(it) ?: it.record }?.sortedByDescending { it.version }
+        readChangesAfter(maxOf(0L, newest - count))
+            ?.map { completeRecord(it) ?: it.record }
+            ?.sortedByDescending { it.version }
 
-    private suspend fun changesAfter(version: Long): List<StoredChange>? =
+    private suspend fun readChangesAfter(version: Long): List<StoredChange>? =
         state
             .list(Keys.CONFIG_CHANGE, Urgency.LEASE, after = Keys.configChange(version))
             ?.items
             ?.flatMap { ChangeCodec.changes(it.value) }
             ?.filter { it.record.version > version }
 
-    private suspend fun whole(change: StoredChange): ChangeRecord? {
+    private suspend fun completeRecord(change: StoredChange): ChangeRecord? {
         if (change.parts == 0) return change.record
         val items = state.list(Keys.configPart(change.stage), Urgency.LEASE)?.items ?: return null
         return if (items.size == change.parts) ChangeCodec.joined(change, items.map { it.value }) else null
     }
 
     /**
-     * Prepares a change for its commit: one that is too large for a value has its teams written apart first, where nobody
-     * looks until the change itself is stored. They stay if it never is.
+     * Prepares a change for its commit. The teams of a change that is too large for one value are written first, as
+     * parts under a key of their own, which nothing refers to until the change itself is committed. The parts of
+     * a change
+     * that is never committed are left in the store.
      *
      * @return the form to store, at most half a value; null if the parts could not be written
      */
@@ -131,50 +147,49 @@
         val plain = ChangeCodec.encode(change)
         if (plain.toString().length <= limits.valueBytes / 2) return plain
         val parts = ChangeCodec.parts(change, limits.valueBytes)
-        val stage = "$process-${stages++}"
-        for ((i, part) in parts.withIndex()) {
-            val put = Put(Keys.configPart(stage) + "%04d".format(i), part)
-            if (state.transact(
-                    1,
-                    Urgency.ACCEPTANCE,
-                ) { Transaction(emptyList(), listOf(put)) } !is TransactionResult.Applied
-            ) {
-                return null
-            }
-        }
+        val stage = "$process-${stageCount++}"
+        if (!writeParts(Keys.configPart(stage), parts, Urgency.ACCEPTANCE)) return null
         return ChangeCodec.encode(change, parts.size, stage)
     }
 
-    /** Writes a snapshot's values; the same version has the same content, whoever writes it and however often. */
+    /**
+     * Writes a snapshot. Repeating it is idempotent: the content depends on the version alone.
+     *
+     * @return the number of values written; null if not all were confirmed
+     */
     suspend fun writeSnapshot(configuration: Configuration): Int? {
         val parts = ChangeCodec.snapshot(configuration, limits.valueBytes)
-        for ((i, part) in parts.withIndex()) {
-            val put = Put(Keys.configSnapshot(configuration.version) + "%04d".format(i), part)
-            if (state.transact(
-                    1,
-                    Urgency.SUMMARY,
-                ) { Transaction(emptyList(), listOf(put)) } !is TransactionResult.Applied
-            ) {
-                return null
-            }
+        return if (writeParts(Keys.configSnapshot(configuration.version), parts, Urgency.SUMMARY)) parts.size else null
+    }
+
+    /** Writes the values one after the other under numbered keys; false as soon as one was not confirmed. */
+    private suspend fun writeParts(
+        prefix: String,
+        parts: List<JsonObject>,
+        urgency: Urgency,
+    ): Boolean {
+        for ((index, part) in parts.withIndex()) {
+            val put = Put(prefix + "%04d".format(index), part)
+            val result = state.transact(1, urgency) { Transaction(emptyList(), listOf(put)) }
+            if (result !is TransactionResult.Applied) return false
         }
-        return parts.size
+        return true
     }
 
-    /** Removes what a start does not need any more: changes up to [version] and the snapshots before it. */
+    /** Deletes what a start does not need any more: changes up to [version], their parts, and older snapshots. */
     suspend fun prune(version: Long) {
         val changes = state.list(Keys.CONFIG_CHANGE, Urgency.SUMMARY)?.items ?: return
         val snapshots = state.list(Keys.CONFIG_SNAPSHOT, Urgency.SUMMARY)?.items ?: return
-        val old = changes.filter { it.key <= Keys.configChange(version) }
+        val prunableChanges = changes.filter { it.key <= Keys.configChange(version) }
         val parts =
-            old
+            prunableChanges
                 .flatMap { ChangeCodec.changes(it.value) }
                 .filter { it.parts > 0 }
                 .flatMap { change -> state.list(Keys.configPart(change.stage), Urgency.SUMMARY)?.items ?: return }
         val deletes: List<Write> =
-            (old + parts + snapshots.filter { versionIn(it) < version }).map { Delete(it.key) }
-        for (some in deletes.chunked(limits.maxOperationsPerTransaction)) {
-            state.transact(some.size, Urgency.SUMMARY) { Transaction(emptyList(), some) }
+            (prunableChanges + parts + snapshots.filter { snapshotVersion(it) < version }).map { Delete(it.key) }
+        for (batch in deletes.chunked(limits.maxOperationsPerTransaction)) {
+            state.transact(batch.size, Urgency.SUMMARY) { Transaction(emptyList(), batch) }
         }
     }
 }
--- a/src/main/kotlin/micatally/config/ConfigurationWriter.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationWriter.kt
@@ -22,10 +22,14 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Stores changes of the configuration. Changes that wait are written together, each under a version of its own, as one
- * value in one transaction with the head, on the condition that the head is the one that they were checked against.
+ * Commits changes of the configuration. Queued changes are committed in batches: each change gets a version of its own,
+ * and the whole batch is stored as one value by a compare-and-swap of the head. The transaction is applied only if the
+ * head is still the one that the changes were checked against, so no change is ever based on values that it was not
+ * checked with.
  *
- * @param refreshView reads the shared keys again
+ * At most one batch is in flight at a time on a controller; other controllers may write concurrently.
+ *
+ * @param refreshSharedKeys reads the shared keys from the state store again
  */
 class ConfigurationWriter(
     private val scope: CoroutineScope,
@@ -35,125 +39,156 @@
     private val live: LiveConfiguration,
     private val store: ConfigurationStore,
     private val wallMs: () -> Long,
-    private val refreshView: suspend () -> Unit,
+    private val refreshSharedKeys: suspend () -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("micatally.config")
-    private val answerMs = settings.leaseMs / 2
-    private val retryMs = maxOf(10L, settings.leaseMs / RETRIES_A_LEASE)
+    private val answerTimeoutMs = settings.leaseMs / 2
+    private val retryMs = maxOf(10L, settings.leaseMs / RETRIES_PER_LEASE)
 
-    private class Pending(
+    private class QueuedChange(
         val change: ConfigurationChange,
     ) {
         val answer = CompletableDeferred<ChangeAnswer>()
 
-        /** A transaction with it has left: its outcome may be unknown. */
-        var hasLeft = false
-        var isGivenUp = false
+        /** Whether a transaction with this change has been sent, so that its outcome may be unknown. */
+        var isSent = false
+
+        /**
+         * Whether the caller was answered without waiting for the outcome. A change that was not sent by then is
+         * dropped.
+         */
+        var hasTimedOut = false
     }
 
-    private val waiting = ArrayDeque<Pending>()
+    private val queue = ArrayDeque<QueuedChange>()
     private var isWriting = false
 
-    /** Applies a change, or says why not. Returns within half a lease. */
+    /**
+     * Commits a change, or only checks it if it is a dry run. Suspends until the change is applied or rejected, but no
+     * longer than half a lease: then the answer is [ChangeStatus.UNKNOWN] if a transaction with the change has
+     * been sent and
+     * [ChangeStatus.UNAVAILABLE] otherwise. Repeating a change with the same id is idempotent.
+     */
     suspend fun apply(change: ConfigurationChange): ChangeAnswer {
         if (!live.isOn) return ChangeAnswer(ChangeStatus.SWITCHED_OFF)
         if (change.isDryRun) return dryRun(change)
-        if (waiting.size >= MOST_WAITING) return ChangeAnswer(ChangeStatus.UNAVAILABLE)
-        val pending = Pending(change)
-        waiting.addLast(pending)
-        write()
-        withTimeoutOrNull(answerMs) { pending.answer.await() }?.let { return it }
-        pending.isGivenUp = true
-        return ChangeAnswer(if (pending.hasLeft) ChangeStatus.UNKNOWN else ChangeStatus.UNAVAILABLE)
+        if (queue.size >= MAX_QUEUED_CHANGES) return ChangeAnswer(ChangeStatus.UNAVAILABLE)
+        val queued = QueuedChange(change)
+        queue.addLast(queued)
+        startWriting()
+        withTimeoutOrNull(answerTimeoutMs) { queued.answer.await() }?.let { return it }
+        queued.hasTimedOut = true
+        return ChangeAnswer(if (queued.isSent) ChangeStatus.UNKNOWN else ChangeStatus.UNAVAILABLE)
     }
 
     private suspend fun dryRun(change: ConfigurationChange): ChangeAnswer {
         if (!live.refresh()) return ChangeAnswer(ChangeStatus.UNAVAILABLE)
-        return refusal(change, live.configuration)
+        return rejection(change, live.configuration)
             ?: ChangeAnswer(ChangeStatus.VALID, live.configuration.version)
     }
 
-    /** Why the change can't be applied to [present]; null if it can. */
-    private fun refusal(
+    /** Why the change can't be applied to [current]; null if it can. */
+    private fun rejection(
         change: ConfigurationChange,
-        present: Configuration,
+        current: Configuration,
     ): ChangeAnswer? {
-        val errors = ChangeCheck.errors(change, present)
-        if (errors.isNotEmpty()) return ChangeAnswer(ChangeStatus.INVALID, present.version, errors)
-        val conflicts = ChangeCheck.conflicts(change, present)
+        val errors = ChangeCheck.errors(change, current)
+        if (errors.isNotEmpty()) return ChangeAnswer(ChangeStatus.INVALID, current.version, errors)
+        val conflicts = ChangeCheck.conflicts(change, current)
         if (conflicts.isEmpty()) return null
         val lines = conflicts.map { LineError(it, "changed since version ${change.base}") }
-        return ChangeAnswer(ChangeStatus.CONFLICT, present.version, lines)
+        return ChangeAnswer(ChangeStatus.CONFLICT, current.version, lines)
     }
 
-    private fun write() {
+    private fun startWriting() {
         if (isWriting) return
         isWriting = true
         scope.launch {
             try {
-                while (waiting.isNotEmpty()) writeSome()
+                while (queue.isNotEmpty()) commitBatch()
             } finally {
                 isWriting = false
             }
         }
     }
 
-    /** A change that has been checked, with its stored form. */
-    private class Staged(
-        val pending: Pending,
+    /** A change that passed the checks, with the record and the value to store. */
+    private class StagedChange(
+        val queued: QueuedChange,
         val record: ChangeRecord,
         val value: JsonObject,
     )
 
-    private suspend fun writeSome() {
+    private suspend fun commitBatch() {
         val head = live.head
         if (head?.version != live.configuration.version || live.phase != ConfigurationPhase.CURRENT) {
-            waiting.removeAll { it.isGivenUp }
+            queue.removeAll { it.hasTimedOut }
             delay(retryMs)
             return
         }
         val modRevision = sharedKeys.modRevision(Keys.CONFIG)
-        val batch = stageSome()
+        val batch = stageBatch()
         if (batch.isEmpty()) return
         val newest = batch.last().record.version
-        val nextHead = ChangeCodec.encode(ConfigurationHead(newest, head.snapshot, head.snapshotParts))
+        val nextHead = ConfigurationHead(newest, head.snapshot, head.snapshotParts)
         val group = Put(Keys.configChange(newest), ChangeCodec.group(batch.map { it.value }))
-        val transaction =
-            Transaction(listOf(Compare(Keys.CONFIG, modRevision)), listOf(Put(Keys.CONFIG, nextHead), group))
-        batch.forEach { it.pending.hasLeft = true }
-        if (commit(transaction)) live.awaitVersion(newest, answerMs) else catchUp(modRevision)
-        for (staged in batch) settle(staged.pending)
+        batch.forEach { it.queued.isSent = true }
+        val isApplied = commit(replaceHead(modRevision, nextHead, listOf(group)))
+        if (isApplied) live.awaitVersion(newest, answerTimeoutMs) else catchUp(modRevision)
+        for (staged in batch) completeOrRequeue(staged.queued)
         compact()
     }
 
-    /** Takes waiting changes as long as they fit in one value; those that can't be applied are answered here. */
-    private suspend fun stageSome(): List<Staged> {
-        val batch = ArrayList<Staged>()
-        var working = live.configuration
+    /** The compare-and-swap of the head that was read at [modRevision], with [writes] beside it. */
+    private fun replaceHead(
+        modRevision: Long,
+        next: ConfigurationHead,
+        writes: List<Put> = emptyList(),
+    ): Transaction {
+        val head = Put(Keys.CONFIG, ChangeCodec.encode(next))
+        return Transaction(listOf(Compare(Keys.CONFIG, modRevision)), listOf(head) + writes)
+    }
+
+    /**
+     * Takes changes from the queue as long as they fit in one value, and checks each against the configuration with all
+     * earlier changes of the batch. Changes that can't be applied are answered here.
+     */
+    private suspend fun stageBatch(): List<StagedChange> {
+        val batch = ArrayList<StagedChange>()
+        var next = live.configuration
         var bytes = 0
-        while (waiting.isNotEmpty() && bytes < settings.valueBytes / 2 - ENVELOPE_BYTES) {
-            val pending = waiting.removeFirst()
-            if (pending.isGivenUp) continue
-            val known = working.versionOf(pending.change.id)
-            val answer =
-                known?.let { ChangeAnswer(ChangeStatus.APPLIED, it) } ?: refusal(pending.change, working)
-            if (answer != null) {
-                pending.answer.complete(answer)
-                continue
-            }
-            val record = recordOf(pending.change, working.version + 1)
-            val value = store.stage(record)
-            if (value == null) {
-                pending.answer.complete(ChangeAnswer(ChangeStatus.UNAVAILABLE))
-                continue
-            }
-            bytes += value.toString().length + 1
-            batch.add(Staged(pending, record, value))
-            working = working.with(record)
+        while (queue.isNotEmpty() && bytes < settings.valueBytes / 2 - ENVELOPE_BYTES) {
+            val queued = queue.removeFirst()
+            if (queued.hasTimedOut) continue
+            val staged = stageOrAnswer(queued, next) ?: continue
+            bytes += staged.value.toString().length + 1
+            batch.add(staged)
+            next = next.with(staged.record)
         }
         return batch
     }
 
+    /** Stages the change as the successor of [current]; answers it and returns null if that can't be done. */
+    private suspend fun stageOrAnswer(
+        queued: QueuedChange,
+        current: Configuration,
+    ): StagedChange? {
+        val appliedVersion = current.versionOf(queued.change.id)
+        val answer =
+            appliedVersion?.let { ChangeAnswer(ChangeStatus.APPLIED, it) } ?: rejection(queued.change, current)
+        if (answer != null) {
+            queued.answer.complete(answer)
+            return null
+        }
+        val record = recordOf(queued.change, current.version + 1)
+        val value = store.stage(record)
+        if (value == null) {
+            queued.answer.complete(ChangeAnswer(ChangeStatus.UNAVAILABLE))
+            return null
+        }
+        return StagedChange(queued, record, value)
+    }
+
     private fun recordOf(
         change: ConfigurationChange,
         version: Long,
@@ -168,63 +203,70 @@
     )
 
     /**
-     * Whether the transaction was applied by this call. After silence it may yet be carried out, so it is repeated, under the
-     * same condition, until an answer shows that it has been or can't be any more.
+     * Returns whether this call applied the transaction. While the outcome of a request is unknown the transaction may
+     * still be applied later, so it is repeated under the same condition until an answer shows that it was applied or
+     * can't be applied any more.
      */
     private suspend fun commit(transaction: Transaction): Boolean {
-        var wasSilent = false
+        var mayBeCommitted = false
         while (true) {
             when (state.transact(transaction.changes.size, Urgency.ACCEPTANCE) { transaction }) {
                 is TransactionResult.Applied -> return true
                 is TransactionResult.Failed -> return false
-                TransactionResult.Unknown -> wasSilent = true
-                else -> if (!wasSilent) return false
+                TransactionResult.Unknown -> mayBeCommitted = true
+                else -> if (!mayBeCommitted) return false
             }
             delay(retryMs)
         }
     }
 
-    /** Another writer was first, or this one's answer was lost: waits until the newer head is known here. */
+    /** After a lost compare-and-swap (another writer was first, or an answer was lost): waits for the newer head. */
     private suspend fun catchUp(modRevision: Long) {
-        refreshView()
+        refreshSharedKeys()
         if (sharedKeys.modRevision(Keys.CONFIG) == modRevision) delay(retryMs)
-        live.head?.let { live.awaitVersion(it.version, answerMs) }
+        live.head?.let { live.awaitVersion(it.version, answerTimeoutMs) }
     }
 
-    /** Answers a change whose transaction has ended, or has it tried again. */
-    private fun settle(pending: Pending) {
-        val version = live.configuration.versionOf(pending.change.id)
+    /**
+     * Answers a change of a finished transaction if it was applied; otherwise puts it back at the head of the
+     * queue.
+     */
+    private fun completeOrRequeue(queued: QueuedChange) {
+        val version = live.configuration.versionOf(queued.change.id)
         if (version != null) {
-            log.info("change {} by {}: {}", version, pending.change.author, pending.change.reason)
-            pending.answer.complete(ChangeAnswer(ChangeStatus.APPLIED, version))
-        } else if (!pending.isGivenUp) {
-            pending.hasLeft = false
-            waiting.addFirst(pending)
+            val change = queued.change
+            log.info("configuration change committed: version {} by {}: {}", version, change.author, change.reason)
+            queued.answer.complete(ChangeAnswer(ChangeStatus.APPLIED, version))
+        } else if (!queued.hasTimedOut) {
+            queued.isSent = false
+            queue.addFirst(queued)
         }
     }
 
-    /** Bounds what a start has to read. */
+    /** Writes a snapshot once enough changes have piled up, so that a start reads a bounded number of them. */
     private suspend fun compact() {
         val head = live.head ?: return
         val configuration = live.configuration
         if (configuration.version != head.version || head.version - head.snapshot < SNAPSHOT_EVERY) return
         val modRevision = sharedKeys.modRevision(Keys.CONFIG)
         val parts = store.writeSnapshot(configuration) ?: return
-        val next = ChangeCodec.encode(ConfigurationHead(head.version, head.version, parts))
-        val transaction = Transaction(listOf(Compare(Keys.CONFIG, modRevision)), listOf(Put(Keys.CONFIG, next)))
-        if (commit(transaction) && head.snapshot > 0) store.prune(head.snapshot)
+        val nextHead = ConfigurationHead(head.version, head.version, parts)
+        if (commit(replaceHead(modRevision, nextHead)) && head.snapshot > 0) store.prune(head.snapshot)
         // The next change must be checked against the head that was just written.
-        refreshView()
+        refreshSharedKeys()
     }
 
     companion object {
-        private const val RETRIES_A_LEASE = 200
-        private const val MOST_WAITING = 1000
+        private const val RETRIES_PER_LEASE = 200
+        private const val MAX_QUEUED_CHANGES = 1000
 
-        /** What surrounds the changes in their value. */
+        /** Bytes of a value around the changes in it. */
         private const val ENVELOPE_BYTES = 64
 
-        /** After so many changes a snapshot is written; so many, and as many again, can be rolled back to. */
+        /**
+         * Number of changes between two snapshots. At least as many versions can be rolled back to, at most
+         * twice as many.
+         */
         const val SNAPSHOT_EVERY = 500
     }
 }
--- a/src/main/kotlin/micatally/config/LiveConfiguration.kt
+++ b/src/main/kotlin/micatally/config/LiveConfiguration.kt
@@ -10,17 +10,23 @@
 import micatally.settings.TeamDirectory
 import org.slf4j.LoggerFactory
 
-/**
- * OFF: the teams are those of the settings file.
- * BEHIND: a newer version is known to exist and is not loaded here; nothing may be decided.
- * CURRENT: decisions rest on the newest version that this controller's copy of the shared keys shows.
- */
-enum class ConfigurationPhase { OFF, BEHIND, CURRENT }
+/** How this controller's configuration relates to the stored one. */
+enum class ConfigurationPhase {
+    /** No configuration is stored: the teams are those of the settings file. */
+    OFF,
+
+    /** A newer version is known to exist but is not loaded yet; nothing may be decided. */
+    BEHIND,
+
+    /** The newest version in this controller's copy of the shared keys is loaded. */
+    CURRENT,
+}
 
 /**
- * The configuration that this controller decides by, swapped as a whole.
+ * The configuration that this controller decides by. It is immutable and replaced as a whole.
  *
  * @param mayBeOn whether the stored configuration may have been switched on without this controller having seen it yet
+ * @param onApplied called with each replacement of the configuration, before the new version counts as applied
  */
 class LiveConfiguration(
     private val scope: CoroutineScope,
@@ -29,9 +35,10 @@
     private val store: ConfigurationStore,
     private val mayBeOn: () -> Boolean,
     private val nowMs: () -> Long,
+    private val onApplied: (former: Configuration, next: Configuration) -> Unit,
 ) : TeamDirectory {
     private val log = LoggerFactory.getLogger("micatally.config")
-    private val retryMs = maxOf(10L, settings.leaseMs / RETRIES_A_LEASE)
+    private val retryMs = maxOf(10L, settings.leaseMs / RETRIES_PER_LEASE)
     private var isLoading = false
 
     var phase = ConfigurationPhase.OFF
@@ -41,16 +48,13 @@
         private set
 
     /** When this controller first decided by a version, oldest first. */
-    private val appliedAt = ArrayDeque<AppliedAt>()
+    private val appliedVersions = ArrayDeque<AppliedVersionTime>()
 
-    private class AppliedAt(
+    private class AppliedVersionTime(
         val version: Long,
         val atMs: Long,
     )
 
-    /** Told of each swap; what it does is done before the version counts as applied. */
-    var onApplied: (former: Configuration, next: Configuration) -> Unit = { _, _ -> }
-
     val isOn get() = phase != ConfigurationPhase.OFF
     override val isCurrent get() = phase != ConfigurationPhase.BEHIND
 
@@ -65,12 +69,15 @@
     private fun transitionTo(next: ConfigurationPhase) {
         if (next == phase) return
         check(next != ConfigurationPhase.OFF) { "a stored configuration is never switched off" }
-        if (phase == ConfigurationPhase.OFF) log.info("configuration is that of the state service from now on")
+        if (phase == ConfigurationPhase.OFF) log.info("teams are read from the state store from now on")
         phase = next
     }
 
-    /** Looks at the shared keys after a change. */
-    fun sharedChanged() {
+    /**
+     * Loads the newest version if the shared keys show a newer one. To be called after each change of the shared
+     * keys.
+     */
+    fun sharedKeysChanged() {
         val newest = head?.version ?: return
         if (newest <= configuration.version) return
         transitionTo(ConfigurationPhase.BEHIND)
@@ -78,18 +85,20 @@
         isLoading = true
         scope.launch {
             try {
-                while (phase == ConfigurationPhase.BEHIND) if (!load()) delay(retryMs)
+                while (phase == ConfigurationPhase.BEHIND) {
+                    if (!load()) delay(retryMs)
+                }
             } finally {
                 isLoading = false
             }
         }
     }
 
-    /** One try to come to the newest version; false if it can't be read whole now. */
+    /** Makes one attempt to load the newest version; returns false if some of it can't be read now. */
     private suspend fun load(): Boolean {
         val newest = head ?: return false
-        val followed = if (configuration.version > 0) store.follow(configuration) else null
-        val next = followed?.takeIf { it.version >= newest.version } ?: store.load(newest) ?: return false
+        val updated = if (configuration.version > 0) store.applyLaterChanges(configuration) else null
+        val next = updated?.takeIf { it.version >= newest.version } ?: store.load(newest) ?: return false
         if (next.version < newest.version) return false
         apply(next)
         return true
@@ -99,26 +108,24 @@
         val former = configuration
         configuration = next
         onApplied(former, next)
-        appliedAt.addLast(AppliedAt(next.version, nowMs()))
-        while (appliedAt.size > MOST_TIMES) appliedAt.removeFirst()
-        log.info("configuration {} -> {}", former.version, next.version)
-        transitionTo(
-            if ((head?.version ?: 0L) <=
-                next.version
-            ) {
-                ConfigurationPhase.CURRENT
-            } else {
-                ConfigurationPhase.BEHIND
-            },
-        )
+        appliedVersions.addLast(AppliedVersionTime(next.version, nowMs()))
+        while (appliedVersions.size > MAX_APPLIED_VERSIONS) appliedVersions.removeFirst()
+        log.info("configuration version applied: {} -> {}", former.version, next.version)
+        val newest = head?.version ?: 0L
+        transitionTo(if (newest <= next.version) ConfigurationPhase.CURRENT else ConfigurationPhase.BEHIND)
     }
 
-    /** When this controller first decided by [version] or a later one; null if it does not yet. */
-    fun appliedAtMs(version: Long): Long? = appliedAt.find { it.version >= version }?.atMs
+    /**
+     * Returns the time in milliseconds at which this controller applied [version] or a later one; null if it has
+     * not.
+     */
+    fun appliedAtMs(version: Long): Long? = appliedVersions.find { it.version >= version }?.atMs
 
     /**
-     * Whether a task may be started as far as the configuration is concerned. A controller that has had no contact with
-     * the state service for nine tenths of a lease may lack a version that is in force by then.
+     * Returns whether the configuration permits starting a task. A controller without contact to the state store for
+     * nine tenths of a lease may lack a version that is in force by then, so it may not start anything.
+     *
+     * @param viewAgeMs the age of this controller's copy of the shared keys
      */
     fun mayStart(viewAgeMs: Long): Boolean {
         if (!isOn && !mayBeOn()) return true
@@ -130,26 +137,26 @@
         val read = store.head()
         if (read == HeadRead.Unavailable) return false
         if (read !is HeadRead.Found) return !isOn
-        return awaitVersion(read.head.version, settings.leaseMs / REFRESHES_A_LEASE)
+        return awaitVersion(read.head.version, settings.leaseMs / REFRESHES_PER_LEASE)
     }
 
-    /** Waits until decisions rest on [version] or a later one; false if that takes too long. */
+    /** Suspends until [version] or a later one is applied here; returns false after [timeoutMs]. */
     suspend fun awaitVersion(
         version: Long,
         timeoutMs: Long,
     ): Boolean {
-        val untilMs = nowMs() + timeoutMs
+        val deadlineMs = nowMs() + timeoutMs
         while (configuration.version < version || phase != ConfigurationPhase.CURRENT) {
-            if (nowMs() >= untilMs) return false
-            delay(STEP_MS)
+            if (nowMs() >= deadlineMs) return false
+            delay(POLL_INTERVAL_MS)
         }
         return true
     }
 
     companion object {
-        private const val RETRIES_A_LEASE = 200
-        private const val REFRESHES_A_LEASE = 10
-        private const val STEP_MS = 10L
-        private const val MOST_TIMES = 1000
+        private const val RETRIES_PER_LEASE = 200
+        private const val REFRESHES_PER_LEASE = 10
+        private const val POLL_INTERVAL_MS = 10L
+        private const val MAX_APPLIED_VERSIONS = 1000
     }
 }
