--- /dev/null
+++ b/src/test/kotlin/micatally/compatibility/MessagesTest.kt
@@ -0,0 +1,967 @@
+@file:OptIn(kotlinx.serialization.ExperimentalSerializationApi::class)
+
+package micatally.compatibility
+
+import kotlinx.coroutines.ExperimentalCoroutinesApi
+import kotlinx.coroutines.launch
+import kotlinx.coroutines.runBlocking
+import kotlinx.coroutines.test.TestScope
+import kotlinx.coroutines.test.runTest
+import kotlinx.coroutines.withContext
+import kotlinx.serialization.KSerializer
+import kotlinx.serialization.json.JsonObject
+import kotlinx.serialization.protobuf.ProtoBuf
+import kotlinx.serialization.serializer
+import micatally.cli.Loop
+import micatally.config.ConfigurationClient
+import micatally.config.ConfigurationPaths
+import micatally.fleet.CloudClient
+import micatally.fleet.RentResult
+import micatally.http.HttpCaller
+import micatally.http.HttpRequest
+import micatally.http.HttpResponse
+import micatally.http.Outcome
+import micatally.http.Server
+import micatally.http.errorResponse
+import micatally.peer.Peers
+import micatally.recovery.ArchiveMode
+import micatally.settings.Operator
+import micatally.settings.Settings
+import micatally.settings.SettingsError
+import micatally.settings.TeamJson
+import micatally.sim.SimFleet
+import micatally.state.Condition
+import micatally.state.Delete
+import micatally.state.Put
+import micatally.state.RateBudget
+import micatally.state.ReadResult
+import micatally.state.StateClient
+import micatally.state.StateLimits
+import micatally.state.Txn
+import micatally.state.TxnResult
+import micatally.state.Urgency
+import micatally.wire.Amount
+import micatally.wire.AppliedVersion
+import micatally.wire.ChangeAnswer
+import micatally.wire.ChangeStatus
+import micatally.wire.Command
+import micatally.wire.ConfigurationChange
+import micatally.wire.ConfigurationStatus
+import micatally.wire.ConfigurationView
+import micatally.wire.Demand
+import micatally.wire.ExitReason
+import micatally.wire.Flavor
+import micatally.wire.Format
+import micatally.wire.HeardList
+import micatally.wire.HeldRoom
+import micatally.wire.HistoryAnswer
+import micatally.wire.HistoryEntry
+import micatally.wire.JobAnswer
+import micatally.wire.JobSpec
+import micatally.wire.LineError
+import micatally.wire.ListedMachine
+import micatally.wire.ListedTask
+import micatally.wire.MachineNote
+import micatally.wire.NewsAnswer
+import micatally.wire.NoteTask
+import micatally.wire.PeerAnswer
+import micatally.wire.PeerAsk
+import micatally.wire.PeerNews
+import micatally.wire.Priority
+import micatally.wire.Report
+import micatally.wire.RollbackRequest
+import micatally.wire.RoomSummary
+import micatally.wire.StatusRequest
+import micatally.wire.TeamSetting
+import micatally.wire.Verb
+import micatally.wire.WireError
+import micatally.wire.WithdrawnTask
+import micatally.wire.WithdrawnTaskList
+import micatally.wire.bytes
+import micatally.wire.ordersBody
+import micatally.wire.parseObject
+import micatally.wire.reportAnswer
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertNull
+import org.junit.jupiter.api.Assertions.assertThrows
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+import java.net.Socket
+import java.util.HexFormat
+import java.util.Properties
+
+/**
+ * Messages of every interface, kept as files under `messages/`, are read and written byte for byte.
+ *
+ * Each file holds one message on one line: JSON as it is, protobuf messages in hexadecimal. What this program reads is
+ * parsed from its file and compared field by field with values written out here; what it writes is compared with its
+ * file. The files describe what other programs and controllers of former versions send and expect. They change only with the
+ * protocol, never because a class or a property in the code has got another name.
+ */
+@OptIn(ExperimentalCoroutinesApi::class)
+class MessagesTest {
+    private fun text(name: String) = javaClass.getResource("/messages/$name")!!.readText().removeSuffix("\n")
+
+    private fun json(name: String): JsonObject = parseObject(text(name).encodeToByteArray())
+
+    private fun hex(name: String): ByteArray = HexFormat.of().parseHex(text(name))
+
+    private fun answer(
+        status: Int,
+        name: String? = null,
+    ) = Outcome.Answer(status, name?.let { text(it).encodeToByteArray() } ?: ByteArray(0))
+
+    /** A service that notes what is asked of it and gives prepared answers, the last one again and again. */
+    private class Recorder(
+        private vararg val answers: Outcome,
+    ) : HttpCaller {
+        val requests = ArrayList<String>()
+        val bodies = ArrayList<ByteArray?>()
+
+        override suspend fun call(
+            addr: String,
+            method: String,
+            target: String,
+            body: ByteArray?,
+            timeoutMs: Long,
+        ): Outcome {
+            requests.add("$method $target")
+            bodies.add(body)
+            return answers[minOf(requests.size, answers.size) - 1]
+        }
+
+        val body get() = bodies.single()?.decodeToString()
+    }
+
+    // Users
+
+    @Test
+    fun `a submission is read`() {
+        val spec = JobSpec.parse(json("users/submit.json"))
+        assertEquals("j-000412", spec.ref)
+        assertEquals("train", spec.jobClass)
+        assertEquals("vision", spec.team)
+        assertEquals(Format.ARRAY, spec.format)
+        assertEquals(Priority.HIGH, spec.priority)
+        assertEquals(16, spec.taskCount)
+        assertEquals(listOf(2.5, 1.0, 6.5), listOf(spec.amount.cores, spec.amount.cards, spec.amount.ram))
+        assertEquals("img-07", spec.image)
+        assertEquals(6.2, spec.imageGb)
+        assertEquals(setOf("g8", "small"), spec.types)
+        assertEquals("a", spec.zone)
+        assertEquals(listOf(true, false, true), listOf(spec.together, spec.scatter, spec.spot))
+        assertEquals(listOf(240.0, 30.0, 4.0), listOf(spec.estimateS, spec.checkpointS, spec.saveS))
+        assertEquals(900.0, spec.deadlineS)
+        assertEquals(text("users/submit.json"), spec.source.toString())
+    }
+
+    @Test
+    fun `a submission without one of its fields is refused under the field's name`() {
+        val whole = json("users/submit.json")
+        val optional = setOf("chassis", "circuit", "flag_s")
+        for (field in whole.keys - optional) {
+            val error = assertThrows(WireError::class.java) { JobSpec.parse(JsonObject(whole - field)) }
+            assertEquals("$field is missing", error.message)
+        }
+        val least = JobSpec.parse(JsonObject(whole - optional))
+        assertEquals(listOf(null, null, null), listOf(least.types, least.zone, least.deadlineS))
+    }
+
+    @Test
+    fun `the words of submissions and answers`() {
+        assertEquals(listOf("sweep", "daemon", "gang"), Format.entries.map { it.word })
+        assertEquals(listOf("production", "high", "standard", "low"), Priority.entries.map { it.word })
+        assertEquals(
+            listOf("pending", "running", "done", "withdrawn"),
+            listOf(JobAnswer.PENDING, JobAnswer.RUNNING, JobAnswer.DONE, JobAnswer.WITHDRAWN),
+        )
+        for ((i, word) in listOf("sweep", "daemon", "gang").withIndex()) {
+            val job = text("users/submit.json").replace("sweep", word)
+            assertEquals(Format.entries[i], JobSpec.parse(parseObject(job.encodeToByteArray())).format)
+        }
+    }
+
+    @Test
+    fun `what users are told of a job`() {
+        val running = JobAnswer("j-000412", JobAnswer.RUNNING, 3, 13)
+        assertEquals(text("users/known.json"), running.json().toString())
+        val withdrawn = JobAnswer("j-000412", JobAnswer.WITHDRAWN, 0, 0)
+        assertEquals(text("users/withdrawn.json"), withdrawn.brief().toString())
+    }
+
+    private fun SimFleet.request(
+        method: String,
+        target: String,
+        body: ByteArray = ByteArray(0),
+        isPeer: Boolean = false,
+    ): HttpResponse {
+        var response: HttpResponse? = null
+        val request = HttpRequest(method, target, body)
+        scope.launch { response = live[0]!!.run { if (isPeer) handlePeer(request) else handle(request) } }
+        while (response == null) step(20)
+        return response
+    }
+
+    private fun SimFleet.expect(
+        exchange: String,
+        status: Int,
+        name: String,
+        body: String = "",
+        retryAfterS: Int? = null,
+    ) {
+        val (method, target) = exchange.split(' ')
+        val response = request(method, target, body.encodeToByteArray())
+        assertEquals(status, response.status, exchange)
+        assertEquals(text(name), response.body.decodeToString(), exchange)
+        assertEquals(retryAfterS, response.retryAfterS, exchange)
+        assertEquals("application/json", response.type, exchange)
+    }
+
+    private fun onFleet(
+        nodes: Int,
+        warmUpMs: Long = 30_000,
+        test: SimFleet.() -> Unit,
+    ) {
+        val fleet = SimFleet(7, nodes)
+        try {
+            for (i in 0 until nodes) fleet.startNode(i)
+            if (warmUpMs > 0) fleet.runFor(warmUpMs)
+            fleet.test()
+        } finally {
+            fleet.close()
+        }
+    }
+
+    /** The submission of the file, with parts of its text replaced. */
+    private fun submission(vararg replacements: Pair<String, String>) =
+        replacements.fold(text("users/submit.json")) { all, (from, to) ->
+            assertTrue(from in all, from)
+            all.replace(from, to)
+        }
+
+    @Test
+    fun `users' requests are answered by path, status and body`() =
+        onFleet(1) {
+            val job = submission()
+            rules.submitted(JobSpec.parse(parseObject(job.encodeToByteArray())))
+            expect("GET /healthz", 200, "users/healthy.json")
+            expect("GET /work/j-000412", 404, "users/error-no-job.json")
+            expect("POST /work", 201, "users/accepted.json", job)
+            expect("POST /work", 200, "users/query-pending.json", job)
+            expect("GET /work/j-000412", 200, "users/query-pending.json")
+            expect("POST /work/j-000412/cancel", 200, "users/withdrawn.json")
+            expect("GET /work/j-000412", 200, "users/query-withdrawn.json")
+            expect("POST /work/j-000413/cancel", 404, "users/error-no-job.json")
+            expect("GET /work/j-000412/cancel", 405, "users/error-use-post.json")
+            expect("GET /work", 405, "users/error-use-post.json")
+            expect("GET /v1/report", 405, "users/error-use-post.json")
+            expect("POST /work/j-000412", 405, "users/error-use-get.json")
+            expect("GET /other", 404, "users/error-no-resource.json")
+        }
+
+    @Test
+    fun `submissions that are refused`() =
+        onFleet(1) {
+            expect("POST /work", 400, "users/error-not-json.json", "{")
+            expect("POST /work", 400, "users/error-not-object.json", "[]")
+            expect("POST /work", 400, "users/error-bad-ref.json", submission("j-000412" to "x-1"))
+            expect("POST /work", 400, "users/error-field-missing.json", submission("\"lane\":\"train\"," to ""))
+            expect("POST /work", 422, "users/error-unknown-team.json", submission("vision" to "nobody"))
+            val huge = submission("\"cores\":2.5" to "\"cores\":1000.0")
+            expect("POST /work", 422, "users/error-no-machine-type.json", huge)
+            val overLimit = submission("\"cores\":2.5" to "\"cores\":5.0", "sweep" to "daemon")
+            expect("POST /work", 422, "users/error-team-limit.json", overLimit)
+        }
+
+    @Test
+    fun `a controller that can't decide yet answers 503 and when to come again`() =
+        onFleet(1, warmUpMs = 0) {
+            stateRefuses.add("n0")
+            expect("GET /healthz", 503, "users/error-starting.json", retryAfterS = 1)
+            expect("GET /work/j-000412", 503, "users/error-lookup.json", retryAfterS = 1)
+        }
+
+    /** The head of an answer as it leaves the socket. */
+    @Test
+    fun `an answer's status line and headers`() {
+        val head =
+            Loop("test").use { loop ->
+                val server =
+                    Server(loop.scope, loop.group, "127.0.0.1:0", 10, 1000) { errorResponse(503, "starting", 1) }
+                runBlocking { withContext(loop.scope.coroutineContext) { server.start() } }
+                Socket("127.0.0.1", server.port).use { socket ->
+                    socket.getOutputStream().write("GET / HTTP/1.1\r\nConnection: close\r\n\r\n".toByteArray())
+                    socket.getInputStream().readBytes().decodeToString()
+                }
+            }
+        val lines = head.split("\r\n")
+        assertEquals("HTTP/1.1 503 Service Unavailable", lines.first())
+        val headers =
+            listOf("Content-Type: application/json", "Content-Length: 20", "Retry-After: 1", "Connection: close")
+        assertEquals(headers, lines.subList(1, 5))
+        assertEquals(text("users/error-starting.json"), lines.last())
+    }
+
+    // Workers
+
+    @Test
+    fun `a report is read`() {
+        val report = Report.parse(json("workers/report.json"))
+        assertEquals("m-000231", report.machine)
+        assertEquals("10.1.0.232:9000", report.addr)
+        assertEquals("g8", report.type)
+        assertEquals("a", report.zone)
+        assertTrue(report.spot)
+        assertEquals(listOf(3L, 88L, 41L), listOf(report.session, report.tick, report.token))
+        assertEquals(25.5, report.noticeS)
+        val expected =
+            listOf(
+                ListedTask("j-000412", 3, 2, "running", null, false),
+                ListedTask("j-000398", 0, 1, "ended", "done", false),
+                ListedTask("j-000399", 7, 5, "ended", "stopped", true),
+            )
+        assertEquals(expected, report.tasks)
+        assertEquals(
+            listOf("j-000399", 7, 5L, "ended", "stopped", true),
+            report.tasks.last().run { listOf(ref, taskIndex, attempt, status, why, saved) },
+        )
+    }
+
+    @Test
+    fun `the words of workers and of commands`() {
+        assertEquals(setOf("pulling", "waiting", "running", "saving", "ended"), ListedTask.STATUSES)
+        assertEquals(
+            listOf("pulling", "waiting", "running", "saving", "ended"),
+            listOf(
+                ListedTask.PULLING,
+                ListedTask.WAITING,
+                ListedTask.RUNNING,
+                ListedTask.SAVING,
+                ListedTask.ENDED,
+            ),
+        )
+        val words = listOf("done", "stopped", "error", "full", "in_use", "unknown", "peers", "alone")
+        assertEquals(words, ExitReason.entries.map { it.word })
+        assertEquals(words, words.map { ExitReason.of(it)!!.word })
+        assertEquals(ExitReason.IN_USE, ExitReason.of("in_use"))
+        assertEquals(listOf("run", "kill", "clear"), Verb.entries.map { it.word })
+    }
+
+    private val commands =
+        listOf(
+            Command(Verb.RUN, "j-000412", 4, 2),
+            Command(Verb.KILL, "j-000377", 1, 1, 10.0),
+            Command(Verb.CLEAR, "j-000398", 0, 1),
+        )
+
+    @Test
+    fun `commands in the answer to a report and in orders`() {
+        assertEquals(text("workers/answer.json"), reportAnswer(41, commands).bytes().decodeToString())
+        assertEquals(text("orders/orders.json"), ordersBody(41, 3, commands).bytes().decodeToString())
+    }
+
+    @Test
+    fun `reports are answered by path, status and body`() =
+        onFleet(3) {
+            val epoch = live[0]!!.membership.cluster.epoch
+            val answer = request("POST", "/v1/report", text("workers/report-empty.json").encodeToByteArray())
+            assertEquals(200, answer.status)
+            assertEquals("{\"baton\":$epoch,\"radio\":[]}", answer.body.decodeToString())
+            expect("POST /v1/report", 400, "workers/error-field-missing.json", "{}")
+            val badTask = text("workers/report.json").replace("j-000412/3", "j-000412")
+            expect("POST /v1/report", 400, "workers/error-task-name.json", badTask)
+        }
+
+    @Test
+    fun `a worker is sent to another controller`() =
+        onFleet(3) {
+            expect("POST /v1/report", 421, "workers/redirect.json", text("workers/report-other-zone.json"))
+            expect("POST /v1/report", 421, "workers/redirect.json", text("workers/report-higher-token.json"))
+        }
+
+    @Test
+    fun `a worker is refused where there is no other controller`() =
+        onFleet(1) {
+            expect("POST /v1/report", 421, "workers/refusal.json", text("workers/report-higher-token.json"))
+        }
+
+    /** Notes the requests that reach hosts whose name begins so. */
+    private fun SimFleet.observe(
+        prefix: String,
+        seen: MutableList<Triple<String, String, String>>,
+        observed: MutableSet<String>,
+    ) {
+        for (host in net.hosts.values.filter { it.name.startsWith(prefix) && observed.add(it.name) }) {
+            val inner = host.handler ?: continue
+            host.handler = { addr, r ->
+                seen.add(Triple(addr, "${r.method} ${r.target}", r.body.decodeToString()))
+                inner(addr, r)
+            }
+        }
+    }
+
+    @Test
+    fun `the requests that reach workers, the state service and the cloud`() =
+        onFleet(1, warmUpMs = 0) {
+            val seen = ArrayList<Triple<String, String, String>>()
+            val observed = HashSet<String>()
+            observe("state", seen, observed)
+            observe("cloud", seen, observed)
+            runFor(10_000)
+            val job = submission("\"laps\":16" to "\"laps\":2")
+            runs["j-000412"] = 600_000
+            rules.submitted(JobSpec.parse(parseObject(job.encodeToByteArray())))
+            assertEquals(201, request("POST", "/work", job.encodeToByteArray()).status)
+            repeat(300) {
+                observe("m-", seen, observed)
+                step(100)
+            }
+            net.mute.addAll(cloud.workers.map { it.name })
+            runFor(60_000)
+            val toMachines = seen.filter { it.first.startsWith("m-") }.map { it.second }.toSet()
+            assertEquals(setOf("POST /orders", "GET /show"), toMachines)
+            val orders = seen.first { it.second == "POST /orders" }
+            val form =
+                Regex(
+                    "\\{\"baton\":[0-9]+,\"stint\":1,\"radio\":" +
+                        "\\[\\{\"call\":\"run\",\"lap\":\"j-000412/[01]\",\"start\":1}.*]}",
+                )
+            assertTrue(form.matches(orders.third), orders.third)
+            assertEquals("", seen.first { it.second == "GET /show" }.third)
+            val services = seen.filter { it.first == "state:1" || it.first == "cloud:1" }
+            val paths = services.map { it.second.substringBefore('?').replace(Regex("[0-9]+"), "N") }.toSet()
+            val expected =
+                setOf("POST /txn", "POST /grants", "POST /grants/N/renew", "GET /watch", "GET /keys") +
+                    setOf("GET /flavors", "GET /machines", "POST /machines")
+            assertEquals(emptySet<String>(), expected - paths)
+        }
+
+    // Cloud
+
+    private fun TestScope.cloud(recorder: Recorder) =
+        CloudClient(recorder, "cloud:1", RateBudget(backgroundScope, 100.0, { testScheduler.currentTime }), 1000)
+
+    @Test
+    fun `machine types are asked for and read`() =
+        runTest {
+            val recorder = Recorder(answer(200, "cloud/flavors.json"))
+            val type = Flavor.parseAll(cloud(recorder).flavors()!!).single()
+            assertEquals(listOf("GET /flavors"), recorder.requests)
+            assertNull(recorder.body)
+            assertEquals("g8", type.label)
+            assertEquals(Amount(96.0, 8.0, 768.0), type.amount)
+            assertEquals(listOf(200.0, 1.5), listOf(type.cacheGb, type.pullGbPerS))
+            assertEquals(listOf(12.0, 4.5, 45.0), listOf(type.hourly, type.spotHourly, type.readyS))
+            assertEquals(listOf("a", "b"), type.zones)
+        }
+
+    @Test
+    fun `the machine list is asked for in pages and read`() =
+        runTest {
+            val recorder = Recorder(answer(200, "cloud/machines.json"), answer(200, "cloud/machines-last.json"))
+            val machines = cloud(recorder).list()!!
+            assertEquals(
+                listOf("GET /machines?page=500", "GET /machines?since=m-000232&page=500"),
+                recorder.requests,
+            )
+            assertEquals(
+                listOf(
+                    listOf("m-000231", "10.1.0.232:9000", "g8", "a", true, "running", 61.5),
+                    listOf("m-000232", "", "small", "b", false, "starting", 2.0),
+                    listOf("m-000233", "10.1.0.234:9000", "g8", "c", false, "failed", 7.25),
+                ),
+                machines.map { listOf(it.name, it.addr, it.type, it.zone, it.spot, it.status, it.ageS) },
+            )
+            assertEquals(
+                listOf("starting", "running", "failed"),
+                listOf(ListedMachine.STARTING, ListedMachine.RUNNING, ListedMachine.FAILED),
+            )
+        }
+
+    private suspend fun TestScope.rent(outcome: Outcome): RentResult {
+        val recorder = Recorder(outcome)
+        val result = cloud(recorder).rent("r-17", "g8", "a", true, 12)
+        assertEquals(listOf("POST /machines"), recorder.requests)
+        assertEquals(text("cloud/rent.json"), recorder.body)
+        return result
+    }
+
+    @Test
+    fun `machines are rented`() =
+        runTest {
+            val rented = rent(answer(200, "cloud/rented.json")) as RentResult.Rented
+            assertEquals(listOf("m-000231", "m-000232"), rented.names)
+            assertEquals(RentResult.NoCapacity, rent(answer(503, "cloud/no-capacity.json")))
+            assertEquals(RentResult.Refused, rent(answer(503, "cloud/trouble.json")))
+            assertEquals(RentResult.Refused, rent(answer(400)))
+            assertEquals(RentResult.Refused, rent(answer(429)))
+        }
+
+    @Test
+    fun `machines are returned`() =
+        runTest {
+            val recorder = Recorder(answer(200))
+            assertTrue(cloud(recorder).delete(listOf("m-000231", "m-000232")))
+            assertEquals(listOf("POST /machines/delete"), recorder.requests)
+            assertEquals(text("cloud/delete.json"), recorder.body)
+        }
+
+    // State service
+
+    private fun TestScope.state(recorder: Recorder): StateClient {
+        fun budget() = RateBudget(backgroundScope, 100.0, { testScheduler.currentTime })
+        return StateClient(recorder, "state:1", budget(), budget(), 1000)
+    }
+
+    @Test
+    fun `a lease is granted, renewed and ended`() =
+        runTest {
+            val grant = Recorder(answer(200, "state/granted.json"))
+            assertEquals(7L, state(grant).grant(5000))
+            assertEquals(listOf("POST /grants"), grant.requests)
+            assertEquals(text("state/grant.json"), grant.body)
+            for ((status, expected) in listOf(200 to true, 404 to false, 503 to null)) {
+                val renew = Recorder(answer(status))
+                assertEquals(expected, state(renew).renew(7))
+                assertEquals(listOf("POST /grants/7/renew"), renew.requests)
+                assertEquals(text("state/renew.json"), renew.body)
+            }
+            val revoke = Recorder(answer(200))
+            state(revoke).revoke(7)
+            assertEquals(listOf("DELETE /grants/7"), revoke.requests)
+            assertNull(revoke.body)
+        }
+
+    @Test
+    fun `a key is read`() =
+        runTest {
+            val recorder = Recorder(answer(200, "state/item.json"), answer(404, "state/missing.json"), answer(503))
+            val client = state(recorder)
+            val item = (client.get("a/b", Urgency.LEASE) as ReadResult.Found).item
+            assertEquals(listOf("a/b", "{\"x\":1}", 412L), listOf(item.key, item.value.toString(), item.mark))
+            assertEquals(ReadResult.Missing, client.get("a/b", Urgency.LEASE))
+            assertEquals(ReadResult.Unavailable, client.get("a/b", Urgency.LEASE))
+            assertEquals(List(3) { "GET /keys/a/b" }, recorder.requests)
+            assertEquals(List(3) { null }, recorder.bodies)
+        }
+
+    @Test
+    fun `keys are listed in pages`() =
+        runTest {
+            val recorder = Recorder(answer(200, "state/list.json"), answer(200, "state/list-last.json"))
+            val listing = state(recorder).list("c/", Urgency.LEASE, 200)!!
+            assertEquals(
+                listOf("GET /keys?under=c%2F&page=200", "GET /keys?under=c%2F&since=c%2F2+d&page=200"),
+                recorder.requests,
+            )
+            assertEquals(431L, listing.revision)
+            assertEquals(
+                listOf(
+                    listOf("c/1", "{\"x\":1}", 5L),
+                    listOf("c/2 d", "{\"x\":2}", 6L),
+                    listOf("c/3", "{\"x\":3}", 7L),
+                ),
+                listing.items.map { listOf(it.key, it.value.toString(), it.mark) },
+            )
+        }
+
+    private suspend fun TestScope.transaction(outcome: Outcome): TxnResult {
+        val recorder = Recorder(outcome)
+        val changes =
+            listOf(
+                Put("a/b", parseObject("{\"x\":1}".encodeToByteArray()), 7),
+                Put("a/c", parseObject("{\"x\":2}".encodeToByteArray())),
+                Delete("c/d"),
+            )
+        val transaction = Txn(listOf(Condition("a/b", 0), Condition("c/d", 9)), changes)
+        val result = state(recorder).txn(3, Urgency.LEASE) { transaction }
+        assertEquals(listOf("POST /txn"), recorder.requests)
+        assertEquals(text("state/transaction.json"), recorder.body)
+        return result
+    }
+
+    @Test
+    fun `a transaction and its answers`() =
+        runTest {
+            assertEquals(432L, (transaction(answer(200, "state/applied.json")) as TxnResult.Applied).revision)
+            assertEquals(setOf("a/b", "c/d"), (transaction(answer(409, "state/failed.json")) as TxnResult.Failed).keys)
+            assertEquals(TxnResult.NoSuchLease, transaction(answer(400, "state/no-lease.json")))
+            assertEquals(TxnResult.TooLarge, transaction(answer(400)))
+            assertEquals(TxnResult.Limited, transaction(answer(429)))
+            assertEquals(TxnResult.Refused, transaction(answer(503)))
+            assertEquals(TxnResult.Unknown, transaction(Outcome.Silence))
+        }
+
+    @Test
+    fun `keys are watched`() =
+        runTest {
+            val recorder = Recorder(answer(200, "state/watch.json"), answer(410))
+            val client = state(recorder)
+            val news = client.watch("c/", 431, 10_000, Urgency.LEASE)!!
+            assertEquals(433L, news.revision)
+            assertFalse(news.tooOld)
+            assertEquals(
+                listOf(listOf("c/9", "{\"x\":9}", 433L), listOf("c/d", null, 432L)),
+                news.events.map { listOf(it.key, it.value?.toString(), it.mark) },
+            )
+            assertTrue(client.watch("c/", 431, 10_000, Urgency.LEASE)!!.tooOld)
+            assertEquals(List(2) { "GET /watch?under=c%2F&since=431&hold_ms=10000" }, recorder.requests)
+            assertEquals(listOf(null, null), recorder.bodies)
+        }
+
+    // Other controllers
+
+    /** The message's bytes are those of the file, and the file's bytes read and written again stay the same. */
+    private inline fun <reified T> kept(
+        name: String,
+        value: T,
+    ): T {
+        val serializer: KSerializer<T> = serializer()
+        assertEquals(text(name), HexFormat.of().formatHex(ProtoBuf.encodeToByteArray(serializer, value)), name)
+        val decoded = ProtoBuf.decodeFromByteArray(serializer, hex(name))
+        assertEquals(text(name), HexFormat.of().formatHex(ProtoBuf.encodeToByteArray(serializer, decoded)), name)
+        return decoded
+    }
+
+    private val noteTasks =
+        listOf(NoteTask("j-000412", 3, 2, "running"), NoteTask("j-000398", 7, 5, "ended", "stopped", true))
+    private val note =
+        MachineNote("m-000231", "10.1.0.232:9000", "g8", "a", true, 3, 88, 25.5, noteTasks, 1500, 77)
+    private val room = HeldRoom("m-000231", 2.5, 1.0, 6.5, listOf("img-07", "img-08"), listOf(6.2, 3.5))
+    private val demand =
+        Demand(2.5, 1.0, 6.5, listOf("g8"), listOf("a", "b"), true, 12, 2, true, 240.5, "img-07", listOf(4, 5), true)
+    private val summary =
+        RoomSummary("pitbox-1", "p-9", 17, listOf(room), listOf(demand), 16, 2, 5, listOf(Demand(1.5, 2.5, 3.5)))
+    private val allNews =
+        PeerNews(listOf(note), summary, listOf("m-1", "m-2"), listOf(note), true, "pitbox-1")
+    private val withdrawn = WithdrawnTask("m-000231", "j-000412", 3, 2)
+
+    private fun assertNote(read: MachineNote) {
+        assertEquals(listOf("m-000231", "10.1.0.232:9000", "g8"), listOf(read.machine, read.addr, read.type))
+        assertEquals("a", read.zone)
+        assertTrue(read.spot)
+        assertEquals(listOf(3L, 88L), listOf(read.session, read.tick))
+        assertEquals(25.5, read.noticeS)
+        assertEquals(listOf(1500L, 77L), listOf(read.ageMs, read.changedTick))
+        assertEquals(
+            listOf(
+                listOf("j-000412", 3, 2L, "running", "", false),
+                listOf("j-000398", 7, 5L, "ended", "stopped", true),
+            ),
+            read.tasks.map { listOf(it.ref, it.taskIndex, it.attempt, it.status, it.why, it.saved) },
+        )
+    }
+
+    private fun assertDemand(read: Demand) {
+        assertEquals(listOf(2.5, 1.0, 6.5), listOf(read.cores, read.cards, read.ram))
+        assertEquals(listOf("g8"), read.types)
+        assertEquals(listOf("a", "b"), read.zones)
+        assertEquals(listOf(true, true, true), listOf(read.spot, read.service, read.isGang))
+        assertEquals(listOf(12, 2), listOf(read.count, read.priority))
+        assertEquals(240.5, read.estimateS)
+        assertEquals("img-07", read.image)
+        assertEquals(listOf(4, 5), read.zoneRoom)
+    }
+
+    private fun assertSummary(read: RoomSummary) {
+        assertEquals(listOf("pitbox-1", "p-9"), listOf(read.host, read.process))
+        assertEquals(listOf(17L, 16L), listOf(read.number, read.base))
+        assertEquals(listOf(2, 5), listOf(read.bucket, read.buckets))
+        val held = read.rooms.single()
+        assertEquals("m-000231", held.machine)
+        assertEquals(listOf(2.5, 1.0, 6.5), listOf(held.cores, held.cards, held.ram))
+        assertEquals(listOf("img-07", "img-08"), held.images)
+        assertEquals(listOf(6.2, 3.5), held.imagesGb)
+        assertDemand(read.demand.single())
+        assertEquals(listOf(Demand(1.5, 2.5, 3.5)), read.recent)
+    }
+
+    private fun assertWithdrawn(read: WithdrawnTask) =
+        assertEquals(
+            listOf("m-000231", "j-000412", 3, 2L),
+            listOf(read.machine, read.ref, read.taskIndex, read.attempt),
+        )
+
+    @Test
+    fun `news between controllers`() {
+        val news = kept("peers/news.hex", allNews)
+        assertNote(news.notes.single())
+        assertSummary(news.summary!!)
+        assertEquals(listOf("m-1", "m-2"), news.retire)
+        assertNote(news.heard.single())
+        assertTrue(news.stateContact)
+        assertEquals("pitbox-1", news.host)
+        val answer = kept("peers/news-answer.hex", NewsAnswer(true, 41, listOf(withdrawn)))
+        assertTrue(answer.needsWhole)
+        assertEquals(41L, answer.epoch)
+        assertWithdrawn(answer.kills.single())
+    }
+
+    @Test
+    fun `what controllers leave for each other in the state service`() {
+        assertNote(kept("peers/heard.hex", HeardList(listOf(note))).notes.single())
+        assertSummary(kept("peers/summary.hex", summary))
+        assertWithdrawn(kept("peers/kills.hex", WithdrawnTaskList(listOf(withdrawn))).kills.single())
+    }
+
+    @Test
+    fun `questions between controllers`() {
+        assertEquals("j-000412", kept("peers/ask.hex", PeerAsk("j-000412")).ref)
+        val answer = kept("peers/answer.hex", PeerAnswer(true, "running", 3, 13))
+        assertEquals(listOf(true, "running", 3, 13), listOf(answer.known, answer.status, answer.done, answer.running))
+    }
+
+    @Test
+    fun `fields that are left out`() {
+        val least = kept("peers/note-least.hex", MachineNote("m-1", "", "g8", "a", false, 0, 0))
+        assertEquals(listOf(-1.0, 0L, 0L), listOf(least.noticeS, least.ageMs, least.changedTick))
+        assertEquals(0, least.tasks.size)
+        kept("peers/empty.hex", PeerNews())
+        kept("peers/empty.hex", NewsAnswer())
+        kept("peers/empty.hex", PeerAnswer())
+        kept("peers/empty.hex", StatusRequest())
+        assertTrue(kept("peers/empty.hex", HistoryAnswer()).isAvailable)
+        val demand = kept("peers/demand-least.hex", Demand(1.5, 2.5, 3.5))
+        assertEquals(listOf(false, 1, 0, false), listOf(demand.spot, demand.count, demand.priority, demand.service))
+    }
+
+    private fun SimFleet.expectPeer(
+        target: String,
+        request: String?,
+        answer: String?,
+    ) {
+        val response = request("POST", target, request?.let { hex(it) } ?: ByteArray(0), isPeer = true)
+        assertEquals(200, response.status, target)
+        assertEquals("application/octet-stream", response.type, target)
+        if (answer != null) assertEquals(text(answer), HexFormat.of().formatHex(response.body), target)
+    }
+
+    @Test
+    fun `paths for controllers and operators`() {
+        assertEquals(
+            listOf("/peer/news", "/peer/kills", "/peer/query", "/peer/cancel"),
+            listOf(Peers.NEWS, Peers.KILLS, Peers.QUERY, Peers.CANCEL),
+        )
+        assertEquals(
+            listOf("get", "apply", "history", "rollback", "status", "applied").map { "/config/$it" },
+            ConfigurationPaths.run { listOf(GET, APPLY, HISTORY, ROLLBACK, STATUS, APPLIED) },
+        )
+        onFleet(1) {
+            expectPeer("/peer/news", "peers/news.hex", null)
+            expectPeer("/peer/kills", "peers/kills.hex", "peers/empty.hex")
+            expectPeer("/peer/query", "peers/ask.hex", "peers/empty.hex")
+            expectPeer("/peer/cancel", "peers/ask.hex", "peers/empty.hex")
+            expectPeer("/config/get", null, "configuration/view-off.hex")
+            expectPeer("/config/apply", "configuration/change.hex", "configuration/answer-off.hex")
+            expectPeer("/config/history", null, "peers/empty.hex")
+            expectPeer("/config/rollback", "configuration/rollback.hex", "configuration/answer-off.hex")
+            expectPeer("/config/status", "configuration/status-request.hex", "configuration/status-off.hex")
+            expectPeer("/config/applied", null, "configuration/applied-off.hex")
+            assertEquals(404, request("POST", "/config/other", isPeer = true).status)
+            assertEquals(405, request("GET", "/config/get", isPeer = true).status)
+            assertEquals(400, request("POST", "/peer/query", byteArrayOf(1), isPeer = true).status)
+        }
+    }
+
+    @Test
+    fun `requests that controllers send each other`() =
+        onFleet(3) {
+            val seen = ArrayList<Triple<String, String, String>>()
+            observe("n", seen, HashSet())
+            val job = submission()
+            rules.submitted(JobSpec.parse(parseObject(job.encodeToByteArray())))
+            assertEquals(201, request("POST", "/work", job.encodeToByteArray()).status)
+            val own = seen.size
+            // The first question finds the owner in the state service, the next one is put to it.
+            repeat(2) { assertEquals(200, asked(1, "GET", "/work/j-000412").first) }
+            assertEquals(200, asked(1, "POST", "/work/j-000412/cancel").first)
+            runFor(2000)
+            val sent =
+                seen
+                    .drop(own)
+                    .filter { it.first.endsWith(":81") }
+                    .map { it.second }
+                    .toSet()
+            assertEquals(setOf("POST /peer/news", "POST /peer/query", "POST /peer/cancel"), sent - "POST /peer/kills")
+        }
+
+    // Operators
+
+    private val team = TeamSetting("vision", 16.5, 60.5, 2.5, 20.5)
+    private val change =
+        ConfigurationChange("c-1", 41, "kim", "more room", listOf(team), listOf("text", "cards"), true)
+    private val status =
+        ConfigurationStatus(true, 41, 42, true, 1500, listOf(AppliedVersion("pitbox-0", 41)), listOf("pitbox-1"))
+
+    private suspend fun <T> configuration(
+        path: String,
+        request: String?,
+        answer: String,
+        ask: suspend ConfigurationClient.() -> T,
+    ): T {
+        val recorder = Recorder(Outcome.Answer(200, hex(answer)))
+        val result = ConfigurationClient(recorder, "n0:81", 1000).ask()
+        assertEquals(listOf("POST $path"), recorder.requests)
+        assertEquals(request?.let { text(it) } ?: "", HexFormat.of().formatHex(recorder.bodies.single()))
+        return result
+    }
+
+    @Test
+    fun `the configuration is asked for and changed`() =
+        runTest {
+            val view = configuration("/config/get", null, "configuration/view.hex") { get() }
+            assertEquals(listOf(true, 41L), listOf(view.isOn, view.version))
+            assertEquals(listOf(team), view.teams)
+            assertEquals(
+                listOf("vision", 16.5, 60.5, 2.5, 20.5),
+                view.teams.single().run { listOf(name, cores, coresMax, cards, cardsMax) },
+            )
+            val answer =
+                configuration("/config/apply", "configuration/change.hex", "configuration/answer.hex") { apply(change) }
+            assertEquals(listOf(ChangeStatus.INVALID, 41L), listOf(answer.status, answer.version))
+            assertEquals(listOf("vision", "too much"), answer.errors.single().run { listOf(team, message) })
+            val request = RollbackRequest("c-2", 40, "kim", "back")
+            val rolledBack =
+                configuration("/config/rollback", "configuration/rollback.hex", "configuration/answer-off.hex") {
+                    rollback(request)
+                }
+            assertEquals(ChangeStatus.SWITCHED_OFF, rolledBack.status)
+        }
+
+    @Test
+    fun `the configuration's history and state are asked for`() =
+        runTest {
+            val history = configuration("/config/history", null, "configuration/history.hex") { history() }
+            assertFalse(history.isAvailable)
+            assertEquals(
+                listOf(41L, "kim", "more room", 1_700_000_000_000L, 3, 2),
+                history.entries.single().run { listOf(version, author, reason, atMs, set, removed) },
+            )
+            val read =
+                configuration(
+                    "/config/status",
+                    "configuration/status-request.hex",
+                    "configuration/status.hex",
+                ) { status(41) }
+            assertEquals(listOf(true, 41L, 42L), listOf(read.isOn, read.version, read.newest))
+            assertEquals(listOf(true, 1500L), listOf(read.isInForce, read.inForceInMs))
+            assertEquals(listOf("pitbox-0", 41L), read.applied.single().run { listOf(host, version) })
+            assertEquals(listOf("pitbox-1"), read.missing)
+        }
+
+    @Test
+    fun `messages of the configuration`() {
+        val read = kept("configuration/change.hex", change)
+        assertEquals(listOf("c-1", 41L, "kim", "more room"), read.run { listOf(id, base, author, reason) })
+        assertEquals(listOf(listOf(team), listOf("text", "cards"), true), read.run { listOf(set, remove, isDryRun) })
+        kept("configuration/view.hex", ConfigurationView(true, 41, listOf(team)))
+        val errors = listOf(LineError("vision", "too much"))
+        kept("configuration/answer.hex", ChangeAnswer(ChangeStatus.INVALID, 41, errors))
+        val entry = HistoryEntry(41, "kim", "more room", 1_700_000_000_000, 3, 2)
+        kept("configuration/history.hex", HistoryAnswer(listOf(entry), false))
+        kept("configuration/status.hex", status)
+        val rollback = kept("configuration/rollback.hex", RollbackRequest("c-2", 40, "kim", "back"))
+        assertEquals(listOf("c-2", 40L, "kim", "back"), rollback.run { listOf(id, version, author, reason) })
+        assertEquals(41L, kept("configuration/status-request.hex", StatusRequest(41)).version)
+        assertEquals(41L, kept("configuration/applied.hex", AppliedVersion("pitbox-0", 41)).version)
+    }
+
+    /** Only the number goes over the wire. */
+    @Test
+    fun `the numbers of what can become of a change`() {
+        val inOrder =
+            listOf(
+                ChangeStatus.APPLIED,
+                ChangeStatus.VALID,
+                ChangeStatus.CONFLICT,
+                ChangeStatus.INVALID,
+                ChangeStatus.UNAVAILABLE,
+                ChangeStatus.UNKNOWN,
+                ChangeStatus.SWITCHED_OFF,
+            )
+        assertEquals(inOrder, ChangeStatus.entries.toList())
+        for ((number, status) in inOrder.withIndex()) {
+            val bytes = byteArrayOf(8, number.toByte())
+            assertEquals(status, ProtoBuf.decodeFromByteArray(ChangeAnswer.serializer(), bytes).status)
+            val encoded = ProtoBuf.encodeToByteArray(ChangeAnswer.serializer(), ChangeAnswer(status))
+            assertEquals(bytes.toList(), encoded.toList())
+        }
+    }
+
+    // Settings
+
+    private fun settings(vararg replacements: Pair<String, String>) =
+        Settings.parse(
+            replacements
+                .fold(text("settings/settings.json")) { all, (from, to) ->
+                    assertTrue(from in all, from)
+                    all.replace(from, to)
+                }.encodeToByteArray(),
+        )
+
+    @Test
+    fun `the settings file is read`() {
+        val s = settings()
+        assertEquals(listOf("pitbox-0", "a"), listOf(s.host, s.zone))
+        assertEquals(listOf("10.0.0.1:8080", "10.0.0.1:8081"), listOf(s.listen, s.back))
+        assertEquals(
+            listOf(listOf("pitbox-1", "b", "10.0.0.2:8081"), listOf("pitbox-2", "c", "10.0.0.3:8081")),
+            s.peers.map { listOf(it.host, it.zone, it.addr) },
+        )
+        assertEquals(listOf("10.0.0.8:1", "10.0.0.9:2"), listOf(s.cloudAddr, s.stateAddr))
+        assertEquals(listOf("a", "b", "c"), s.zones)
+        assertEquals(setOf("vision"), s.teams.keys)
+        assertEquals(
+            listOf("vision", 16.5, 60.5, 2.5, 20.5),
+            s.teams.getValue("vision").run { listOf(name, cores, coresMax, cards, cardsMax) },
+        )
+        assertEquals(
+            listOf(listOf("start", "train", 90.5), listOf("price", null, null)),
+            s.objectives.map { listOf(it.kind, it.jobClass, it.withinS) },
+        )
+        assertEquals(listOf(1500L, 10_500L, 30_500L), listOf(s.reportMs, s.leaseMs, s.cancelMs))
+        assertEquals(listOf(35_500L, 4500L), listOf(s.gangWaitMs, s.gangPeerMs))
+        assertEquals(StateLimits(240.0, 90.0, 8 * 1024, 32), s.stateLimits)
+        assertEquals(listOf(4.5, 0.25), listOf(s.cloudRps, s.coreShare))
+        assertEquals(3500L, s.listLagMs)
+        assertEquals(500, s.maxSockets)
+        val next = ",\"next\":{\"rps\":240,\"write_rps\":90,\"value_kb\":8,\"txn_ops\":32}"
+        assertEquals(StateLimits(250.0, 100.0, 16 * 1024, 48), settings(next to "").stateLimits)
+    }
+
+    @Test
+    fun `settings that must be there are named when they are not`() {
+        val fields =
+            listOf("host_name", "location", "listen", "back", "services", "params", "teams", "workers") +
+                listOf("machine_limits", "report_s", "lease_s", "cancel_s", "write_rps", "value_kb", "txn_ops") +
+                listOf("list_lag_s", "max_sockets", "core_share", "peer_addr")
+        for (field in fields) {
+            val error = assertThrows(SettingsError::class.java) { settings("\"$field\"" to "\"another\"") }
+            assertTrue(field in error.message!!, error.message)
+        }
+    }
+
+    @Test
+    fun `a team is written as the settings file has it`() {
+        val team = settings().teams.getValue("vision")
+        assertEquals(text("settings/team.json"), TeamJson.encode(team).toString())
+    }
+
+    private fun properties() = Properties().apply { load(text("settings/operator.properties").reader()) }
+
+    @Test
+    fun `operators' properties are read`() {
+        val operator = Operator.parse(properties())
+        assertEquals(listOf(0.5, 2.0, 20.0), operator.queueBounds)
+        assertEquals(3.5, operator.queueLift)
+        assertEquals(0.25, operator.fleetHeadroom)
+        assertEquals(1.75, operator.fleetIdleBoots)
+        assertTrue(operator.storesTeams)
+        assertEquals(ArchiveMode.RESTORE, operator.archiveMode)
+        for ((word, mode) in listOf("off" to ArchiveMode.OFF, "on" to ArchiveMode.ON)) {
+            val changed = properties().apply { setProperty("recovery.archive", word) }
+            assertEquals(mode, Operator.parse(changed).archiveMode)
+        }
+    }
+}
