--- a/src/main/kotlin/micatally/api/UserApi.kt
+++ b/src/main/kotlin/micatally/api/UserApi.kt
@@ -13,7 +13,7 @@
 import micatally.job.Owner
 import micatally.job.UnreadableRecord
 import micatally.job.readable
-import micatally.ledger.Authority
+import micatally.ledger.LeadershipState
 import micatally.ledger.Membership
 import micatally.peer.Peers
 import micatally.placement.Placement
@@ -68,7 +68,7 @@
 
     fun health(): HttpResponse =
         when {
-            membership.checkAuthority() != Authority.ENTITLED || owner.own() == null || machines.machineTypes.isEmpty() ->
+            membership.checkLeadership() != LeadershipState.LEADING || owner.own() == null || machines.machineTypes.isEmpty() ->
                 later("starting")
             owner.own()?.let { owner.isLoadOverdue(it) } == true -> later("the ledger can't be loaded")
             // Others can take what this node has to turn away. In an outage for all every node stays: polls are still answered.
@@ -279,8 +279,8 @@
         what: String,
         ref: String,
     ): JobAnswer? {
-        val host = membership.cluster.leader(shard)?.host ?: return null
-        if (host == settings.host || !membership.cluster.isLive(host) || !peers.reaches(host)) return null
+        val host = membership.sharedKeys.leader(shard)?.host ?: return null
+        if (host == settings.host || !membership.sharedKeys.isLive(host) || !peers.reaches(host)) return null
         val a = peers.ask(host, what, ref, askMs) ?: return null
         return JobAnswer(ref, a.status, a.done, a.running).also { owner.rememberFinal(it) }
     }
--- a/src/main/kotlin/micatally/api/WorkerApi.kt
+++ b/src/main/kotlin/micatally/api/WorkerApi.kt
@@ -5,7 +5,7 @@
 import micatally.http.HttpRequest
 import micatally.http.HttpResponse
 import micatally.http.errorResponse
-import micatally.ledger.Authority
+import micatally.ledger.LeadershipState
 import micatally.ledger.Membership
 import micatally.peer.Peers
 import micatally.settings.Settings
@@ -47,11 +47,11 @@
         val known = machines.known(report.machine, report.addr, report.type, report.zone, report.spot)
         if (news && (before == null || differs(before, report))) peers.tell(known)
         // The node does not know the epoch that the worker knows: it may have been replaced without having heard.
-        if (report.token > membership.cluster.epoch) {
+        if (report.token > membership.sharedKeys.fencingToken) {
             membership.catchUp(NOTHING_MORE)
             return refuse()
         }
-        if (membership.checkAuthority() != Authority.ENTITLED) return refuse()
+        if (membership.checkLeadership() != LeadershipState.LEADING) return refuse()
         // Others reach the state service and this node does not: they know of cancellations that it can't hear of.
         if (isAloneWithoutState()) return refuse()
         if (known.deleted) return refuse()
@@ -61,7 +61,7 @@
                 report,
             )?.let { return HttpResponse(421, buildJsonObject { put("marshal", it) }.bytes()) }
         known.heardHereAt = nowMs()
-        return HttpResponse(200, heartbeatResponse(membership.cluster.epoch, killsFor(report)).bytes())
+        return HttpResponse(200, heartbeatResponse(membership.sharedKeys.fencingToken, killsFor(report)).bytes())
     }
 
     /**
@@ -91,7 +91,7 @@
             }.map { Command(CommandType.KILL, it.ref, it.taskIndex, it.attempt, 0.0) }
 
     private fun refuse(): HttpResponse {
-        val other = peers.entitledPeer()
+        val other = peers.leadingPeer()
         return HttpResponse(421, buildJsonObject { if (other != null) put("marshal", other) }.bytes())
     }
 
--- a/src/main/kotlin/micatally/config/ConfigurationSeed.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationSeed.kt
@@ -3,7 +3,7 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import micatally.ledger.Cluster
+import micatally.ledger.SharedKeyCache
 import micatally.ledger.Keys
 import micatally.settings.Settings
 import micatally.state.Compare
@@ -19,7 +19,7 @@
     private val scope: CoroutineScope,
     private val settings: Settings,
     private val state: StateStoreClient,
-    private val cluster: Cluster,
+    private val sharedKeys: SharedKeyCache,
     private val store: ConfigurationStore,
     private val mayWrite: () -> Boolean,
     private val wallMs: () -> Long,
@@ -27,7 +27,7 @@
     private val log = LoggerFactory.getLogger("micatally.config")
     private var isWriting = false
 
-    private val isDue get() = cluster.revision >= 0 && !cluster.has(Keys.CONFIG) && mayWrite()
+    private val isDue get() = sharedKeys.revision >= 0 && !sharedKeys.has(Keys.CONFIG) && mayWrite()
 
     /** Looks at the shared keys after a change. */
     fun sharedChanged() {
--- a/src/main/kotlin/micatally/config/ConfigurationService.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationService.kt
@@ -19,12 +19,12 @@
     nowMs: () -> Long,
     wallMs: () -> Long,
 ) {
-    private val cluster = membership.cluster
+    private val sharedKeys = membership.sharedKeys
     private val store = ConfigurationStore(state, settings.stateLimits, membership.process)
-    val live = LiveConfiguration(scope, settings, cluster, store, { upgrade.mayTeamsBeStored }, nowMs)
-    private val seed = ConfigurationSeed(scope, settings, state, cluster, store, { upgrade.mayStoreTeams }, wallMs)
+    val live = LiveConfiguration(scope, settings, sharedKeys, store, { upgrade.mayTeamsBeStored }, nowMs)
+    private val seed = ConfigurationSeed(scope, settings, state, sharedKeys, store, { upgrade.mayStoreTeams }, wallMs)
     private val writer =
-        ConfigurationWriter(scope, settings, state, cluster, live, store, wallMs) { membership.refresh() }
+        ConfigurationWriter(scope, settings, state, sharedKeys, live, store, wallMs) { membership.refresh() }
     private val api = ConfigurationApi(settings, http, live, writer, store, nowMs)
 
     val teams: TeamDirectory get() = live
--- a/src/main/kotlin/micatally/config/ConfigurationWriter.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationWriter.kt
@@ -6,7 +6,7 @@
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.withTimeoutOrNull
 import kotlinx.serialization.json.JsonObject
-import micatally.ledger.Cluster
+import micatally.ledger.SharedKeyCache
 import micatally.ledger.Keys
 import micatally.settings.Settings
 import micatally.state.Compare
@@ -31,7 +31,7 @@
     private val scope: CoroutineScope,
     private val settings: Settings,
     private val state: StateStoreClient,
-    private val cluster: Cluster,
+    private val sharedKeys: SharedKeyCache,
     private val live: LiveConfiguration,
     private val store: ConfigurationStore,
     private val wallMs: () -> Long,
@@ -112,7 +112,7 @@
             delay(retryMs)
             return
         }
-        val modRevision = cluster.modRevision(Keys.CONFIG)
+        val modRevision = sharedKeys.modRevision(Keys.CONFIG)
         val batch = stageSome()
         if (batch.isEmpty()) return
         val newest = batch.last().record.version
@@ -186,7 +186,7 @@
     /** Another writer was first, or this one's answer was lost: waits until the newer head is known here. */
     private suspend fun catchUp(modRevision: Long) {
         refreshView()
-        if (cluster.modRevision(Keys.CONFIG) == modRevision) delay(retryMs)
+        if (sharedKeys.modRevision(Keys.CONFIG) == modRevision) delay(retryMs)
         live.head?.let { live.awaitVersion(it.version, answerMs) }
     }
 
@@ -207,7 +207,7 @@
         val head = live.head ?: return
         val configuration = live.configuration
         if (configuration.version != head.version || head.version - head.snapshot < SNAPSHOT_EVERY) return
-        val modRevision = cluster.modRevision(Keys.CONFIG)
+        val modRevision = sharedKeys.modRevision(Keys.CONFIG)
         val parts = store.writeSnapshot(configuration) ?: return
         val next = ChangeCodec.encode(ConfigurationHead(head.version, head.version, parts))
         val transact = Transaction(listOf(Compare(Keys.CONFIG, modRevision)), listOf(Put(Keys.CONFIG, next)))
--- a/src/main/kotlin/micatally/config/LiveConfiguration.kt
+++ b/src/main/kotlin/micatally/config/LiveConfiguration.kt
@@ -3,7 +3,7 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import micatally.ledger.Cluster
+import micatally.ledger.SharedKeyCache
 import micatally.ledger.Keys
 import micatally.settings.Settings
 import micatally.settings.Team
@@ -25,7 +25,7 @@
 class LiveConfiguration(
     private val scope: CoroutineScope,
     private val settings: Settings,
-    private val cluster: Cluster,
+    private val sharedKeys: SharedKeyCache,
     private val store: ConfigurationStore,
     private val mayBeOn: () -> Boolean,
     private val nowMs: () -> Long,
@@ -59,10 +59,10 @@
     override fun all(): Collection<Team> = if (isOn) configuration.teams else settings.teams.values
 
     /** The stored head as this controller's copy of the shared keys shows it. */
-    val head get() = cluster.value(Keys.CONFIG)?.let { ChangeCodec.head(it) }
+    val head get() = sharedKeys.value(Keys.CONFIG)?.let { ChangeCodec.head(it) }
 
     /** The one place where the phase changes. */
-    private fun become(next: ConfigurationPhase) {
+    private fun transitionTo(next: ConfigurationPhase) {
         if (next == phase) return
         check(next != ConfigurationPhase.OFF) { "a stored configuration is never switched off" }
         if (phase == ConfigurationPhase.OFF) log.info("configuration is that of the state service from now on")
@@ -73,7 +73,7 @@
     fun sharedChanged() {
         val newest = head?.version ?: return
         if (newest <= configuration.version) return
-        become(ConfigurationPhase.BEHIND)
+        transitionTo(ConfigurationPhase.BEHIND)
         if (isLoading) return
         isLoading = true
         scope.launch {
@@ -102,7 +102,7 @@
         appliedAt.addLast(AppliedAt(next.version, nowMs()))
         while (appliedAt.size > MOST_TIMES) appliedAt.removeFirst()
         log.info("configuration {} -> {}", former.version, next.version)
-        become(if ((head?.version ?: 0L) <= next.version) ConfigurationPhase.CURRENT else ConfigurationPhase.BEHIND)
+        transitionTo(if ((head?.version ?: 0L) <= next.version) ConfigurationPhase.CURRENT else ConfigurationPhase.BEHIND)
     }
 
     /** When this controller first decided by [version] or a later one; null if it does not yet. */
--- a/src/main/kotlin/micatally/fleet/Deletions.kt
+++ b/src/main/kotlin/micatally/fleet/Deletions.kt
@@ -3,7 +3,7 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import micatally.ledger.Cluster
+import micatally.ledger.SharedKeyCache
 import micatally.ledger.Keys
 import micatally.settings.Settings
 import micatally.state.Delete
@@ -21,7 +21,7 @@
     private val settings: Settings,
     private val state: StateStoreClient,
     private val cloud: CloudClient,
-    private val cluster: Cluster,
+    private val sharedKeys: SharedKeyCache,
     private val mayDelete: () -> Boolean,
     private val nowMs: () -> Long,
 ) {
@@ -40,7 +40,7 @@
 
     /** What is not sent now is found again in the next step, if it is still to go. */
     fun send() {
-        val names = wanted.filter { it !in underWay && !cluster.has(Keys.GONE + it) }.take(MOST_AT_ONCE)
+        val names = wanted.filter { it !in underWay && !sharedKeys.has(Keys.DELETED_MACHINE + it) }.take(MOST_AT_ONCE)
         wanted.clear()
         if (names.isEmpty()) return
         underWay.addAll(names)
@@ -66,8 +66,8 @@
     }
 
     private fun proof(names: List<String>): Transaction {
-        val drained = names.map { Keys.DRAIN + it }.filter { cluster.has(it) }
-        return Transaction(emptyList(), names.map { Put(Keys.GONE + it, EMPTY_OBJECT) } + drained.map { Delete(it) })
+        val drained = names.map { Keys.DRAIN + it }.filter { sharedKeys.has(it) }
+        return Transaction(emptyList(), names.map { Put(Keys.DELETED_MACHINE + it, EMPTY_OBJECT) } + drained.map { Delete(it) })
     }
 
     /** Old proofs are dropped; a machine whose proof is missed is simply deleted again. */
@@ -75,7 +75,7 @@
         val oldest = nowMs() - settings.leaseMs * KEPT_LEASES
         val old = goneAt.filterValues { it < oldest }.keys.take(settings.maxOperationsPerTransaction / 2)
         if (old.isEmpty() || !mayDelete()) return
-        val dropped = state.transact(old.size, Urgency.SUMMARY) { Transaction(emptyList(), old.map { Delete(Keys.GONE + it) }) }
+        val dropped = state.transact(old.size, Urgency.SUMMARY) { Transaction(emptyList(), old.map { Delete(Keys.DELETED_MACHINE + it) }) }
         if (dropped is TransactionResult.Applied) goneAt.keys.removeAll(old.toSet())
     }
 
--- a/src/main/kotlin/micatally/fleet/Drains.kt
+++ b/src/main/kotlin/micatally/fleet/Drains.kt
@@ -4,7 +4,7 @@
 import kotlinx.coroutines.launch
 import kotlinx.serialization.json.buildJsonObject
 import kotlinx.serialization.json.put
-import micatally.ledger.Cluster
+import micatally.ledger.SharedKeyCache
 import micatally.ledger.Keys
 import micatally.settings.Operator
 import micatally.settings.Settings
@@ -28,7 +28,7 @@
     private val scope: CoroutineScope,
     private val settings: Settings,
     private val state: StateStoreClient,
-    private val cluster: Cluster,
+    private val sharedKeys: SharedKeyCache,
     private val machines: Machines,
     private val rentals: Rentals,
     private val deletions: Deletions,
@@ -48,7 +48,7 @@
             private set
 
         /** The one place where a drain changes its state. */
-        fun become(
+        fun transitionTo(
             next: DrainState,
             now: Long,
         ) {
@@ -68,7 +68,7 @@
     fun beginTerm() {
         since = nowMs()
         drains.clear()
-        for (item in cluster.under(Keys.DRAIN)) {
+        for (item in sharedKeys.under(Keys.DRAIN)) {
             drains[item.key.removePrefix(Keys.DRAIN)] =
                 Drain(since, DrainState.EMPTYING)
         }
@@ -98,7 +98,7 @@
         if (!isEmpty(m)) {
             m.busyAt = now
             if (drain == null || m.hasSpotNotice) return
-            drain.become(DrainState.EMPTYING, now)
+            drain.transitionTo(DrainState.EMPTYING, now)
             if (demands.any { isAllowedOn(it, m) }) {
                 keep(m, now, "there is demand for it")
             } else if (now - drain.since > machines.bootMs(m.type) * EMPTYING_BOOTS) {
@@ -107,9 +107,9 @@
             return
         }
         if (drain != null) {
-            drain.become(DrainState.EMPTY, now)
+            drain.transitionTo(DrainState.EMPTY, now)
             val isKnown =
-                now - drain.stateSince > settings.heartbeatIntervalMs + settings.leaseMs / 10 && cluster.has(Keys.DRAIN + m.name)
+                now - drain.stateSince > settings.heartbeatIntervalMs + settings.leaseMs / 10 && sharedKeys.has(Keys.DRAIN + m.name)
             if (isKnown) deletions.want(m.name)
             return
         }
@@ -198,7 +198,7 @@
     private fun reconcile(now: Long) {
         if (now - reconciledAt < settings.leaseMs / 4) return
         reconciledAt = now
-        val listed = cluster.under(Keys.DRAIN)
+        val listed = sharedKeys.under(Keys.DRAIN)
         val names = listed.mapTo(HashSet()) { it.key.removePrefix(Keys.DRAIN) }
         val surplus = listed.filter { it.key.removePrefix(Keys.DRAIN) !in drains }
         val missing = drains.keys.filter { it !in names }
--- a/src/main/kotlin/micatally/fleet/FleetManager.kt
+++ b/src/main/kotlin/micatally/fleet/FleetManager.kt
@@ -6,7 +6,7 @@
 import kotlinx.serialization.json.buildJsonObject
 import kotlinx.serialization.json.put
 import micatally.http.HttpCaller
-import micatally.ledger.Cluster
+import micatally.ledger.SharedKeyCache
 import micatally.ledger.Keys
 import micatally.ledger.Membership
 import micatally.settings.Operator
@@ -49,7 +49,7 @@
     private val nowMs: () -> Long,
 ) {
     private val log = LoggerFactory.getLogger("micatally.fleet")
-    private val cluster: Cluster = membership.cluster
+    private val sharedKeys: SharedKeyCache = membership.sharedKeys
     private var term = 0L
     private var termSince = 0L
 
@@ -59,15 +59,15 @@
 
     private val rentals = Rentals { machines.bootMs(it) }
     private val deletions =
-        Deletions(scope, settings, state, cloud, cluster, { isLeader && membership.leaseHolds() }, nowMs)
-    private val renting = Renting(scope, settings, state, cloud, cluster, machines, rentals, { isLeader }, nowMs)
+        Deletions(scope, settings, state, cloud, sharedKeys, { isLeader && membership.leaseHolds() }, nowMs)
+    private val renting = Renting(scope, settings, state, cloud, sharedKeys, machines, rentals, { isLeader }, nowMs)
     private val silence = SilentMachines(scope, http, settings, machines, rentals, fleetDemand::silentZones, nowMs)
     private val drains =
         Drains(
             scope,
             settings,
             state,
-            cluster,
+            sharedKeys,
             machines,
             rentals,
             deletions,
@@ -80,7 +80,7 @@
     /** The machine types have become known. */
     var onMachineTypes: () -> Unit = {}
 
-    val isLeader get() = term > 0 && cluster.modRevision(Keys.FLEET) == term
+    val isLeader get() = term > 0 && sharedKeys.modRevision(Keys.FLEET) == term
 
     /** Machines whose end an owner needs proven. */
     fun retire(names: List<String>) = deletions.want(names)
@@ -103,12 +103,12 @@
         while (true) {
             delay(settings.liveMs / TRIES_A_LIFE)
             val lease = membership.lease
-            if (lease == null || isLeader || cluster.revision < 0) continue
+            if (lease == null || isLeader || sharedKeys.revision < 0) continue
             // The answer that gave it the key was lost: nobody else can take it while this node lives.
-            val isOwn = cluster.value(Keys.FLEET)?.textOrNull("process") == membership.process
+            val isOwn = sharedKeys.value(Keys.FLEET)?.textOrNull("process") == membership.process
             if (isOwn) {
-                begin(cluster.modRevision(Keys.FLEET))
-            } else if (!cluster.has(Keys.FLEET)) {
+                begin(sharedKeys.modRevision(Keys.FLEET))
+            } else if (!sharedKeys.has(Keys.FLEET)) {
                 acquire(lease)
             }
         }
@@ -123,7 +123,7 @@
             }
         val result =
             state.transact(1, Urgency.SUMMARY) {
-                val conditions = listOf(Compare(Keys.FLEET, 0), Compare(live, cluster.modRevision(live)))
+                val conditions = listOf(Compare(Keys.FLEET, 0), Compare(live, sharedKeys.modRevision(live)))
                 Transaction(conditions, listOf(Put(Keys.FLEET, leader, lease)))
             }
         if (result !is TransactionResult.Applied) {
@@ -160,7 +160,7 @@
         line: ListedMachine,
         now: Long,
     ) {
-        if (cluster.has(Keys.GONE + line.name) || line.name in machines.deletedNames) return
+        if (sharedKeys.has(Keys.DELETED_MACHINE + line.name) || line.name in machines.deletedNames) return
         when (line.status) {
             ListedMachine.FAILED -> deletions.want(line.name)
             ListedMachine.STARTING -> rentals.listed(line, now)
--- a/src/main/kotlin/micatally/fleet/Renting.kt
+++ b/src/main/kotlin/micatally/fleet/Renting.kt
@@ -3,7 +3,7 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import micatally.ledger.Cluster
+import micatally.ledger.SharedKeyCache
 import micatally.ledger.Keys
 import micatally.settings.Settings
 import micatally.state.Compare
@@ -23,7 +23,7 @@
     private val settings: Settings,
     private val state: StateStoreClient,
     private val cloud: CloudClient,
-    private val cluster: Cluster,
+    private val sharedKeys: SharedKeyCache,
     private val machines: Machines,
     private val rentals: Rentals,
     private val isLeader: () -> Boolean,
@@ -45,7 +45,7 @@
         term = newTerm
         bookings = 0
         answered.clear()
-        for (item in cluster.under(Keys.RENT)) resume(Booking.parse(item.key.removePrefix(Keys.RENT), item.value))
+        for (item in sharedKeys.under(Keys.PROVISIONING)) resume(Booking.parse(item.key.removePrefix(Keys.PROVISIONING), item.value))
     }
 
     /**
@@ -88,7 +88,7 @@
         carryOut(booking) {
             val stored =
                 state.transact(1, Urgency.INTENT) {
-                    Transaction(listOf(Compare(Keys.FLEET, term)), listOf(Put(Keys.RENT + booking.name, booking.toJson())))
+                    Transaction(listOf(Compare(Keys.FLEET, term)), listOf(Put(Keys.PROVISIONING + booking.name, booking.toJson())))
                 }
             if (stored is TransactionResult.Applied) book(booking)
         }
@@ -159,15 +159,15 @@
     /** On condition that the note is there: it may have been dropped meanwhile, by the next fleet manager. */
     private suspend fun keepNote(booking: Booking) {
         answered[booking.name] = booking
-        val key = Keys.RENT + booking.name
+        val key = Keys.PROVISIONING + booking.name
         state.transact(1, Urgency.SUMMARY) {
-            val isNoted = cluster.has(key) && booking.name in answered
-            if (isNoted) Transaction(listOf(Compare(key, cluster.modRevision(key))), listOf(Put(key, booking.toJson()))) else null
+            val isNoted = sharedKeys.has(key) && booking.name in answered
+            if (isNoted) Transaction(listOf(Compare(key, sharedKeys.modRevision(key))), listOf(Put(key, booking.toJson()))) else null
         }
     }
 
     private suspend fun dropNote(name: String) {
-        state.transact(1, Urgency.SUMMARY) { Transaction(emptyList(), listOf(Delete(Keys.RENT + name))) }
+        state.transact(1, Urgency.SUMMARY) { Transaction(emptyList(), listOf(Delete(Keys.PROVISIONING + name))) }
     }
 
     /**
--- a/src/main/kotlin/micatally/fleet/SilentMachines.kt
+++ b/src/main/kotlin/micatally/fleet/SilentMachines.kt
@@ -129,7 +129,7 @@
         zones.flatMap { (name, zone) ->
             // Few machines tell little, but when the zone's controller is silent with them, that is a cut too.
             val isCut = zone.silent.size >= zone.heard && (zone.silent.size >= MANY || name in zonesOfSilentNodes)
-            val mostMs = settings.authorityMs + settings.leaseMs * 2
+            val mostMs = settings.leadershipMs + settings.leaseMs * 2
             zone.silent.filter { !isCut || now - maxOf(it.heardAt, since) > mostMs }.map { it.name }
         }
 
--- a/src/main/kotlin/micatally/gang/Gang.kt
+++ b/src/main/kotlin/micatally/gang/Gang.kt
@@ -28,14 +28,14 @@
     private val triedMachines = HashMap<Int, HashSet<String>>()
 
     /** The one place where the phase changes. */
-    private fun become(next: GangPhase) {
+    private fun transitionTo(next: GangPhase) {
         check(next in ALLOWED.getValue(phase)) { "a gang may not go from $phase to $next" }
         phase = next
     }
 
     /** A run is placed, or found on machines after a takeover. */
     fun beginRun(number: Long) {
-        become(GangPhase.WAITING)
+        transitionTo(GangPhase.WAITING)
         this.number = number
         waitingSinceMs = null
         triedMachines.clear()
@@ -46,16 +46,16 @@
     }
 
     fun taskRuns() {
-        if (phase == GangPhase.WAITING) become(GangPhase.RUNNING)
+        if (phase == GangPhase.WAITING) transitionTo(GangPhase.RUNNING)
     }
 
-    fun beginStop() = become(GangPhase.STOPPING)
+    fun beginStop() = transitionTo(GangPhase.STOPPING)
 
-    fun beginEnd() = become(GangPhase.ENDING)
+    fun beginEnd() = transitionTo(GangPhase.ENDING)
 
     /** No task of the run is on a machine any more. */
     fun allGone() {
-        if (phase != GangPhase.PLACING) become(GangPhase.PLACING)
+        if (phase != GangPhase.PLACING) transitionTo(GangPhase.PLACING)
     }
 
     fun tried(
--- a/src/main/kotlin/micatally/job/Attempt.kt
+++ b/src/main/kotlin/micatally/job/Attempt.kt
@@ -51,7 +51,7 @@
     var sentAt: Long? = null
 
     /** The one place where an attempt changes its state. */
-    fun become(
+    fun transitionTo(
         next: AttemptState,
         nowMs: Long,
     ) {
--- a/src/main/kotlin/micatally/job/Job.kt
+++ b/src/main/kotlin/micatally/job/Job.kt
@@ -70,7 +70,7 @@
     val waiters = ArrayList<Pair<Long, CompletableDeferred<Boolean>>>()
 
     /** The one place where a job changes its state. */
-    fun become(next: JobState) {
+    fun transitionTo(next: JobState) {
         if (next == state) return
         val ok =
             when (next) {
--- a/src/main/kotlin/micatally/job/JobStore.kt
+++ b/src/main/kotlin/micatally/job/JobStore.kt
@@ -86,7 +86,7 @@
     }
 
     fun drop(job: Job) {
-        job.become(JobState.DROPPED)
+        job.transitionTo(JobState.DROPPED)
         settle(job, false)
         if (job.shard.mine) onDropped(job)
     }
@@ -197,7 +197,7 @@
         ) {
             job.publishedAt = nowMs()
         }
-        if (job.state == JobState.NEW) job.become(JobState.OPEN)
+        if (job.state == JobState.NEW) job.transitionTo(JobState.OPEN)
         if (job.state != JobState.DROPPED) onDurable(job, snapshot.intended)
         settle(job, true)
     }
--- a/src/main/kotlin/micatally/job/Owner.kt
+++ b/src/main/kotlin/micatally/job/Owner.kt
@@ -107,7 +107,7 @@
     val settled get() = own() != null && shards.values.all { it.state == ShardState.ACTIVE }
 
     /** Jobs that were cancelled, until their tasks are gone. */
-    val withdrawals = Withdrawals(scope, settings, membership.cluster, store, nowMs)
+    val withdrawals = Withdrawals(scope, settings, membership.sharedKeys, store, nowMs)
 
     // Ledgers
 
@@ -115,7 +115,7 @@
         name: String,
         leader: ShardLeader,
     ) {
-        shards[name]?.let { if (it.mine) lose(it) }
+        shards[name]?.let { if (it.mine) loseShard(it) }
         val l = JobShard(name, leader, nowMs())
         shards[name] = l
         scope.launch { loader.load(l) }
@@ -125,11 +125,11 @@
     fun checkShards() {
         for (l in shards.values.toList()) {
             if (!l.mine) continue
-            val h = membership.cluster.leader(l.name)
-            if (h == null || h.modRevision != l.leader.modRevision) lose(l)
+            val h = membership.sharedKeys.leader(l.name)
+            if (h == null || h.modRevision != l.leader.modRevision) loseShard(l)
         }
-        for (name in membership.cluster.shards()) {
-            val h = membership.cluster.leader(name) ?: continue
+        for (name in membership.sharedKeys.shards()) {
+            val h = membership.sharedKeys.leader(name) ?: continue
             if (h.host == settings.host && h.process == membership.process &&
                 shards[name]?.mine != true
             ) {
@@ -138,10 +138,10 @@
         }
     }
 
-    fun lose(l: JobShard) {
+    fun loseShard(l: JobShard) {
         if (!l.mine) return
         log.info("ledger {} lost with {} jobs", l.name, l.jobs.size)
-        l.become(ShardState.LOST)
+        l.transitionTo(ShardState.LOST)
         for (j in l.jobs.values) {
             for (a in j.attempts.values) {
                 a.machine.detach(a, nowMs())
@@ -188,7 +188,7 @@
         val touched = LinkedHashSet<Machine>()
         for (a in written) {
             if (a.live && a.state == AttemptState.INTENDED) {
-                a.become(AttemptState.RECORDED, nowMs())
+                a.transitionTo(AttemptState.RECORDED, nowMs())
                 touched.add(a.machine)
             }
         }
@@ -241,7 +241,7 @@
         val job = attempt.job
         val now = nowMs()
         val ranMs = attempt.runningSince?.let { now - it } ?: 0L
-        attempt.become(AttemptState.GONE, now)
+        attempt.transitionTo(AttemptState.GONE, now)
         attempt.machine.detach(attempt, now)
         job.attempts.remove(attempt.taskIndex, attempt)
         // What a ledger used is forgotten with it; its next holder has counted anew.
@@ -298,7 +298,7 @@
         if (!job.markDone(task)) return false
         if (job.gang != null) for (other in 0 until job.taskCount) job.markDone(other)
         if (job.doneCount == job.taskCount && job.state == JobState.OPEN) {
-            job.become(JobState.DONE)
+            job.transitionTo(JobState.DONE)
             log.info("job {} done", job.ref)
         }
         return true
@@ -401,7 +401,7 @@
         state: AttemptState,
     ): Boolean {
         if (a.state < AttemptState.ORDERED || a.state >= state) return false
-        a.become(state, nowMs())
+        a.transitionTo(state, nowMs())
         gangs.taskSeen(a)
         return true
     }
@@ -456,7 +456,7 @@
 
     fun withdraw(job: Job) {
         if (job.state != JobState.OPEN && job.state != JobState.NEW) return
-        job.become(JobState.WITHDRAWN)
+        job.transitionTo(JobState.WITHDRAWN)
         log.info("job {} withdrawn with {} tasks", job.ref, job.attempts.size)
         withdrawals.begin(job)
         val now = nowMs()
@@ -489,7 +489,7 @@
             if (m.attempts.any {
                     it.stop != null || it.state == AttemptState.RECORDED ||
                         it.state == AttemptState.ORDERED ||
-                        m.confirmedToken < it.job.shard.leader.epoch
+                        m.confirmedToken < it.job.shard.leader.fencingToken
                 } ||
                 m.mustAsk ||
                 m.tasks.any { it.ended && mine(it.ref) }
--- a/src/main/kotlin/micatally/job/RecordWrite.kt
+++ b/src/main/kotlin/micatally/job/RecordWrite.kt
@@ -74,11 +74,11 @@
         changes += Put(Keys.job(job.ref), main.main)
         changes += overflowChanges(main, job.storedOverflow) { Keys.jobPart(job.ref, it) }
         if (kills != null) {
-            changes += Put(Keys.kill(job.ref), kills.main)
-            changes += overflowChanges(kills, job.storedKillOverflow) { Keys.killPart(job.ref, it) }
+            changes += Put(Keys.cancelledTasks(job.ref), kills.main)
+            changes += overflowChanges(kills, job.storedKillOverflow) { Keys.cancelledTasksPart(job.ref, it) }
         } else if (job.publishedAt != null) {
-            changes += Delete(Keys.kill(job.ref))
-            changes += (0 until job.storedKillOverflow).map { Delete(Keys.killPart(job.ref, it)) }
+            changes += Delete(Keys.cancelledTasks(job.ref))
+            changes += (0 until job.storedKillOverflow).map { Delete(Keys.cancelledTasksPart(job.ref, it)) }
         }
         return RecordWrite(changes, main.overflow.size, kills?.overflow?.size ?: 0, kills != null)
     }
--- a/src/main/kotlin/micatally/job/ShardLoader.kt
+++ b/src/main/kotlin/micatally/job/ShardLoader.kt
@@ -44,9 +44,9 @@
             l.isUnreadable = true
             return false
         }
-        l.become(ShardState.ACTIVE)
+        l.transitionTo(ShardState.ACTIVE)
         val tookMs = nowMs() - l.leaderSinceMs
-        log.info("ledger {} loaded at epoch {}: {} jobs in {} ms", l.name, l.leader.epoch, l.jobs.size, tookMs)
+        log.info("ledger {} loaded at epoch {}: {} jobs in {} ms", l.name, l.leader.fencingToken, l.jobs.size, tookMs)
         reconcileMachines()
         owner.wake()
         return true
--- a/src/main/kotlin/micatally/job/Withdrawals.kt
+++ b/src/main/kotlin/micatally/job/Withdrawals.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.launch
-import micatally.ledger.Cluster
+import micatally.ledger.SharedKeyCache
 import micatally.ledger.Keys
 import micatally.ledger.ShardState
 import micatally.settings.Settings
@@ -15,7 +15,7 @@
 class Withdrawals(
     private val scope: CoroutineScope,
     private val settings: Settings,
-    private val cluster: Cluster,
+    private val sharedKeys: SharedKeyCache,
     private val store: JobStore,
     private val nowMs: () -> Long,
 ) {
@@ -48,7 +48,7 @@
     /** After a takeover; false if the job's tasks have yet to be published. */
     fun adopted(job: Job): Boolean {
         pending.add(job)
-        val published = cluster.value(Keys.kill(job.ref)) ?: return false
+        val published = sharedKeys.value(Keys.cancelledTasks(job.ref)) ?: return false
         job.storedKillOverflow = RecordPacking.overflowCount(published)
         // Written together with the record; this node's copy of the shared keys is as new as its hold on the ledger.
         job.publishedAt = nowMs()
@@ -72,9 +72,9 @@
 
     /** The shared keys have changed: tasks that some owner has published. */
     fun published(key: String) {
-        val ref = key.removePrefix(Keys.KILL).substringBefore('/')
-        val main = cluster.value(Keys.kill(ref)) ?: return
-        val parts = (0 until RecordPacking.overflowCount(main)).map { cluster.value(Keys.killPart(ref, it)) ?: return }
+        val ref = key.removePrefix(Keys.CANCELLED_TASKS).substringBefore('/')
+        val main = sharedKeys.value(Keys.cancelledTasks(ref)) ?: return
+        val parts = (0 until RecordPacking.overflowCount(main)).map { sharedKeys.value(Keys.cancelledTasksPart(ref, it)) ?: return }
         val rows = KillListValue.rows(RecordPacking.unpack(main, parts))
         stopList.take(rows.map { WithdrawnTask(it[0].asText(), ref, it[1].asLong().toInt(), it[2].asLong()) })
     }
@@ -86,7 +86,7 @@
     fun follow(now: Long) {
         for (job in pending.toList()) if (isOverdue(job, now)) confirm(job)
         pending.removeIf { it.attempts.isEmpty() || it.state != JobState.WITHDRAWN }
-        stopList.prune { cluster.has(Keys.kill(it)) }
+        stopList.prune { sharedKeys.has(Keys.cancelledTasks(it)) }
     }
 
     private fun isOverdue(
--- a/src/main/kotlin/micatally/ledger/JobShard.kt
+++ b/src/main/kotlin/micatally/ledger/JobShard.kt
@@ -21,13 +21,13 @@
     var isUnreadable = false
 
     /** The one place where a ledger changes its state. */
-    fun become(next: ShardState) {
+    fun transitionTo(next: ShardState) {
         check(next.ordinal > state.ordinal) { "ledger $name may not go from $state to $next" }
         state = next
     }
 
     /** Names this hold on the ledger: the process, and the epoch at which it acquired it. A process may lose it and take it back. */
-    val term = "${leader.process}:${leader.epoch}"
+    val term = "${leader.process}:${leader.fencingToken}"
 
     val mine get() = state != ShardState.LOST
 }
--- a/src/main/kotlin/micatally/ledger/Membership.kt
+++ b/src/main/kotlin/micatally/ledger/Membership.kt
@@ -20,14 +20,14 @@
 import kotlin.random.Random
 
 /** Whether this node may answer workers' reports. */
-enum class Authority { STARTING, ENTITLED, LAPSED }
+enum class LeadershipState { STARTING, LEADING, EXPIRED }
 
 /** Life of this node as the state service sees it: its lease, the shared keys, the ledgers that it holds. */
 class Membership(
     private val scope: CoroutineScope,
     private val settings: Settings,
     private val state: StateStoreClient,
-    val cluster: Cluster,
+    val sharedKeys: SharedKeyCache,
     private val random: Random,
     private val nowMs: () -> Long,
     private val archives: Boolean = false,
@@ -51,26 +51,26 @@
     var peersConfirmedAt: () -> Long = { Long.MIN_VALUE / 2 }
 
     /** Whether another node can serve this one's ledgers better: then this one has no lease until they are taken, or it can again. */
-    var standsBack: () -> Boolean = { false }
+    var shouldStepDown: () -> Boolean = { false }
 
     /** The summaries of all nodes, and who is told which of them have changed. */
-    val summaries = Cluster()
+    val summaries = SharedKeyCache()
     var onSummaries: (Set<String>) -> Unit = {}
 
     /** Told which shared keys have changed. */
     var onChange: (Set<String>) -> Unit = {}
 
-    var authority = Authority.STARTING
+    var leadership = LeadershipState.STARTING
         private set
 
     /** The one place where the node's right changes. */
-    private fun become(
-        next: Authority,
+    private fun transitionTo(
+        next: LeadershipState,
         why: String,
     ) {
-        if (authority == next) return
-        log.info("right {} -> {}: {} epoch={}", authority, next, why, cluster.epoch)
-        authority = next
+        if (leadership == next) return
+        log.info("right {} -> {}: {} epoch={}", leadership, next, why, sharedKeys.fencingToken)
+        leadership = next
     }
 
     /** Up to when this node is known to have heard of every cancellation that its users may have been told. */
@@ -86,24 +86,24 @@
     val viewAgeMs get() = nowMs() - viewProvenAt
 
     /** Looks at the clock: a right lapses by time alone. */
-    fun checkAuthority(): Authority {
+    fun checkLeadership(): LeadershipState {
         when {
             !started -> {}
-            nowMs() - toldAt > settings.authorityMs ->
-                become(
-                    Authority.LAPSED,
-                    "no proof of state contact for ${settings.authorityMs} ms",
+            nowMs() - toldAt > settings.leadershipMs ->
+                transitionTo(
+                    LeadershipState.EXPIRED,
+                    "no proof of state contact for ${settings.leadershipMs} ms",
                 )
-            authority != Authority.ENTITLED -> become(Authority.ENTITLED, "state contact")
+            leadership != LeadershipState.LEADING -> transitionTo(LeadershipState.LEADING, "state contact")
         }
-        return authority
+        return leadership
     }
 
     /** True while no other node can have taken this node's ledgers: its lease at the state service cannot have ended. */
     fun leaseHolds(): Boolean = lease != null && nowMs() < leaseProvenAt + settings.liveMs * 97 / 100
 
     fun holds(shard: String): Boolean =
-        cluster.leader(shard)?.let { it.host == settings.host && it.process == process } == true
+        sharedKeys.leader(shard)?.let { it.host == settings.host && it.process == process } == true
 
     fun start() {
         scope.launch { leaseLoop() }
@@ -115,13 +115,13 @@
         while (true) {
             val sent = nowMs()
             val held = lease
-            if (standsBack()) {
-                if (held != null) standBack(held)
+            if (shouldStepDown()) {
+                if (held != null) stepDown(held)
                 delay(pause())
                 continue
             }
             if (held == null) {
-                if (cluster.revision < 0) {
+                if (sharedKeys.revision < 0) {
                     delay(settings.liveMs / 200)
                     continue
                 }
@@ -136,7 +136,7 @@
                 val r =
                     state.transact(1, Urgency.LEASE) {
                         Transaction(
-                            listOf(Compare(Keys.live(settings.host), cluster.modRevision(Keys.live(settings.host)))),
+                            listOf(Compare(Keys.live(settings.host), sharedKeys.modRevision(Keys.live(settings.host)))),
                             listOf(
                                 Put(
                                     Keys.live(settings.host),
@@ -178,7 +178,7 @@
 
     /** The lease is ended here first and then at the state service: nothing is answered from memory from now on. Writes that are
      * under way are conditional on the ledgers' marks, which their next holder changes. */
-    private suspend fun standBack(held: Long) {
+    private suspend fun stepDown(held: Long) {
         log.info("lease {} given up: others reach the workers and this node does not", held)
         lease = null
         state.revoke(held)
@@ -186,12 +186,12 @@
 
     private fun pause() = settings.liveMs / 32 + random.nextLong(settings.liveMs / 32)
 
-    private suspend fun viewLoop() = follow(Keys.PREFIX, cluster, settings.leaseMs / 10, Urgency.LEASE, ::seen)
+    private suspend fun viewLoop() = follow(Keys.PREFIX, sharedKeys, settings.leaseMs / 10, Urgency.LEASE, ::seen)
 
     /** Keeps a copy of the keys under a prefix; [changed] hears which have changed, and when the question left. */
     private suspend fun follow(
         prefix: String,
-        copy: Cluster,
+        copy: SharedKeyCache,
         holdMs: Long,
         urgency: Urgency,
         changed: (Set<String>, Long) -> Unit,
@@ -232,21 +232,21 @@
         provenAt: Long,
     ) {
         viewProvenAt = maxOf(viewProvenAt, provenAt)
-        if (lease != null && cluster.revision >= liveModRevision && cluster.modRevision(Keys.live(settings.host)) != liveModRevision) {
+        if (lease != null && sharedKeys.revision >= liveModRevision && sharedKeys.modRevision(Keys.live(settings.host)) != liveModRevision) {
             log.info("lease {}: the live key is not its own any more", lease)
             lease = null
         }
         if (changed.isNotEmpty()) onChange(changed)
-        checkAuthority()
+        checkLeadership()
     }
 
     /** Takes the node's own ledger at the start, and those of nodes whose lease has ended. */
     private suspend fun takeoverLoop() {
-        while (cluster.revision < 0 || lease == null) delay(settings.liveMs / 200)
+        while (sharedKeys.revision < 0 || lease == null) delay(settings.liveMs / 200)
         // The workers' leases do not wait for this node's own ledger. When all nodes start at once each raises the epoch,
         // so that most tries fail; they are repeated soon.
         started = true
-        checkAuthority()
+        checkLeadership()
         scope.launch {
             follow(
                 Keys.SUMMARIES,
@@ -273,8 +273,8 @@
             } else {
                 ownLostAt = null
             }
-            for (l in cluster.shards()) {
-                val h = cluster.leader(l) ?: continue
+            for (l in sharedKeys.shards()) {
+                val h = sharedKeys.leader(l) ?: continue
                 if (!isOrphan(l, h)) {
                     deadSince.remove(l)
                     continue
@@ -296,7 +296,7 @@
         shard: String,
         h: ShardLeader,
     ): Boolean {
-        val process = cluster.value(Keys.live(h.host))?.textOrNull("process") ?: return true
+        val process = sharedKeys.value(Keys.live(h.host))?.textOrNull("process") ?: return true
         return process != h.process && shard != h.host
     }
 
@@ -312,26 +312,26 @@
         why: String,
         former: ShardLeader? = null,
     ): Boolean {
-        var epoch = 0L
+        var fencingToken = 0L
         val r =
             state.transact(2, Urgency.LEASE) {
-                val shardModRevision = cluster.modRevision(Keys.shard(shard))
+                val shardModRevision = sharedKeys.modRevision(Keys.shard(shard))
                 if (former != null && (former.modRevision != shardModRevision || !isOrphan(shard, former))) return@transact null
-                epoch = cluster.epoch + 1
+                fencingToken = sharedKeys.fencingToken + 1
                 Transaction(
                     listOfNotNull(
-                        Compare(Keys.EPOCH, cluster.modRevision(Keys.EPOCH)),
+                        Compare(Keys.FENCING_TOKEN, sharedKeys.modRevision(Keys.FENCING_TOKEN)),
                         Compare(Keys.shard(shard), shardModRevision),
-                        former?.let { Compare(Keys.live(it.host), cluster.modRevision(Keys.live(it.host))) },
+                        former?.let { Compare(Keys.live(it.host), sharedKeys.modRevision(Keys.live(it.host))) },
                     ),
                     listOf(
-                        Put(Keys.EPOCH, buildJsonObject { put("n", epoch) }),
+                        Put(Keys.FENCING_TOKEN, buildJsonObject { put("n", fencingToken) }),
                         Put(
                             Keys.shard(shard),
                             buildJsonObject {
                                 put("host", settings.host)
                                 put("process", process)
-                                put("epoch", epoch)
+                                put("epoch", fencingToken)
                             },
                         ),
                     ),
@@ -343,24 +343,24 @@
             refresh()
             return holds(shard)
         }
-        log.info("ledger {} acquired at epoch {}: {}", shard, epoch, why)
-        if (cluster.revision < r.revision) refresh()
+        log.info("ledger {} acquired at epoch {}: {}", shard, fencingToken, why)
+        if (sharedKeys.revision < r.revision) refresh()
         return holds(shard)
     }
 
     /** Raises the epoch alone: what was sent with a lower token can no longer be carried out where the new one is known. */
-    suspend fun raiseEpoch(why: String): Boolean {
+    suspend fun raiseFencingToken(why: String): Boolean {
         val r =
             state.transact(1, Urgency.LEASE) {
                 Transaction(
-                    listOf(Compare(Keys.EPOCH, cluster.modRevision(Keys.EPOCH))),
+                    listOf(Compare(Keys.FENCING_TOKEN, sharedKeys.modRevision(Keys.FENCING_TOKEN))),
                     listOf(
                         Put(
-                            Keys.EPOCH,
+                            Keys.FENCING_TOKEN,
                             buildJsonObject {
                                 put(
                                     "n",
-                                    cluster.epoch + 1,
+                                    sharedKeys.fencingToken + 1,
                                 )
                             },
                         ),
@@ -382,9 +382,9 @@
         if (catchingUp) return
         catchingUp = true
         scope.launch {
-            val before = cluster.epoch
+            val before = sharedKeys.fencingToken
             refresh()
-            if (cluster.epoch == before) delay(pause())
+            if (sharedKeys.fencingToken == before) delay(pause())
             catchingUp = false
             val all = caughtUp.toList()
             caughtUp.clear()
@@ -395,6 +395,6 @@
     suspend fun refresh() {
         val sent = nowMs()
         val l = state.list(Keys.PREFIX, Urgency.LEASE) ?: return
-        seen(cluster.load(l), sent)
+        seen(sharedKeys.load(l), sent)
     }
 }
--- a/src/main/kotlin/micatally/ledger/Cluster.kt
+++ b/src/main/kotlin/micatally/ledger/SharedKeyCache.kt
@@ -10,7 +10,7 @@
 /** The keys that every node keeps a copy of. All that decides lies under one prefix, so one watch shows it at one revision. */
 object Keys {
     const val PREFIX = "c/"
-    const val EPOCH = "c/epoch"
+    const val FENCING_TOKEN = "c/epoch"
     const val FLEET = "c/fleet"
 
     /** The version of the stored forms that may be written, and the version that each host has come up with. */
@@ -23,11 +23,11 @@
     /** Summaries lie under a prefix of their own: they are by far the larger part, and a node that has only just started
      * can answer workers without them. */
     const val SUMMARIES = "s/"
-    const val ROOM = "s/room/"
-    const val GONE = "c/gone/"
-    const val HEARD = "s/heard/"
-    const val RENT = "c/rent/"
-    const val KILL = "c/kill/"
+    const val CAPACITY = "s/room/"
+    const val DELETED_MACHINE = "c/gone/"
+    const val HEARTBEATS = "s/heard/"
+    const val PROVISIONING = "c/rent/"
+    const val CANCELLED_TASKS = "c/kill/"
     const val DRAIN = "c/drain/"
     const val JOB = "job/"
 
@@ -63,16 +63,16 @@
         index: Int,
     ) = "$JOB_PART$ref/$index"
 
-    fun killPart(
+    fun cancelledTasksPart(
         ref: String,
         index: Int,
-    ) = "$KILL$ref/$index"
+    ) = "$CANCELLED_TASKS$ref/$index"
 
     fun shard(name: String) = SHARD + name
 
     fun live(host: String) = LIVE + host
 
-    fun kill(ref: String) = KILL + ref
+    fun cancelledTasks(ref: String) = CANCELLED_TASKS + ref
 
     fun team(name: String) = TEAM + name
 
@@ -82,17 +82,17 @@
 class ShardLeader(
     val host: String,
     val process: String,
-    val epoch: Long,
+    val fencingToken: Long,
     val modRevision: Long,
 )
 
 /** This node's copy of the shared keys, always as of one revision. */
-class Cluster {
+class SharedKeyCache {
     private val items = HashMap<String, KeyValue>()
     var revision = -1L
         private set
 
-    val epoch get() = items[Keys.EPOCH]?.value?.longOrNull("n") ?: 0L
+    val fencingToken get() = items[Keys.FENCING_TOKEN]?.value?.longOrNull("n") ?: 0L
 
     fun modRevision(key: String) = items[key]?.modRevision ?: 0L
 
--- a/src/main/kotlin/micatally/node/Controller.kt
+++ b/src/main/kotlin/micatally/node/Controller.kt
@@ -23,7 +23,7 @@
 import micatally.job.Owner
 import micatally.job.RecordForms
 import micatally.job.StopReason
-import micatally.ledger.Cluster
+import micatally.ledger.SharedKeyCache
 import micatally.ledger.Keys
 import micatally.ledger.ShardState
 import micatally.ledger.Membership
@@ -93,11 +93,11 @@
             settings.leaseMs / 2,
         )
     val membership =
-        Membership(scope, settings, state, Cluster(), random, nowMs, operator.archiveMode == ArchiveMode.ON)
+        Membership(scope, settings, state, SharedKeyCache(), random, nowMs, operator.archiveMode == ArchiveMode.ON)
     val machines = Machines(nowMs)
     private val wantedFormat =
         if (operator.storesTeams) FormatVersion.STORED_TEAMS else FormatVersion.PACKED_RECORDS
-    private val upgrade = Upgrade(scope, settings, state, membership.cluster, wantedFormat) { uniform() }
+    private val upgrade = Upgrade(scope, settings, state, membership.sharedKeys, wantedFormat) { uniform() }
     val configuration =
         ConfigurationService(scope, settings, state, membership, upgrade, http, nowMs, wallMs)
     private val forms = RecordForms(settings.stateLimits) { upgrade.isUniform }
@@ -109,7 +109,7 @@
     val owner = Owner(scope, settings, state, membership, machines, store, nowMs, wallMs)
     private val orders = Orders(scope, http, settings, membership, machines, owner, owner.withdrawals.stopList, nowMs)
     private val quota =
-        Quota(scope, state, membership.cluster, configuration.teams, {
+        Quota(scope, state, membership.sharedKeys, configuration.teams, {
             owner.shards.values.filter { it.mine }
         }, settings.controllers) { rounds.wake() }
     val rounds: Rounds =
@@ -183,18 +183,18 @@
     fun start() {
         owner.orders = orders
         configuration.start { former, next -> configurationApplied(former, next) }
-        membership.standsBack = { reach.mayStandBack() && peers.somePeerHasState() }
+        membership.shouldStepDown = { reach.mayStepDown() && peers.somePeerHasState() }
         membership.peersConfirmedAt = { peers.peersConfirmedAt() }
         owner.quota = quota
         owner.wake = { rounds.wake() }
-        rounds.stateAnswers = { state.waitingWrites == 0 && state.get(Keys.EPOCH, Urgency.SUMMARY) is ReadResult.Found }
+        rounds.stateAnswers = { state.waitingWrites == 0 && state.get(Keys.FENCING_TOKEN, Urgency.SUMMARY) is ReadResult.Found }
         rounds.foreign = { peers.demandOfPeers() }
         store.onDurable = { job, written -> owner.durable(job, written) }
         store.onDropped = { owner.forget(it) }
         store.onRecordFull = { job, attempts -> owner.giveUp(job, attempts) }
         owner.withdrawals.askPeers = { peers.spread(it) }
         store.onShardLost = { l ->
-            owner.lose(l)
+            owner.loseShard(l)
             scope.launch { membership.refresh() }
         }
         machines.onNewIncarnation = { owner.newIncarnation(it) }
@@ -245,16 +245,16 @@
         configuration.sharedChanged()
         owner.checkShards()
         for (k in keys) {
-            if (k.startsWith(Keys.GONE)) {
-                val name = k.removePrefix(Keys.GONE)
-                if (membership.cluster.has(k)) {
+            if (k.startsWith(Keys.DELETED_MACHINE)) {
+                val name = k.removePrefix(Keys.DELETED_MACHINE)
+                if (membership.sharedKeys.has(k)) {
                     machines.deletedNames.add(name)
                     machines.of(name)?.let { owner.deleted(it) }
                 }
             }
-            if (k.startsWith(Keys.KILL)) owner.withdrawals.published(k)
+            if (k.startsWith(Keys.CANCELLED_TASKS)) owner.withdrawals.published(k)
             if (k.startsWith(Keys.TEAM)) quota.teamChanged(k.removePrefix(Keys.TEAM))
-            if (k.startsWith(Keys.DRAIN)) machines.of(k.removePrefix(Keys.DRAIN))?.draining = membership.cluster.has(k)
+            if (k.startsWith(Keys.DRAIN)) machines.of(k.removePrefix(Keys.DRAIN))?.draining = membership.sharedKeys.has(k)
         }
         peers.sharedChanged()
         rounds.wake()
@@ -273,7 +273,7 @@
             delay(settings.heartbeatIntervalMs / 4)
             val now = nowMs()
             effort.of(Effort.Kind.HOUSE) {
-                membership.checkAuthority()
+                membership.checkLeadership()
                 reach.review()
                 owner.sweep()
                 for (job in owner.openJobs()) if (job.gang != null) owner.gangs.review(job, now)
@@ -301,7 +301,7 @@
             if (orders.wantsHigherToken && now - bumpedAt > settings.leaseMs / 2) {
                 orders.wantsHigherToken = false
                 bumpedAt = now
-                membership.raiseEpoch("a run without an answer must not come late")
+                membership.raiseFencingToken("a run without an answer must not come late")
             }
             if (++round % 20 == 0) {
                 quota.handBack()
@@ -334,7 +334,7 @@
         for (m in machines.byName.values) {
             if (m.deleted || m.attempts.isEmpty()) continue
             if (now - m.heardAt > settings.leaseMs * 2 && m.heardAt == 0L ||
-                now - m.heardAt > settings.leaseMs + settings.authorityMs + settings.leaseMs
+                now - m.heardAt > settings.leaseMs + settings.leadershipMs + settings.leaseMs
             ) {
                 fleetManager.retire(listOf(m.name))
                 peers.retire(m.name)
--- a/src/main/kotlin/micatally/peer/PeerSummaries.kt
+++ b/src/main/kotlin/micatally/peer/PeerSummaries.kt
@@ -68,11 +68,11 @@
         if (s.host == settings.host) return
         // A former process of that host may have left pieces behind.
         val current =
-            membership.cluster.value(Keys.live(s.host))?.textOrNull("process")
-                ?: membership.cluster
+            membership.sharedKeys.value(Keys.live(s.host))?.textOrNull("process")
+                ?: membership.sharedKeys
                     .shards()
                     .mapNotNull {
-                        membership.cluster.leader(
+                        membership.sharedKeys.leader(
                             it,
                         )
                     }.find { it.host == s.host }
@@ -138,7 +138,7 @@
      * ledgers over has to load them before it can say what it holds. */
     fun sharedChanged() {
         if (theirs.isEmpty()) return
-        val holders = membership.cluster.shards().mapNotNullTo(HashSet()) { membership.cluster.leader(it)?.host }
+        val holders = membership.sharedKeys.shards().mapNotNullTo(HashSet()) { membership.sharedKeys.leader(it)?.host }
         for (host in theirs.keys) {
             if (host in holders) {
                 orphanedAt.remove(host)
--- a/src/main/kotlin/micatally/peer/Peers.kt
+++ b/src/main/kotlin/micatally/peer/Peers.kt
@@ -69,7 +69,7 @@
 
         /** When the question left whose answer told all that the peer has withdrawn, and the epoch of that answer. */
         var peersConfirmedAt = Long.MIN_VALUE / 2
-        var peersConfirmedEpoch = 0L
+        var confirmedFencingToken = 0L
     }
 
     private val lines = settings.peers.map { Line(it) }
@@ -125,7 +125,7 @@
                 nowMs() - it.contactAt >= settings.leaseMs * 3 / 10
             }.mapTo(HashSet()) { it.peer.zone }
 
-    fun entitledPeer(): String? =
+    fun leadingPeer(): String? =
         lines
             .filter {
                 nowMs() - it.contactAt < settings.leaseMs / 5
@@ -137,9 +137,9 @@
      * listed its withdrawn tasks in an answer. Equal epochs show that no ledger has changed hands between the answers.
      * While the state service is out for all, this keeps the workers' leases alive as long as the controllers hear each other. */
     fun peersConfirmedAt(): Long {
-        val epoch = membership.cluster.epoch
+        val fencingToken = membership.sharedKeys.fencingToken
         if (lines.isEmpty() || !owner.settled ||
-            lines.any { it.peersConfirmedEpoch != epoch }
+            lines.any { it.confirmedFencingToken != fencingToken }
         ) {
             return Long.MIN_VALUE / 2
         }
@@ -223,7 +223,7 @@
             val answer = ProtoBuf.decodeFromByteArray<PeerDeltaResponse>(out.body)
             l.toldSummary = if (answer.needsWhole) 0 else sentNumber
             owner.withdrawals.stopList.take(answer.kills)
-            l.peersConfirmedEpoch = answer.epoch
+            l.confirmedFencingToken = answer.fencingToken
             l.peersConfirmedAt = at
             if (heard.isNotEmpty()) l.toldHeardAt = at
             pendingRetire.removeAll(retire.toSet())
@@ -258,15 +258,15 @@
         val most = maxOf(LEAST_KILLS, machines.byName.size)
         val all = owner.settled && kills.size <= most
         return ProtoBuf.encodeToByteArray(
-            PeerDeltaResponse(!joined, if (all) membership.cluster.epoch else 0, kills.take(most)),
+            PeerDeltaResponse(!joined, if (all) membership.sharedKeys.fencingToken else 0, kills.take(most)),
         )
     }
 
     /** Summaries and lists of heard machines that came through the state service. */
     fun summariesChanged(keys: Set<String>) {
         for (k in keys) {
-            val rooms = k.startsWith(Keys.ROOM) && !k.startsWith(Keys.ROOM + settings.host + "/")
-            val heard = k.startsWith(Keys.HEARD) && !k.startsWith(Keys.HEARD + settings.host + "/")
+            val rooms = k.startsWith(Keys.CAPACITY) && !k.startsWith(Keys.CAPACITY + settings.host + "/")
+            val heard = k.startsWith(Keys.HEARTBEATS) && !k.startsWith(Keys.HEARTBEATS + settings.host + "/")
             if (!rooms && !heard) continue
             val bytes =
                 membership.summaries
@@ -291,8 +291,8 @@
         return maxOf(1, (writes * share).toInt())
     }
 
-    private val roomPieces = SummaryPieces(state, settings.valueBytes, Keys.ROOM + settings.host)
-    private val heardPieces = SummaryPieces(state, settings.valueBytes, Keys.HEARD + settings.host)
+    private val roomPieces = SummaryPieces(state, settings.valueBytes, Keys.CAPACITY + settings.host)
+    private val heardPieces = SummaryPieces(state, settings.valueBytes, Keys.HEARTBEATS + settings.host)
 
     private suspend fun publishLoop() {
         var publishedNumber = 0L
--- a/src/main/kotlin/micatally/quota/AllotmentWriter.kt
+++ b/src/main/kotlin/micatally/quota/AllotmentWriter.kt
@@ -3,7 +3,7 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import micatally.ledger.Cluster
+import micatally.ledger.SharedKeyCache
 import micatally.ledger.Keys
 import micatally.ledger.JobShard
 import micatally.ledger.ShardState
@@ -27,7 +27,7 @@
 class AllotmentWriter(
     private val scope: CoroutineScope,
     private val state: StateStoreClient,
-    private val cluster: Cluster,
+    private val sharedKeys: SharedKeyCache,
     private val teams: TeamDirectory,
     private val rule: AllotmentRule,
     private val audit: AllotmentAudit,
@@ -116,7 +116,7 @@
             is TransactionResult.Applied -> {
                 tell(sent, result.revision)
                 // Until the copy shows it, any other change of this node would be refused.
-                awaitSeen(change) { cluster.revision >= result.revision }
+                awaitSeen(change) { sharedKeys.revision >= result.revision }
             }
             // After silence a lowering may yet be carried out; a raise that is carried out late is conditional on its mark.
             is TransactionResult.Unknown -> if (sent.decision.lowers) repeatUntilSeen(change, sent)
@@ -182,7 +182,7 @@
         while (!change.isSeen()) delay(SEEN_EVERY_MS)
     }
 
-    private fun hasOtherMark(sent: Pending) = cluster.modRevision(Keys.team(sent.view.team.name)) != sent.view.stored.modRevision
+    private fun hasOtherMark(sent: Pending) = sharedKeys.modRevision(Keys.team(sent.view.team.name)) != sent.view.stored.modRevision
 
     /** The same transaction again until there is an answer; then until the key is seen to have changed, also when the repeat
      * shows that it has, since this node's copy may still hold the former allotment. */
--- a/src/main/kotlin/micatally/quota/Quota.kt
+++ b/src/main/kotlin/micatally/quota/Quota.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.coroutines.CoroutineScope
 import micatally.job.Job
-import micatally.ledger.Cluster
+import micatally.ledger.SharedKeyCache
 import micatally.ledger.Keys
 import micatally.ledger.JobShard
 import micatally.ledger.ShardState
@@ -16,7 +16,7 @@
 class Quota(
     scope: CoroutineScope,
     state: StateStoreClient,
-    private val cluster: Cluster,
+    private val sharedKeys: SharedKeyCache,
     private val teams: TeamDirectory,
     private val held: () -> Collection<JobShard>,
     controllers: Int,
@@ -27,7 +27,7 @@
     private val use = ShardUsage()
     private val rule = AllotmentRule(SLACK / controllers)
     private val writer =
-        AllotmentWriter(scope, state, cluster, teams, rule, audit, { shard, team -> view(shard, team) }, changed)
+        AllotmentWriter(scope, state, sharedKeys, teams, rule, audit, { shard, team -> view(shard, team) }, changed)
 
     fun used(
         shard: String,
@@ -47,9 +47,9 @@
 
     /** Asked for each task that is placed, and changed far more rarely: so the key is read once for each change of it. */
     private fun allotments(team: String): TeamAllotments {
-        val modRevision = cluster.modRevision(Keys.team(team))
+        val modRevision = sharedKeys.modRevision(Keys.team(team))
         read[team]?.let { if (it.modRevision == modRevision) return it }
-        return TeamAllotments.decode(modRevision, cluster.value(Keys.team(team))).also { read[team] = it }
+        return TeamAllotments.decode(modRevision, sharedKeys.value(Keys.team(team))).also { read[team] = it }
     }
 
     private fun view(
--- a/src/main/kotlin/micatally/recovery/ArchivePlan.kt
+++ b/src/main/kotlin/micatally/recovery/ArchivePlan.kt
@@ -1,6 +1,6 @@
 package micatally.recovery
 
-import micatally.ledger.Cluster
+import micatally.ledger.SharedKeyCache
 import micatally.ledger.Keys
 import micatally.state.Compare
 import micatally.state.StateLimits
@@ -29,25 +29,25 @@
     const val LIVE_FIELD = "archive"
 
     fun isAnnounced(
-        cluster: Cluster,
+        sharedKeys: SharedKeyCache,
         host: String,
-    ): Boolean = cluster.has(Keys.archive(host))
+    ): Boolean = sharedKeys.has(Keys.archive(host))
 
     fun mayMove(
-        cluster: Cluster,
+        sharedKeys: SharedKeyCache,
         hosts: Collection<String>,
-    ): Boolean = hosts.all { isAnnounced(cluster, it) && (!cluster.isLive(it) || movesRecords(cluster, it)) }
+    ): Boolean = hosts.all { isAnnounced(sharedKeys, it) && (!sharedKeys.isLive(it) || movesRecords(sharedKeys, it)) }
 
     private fun movesRecords(
-        cluster: Cluster,
+        sharedKeys: SharedKeyCache,
         host: String,
-    ): Boolean = cluster.value(Keys.live(host))?.longOrNull(LIVE_FIELD) == 1L
+    ): Boolean = sharedKeys.value(Keys.live(host))?.longOrNull(LIVE_FIELD) == 1L
 
     /** A move takes place only while exactly these processes are live. */
     fun conditions(
-        cluster: Cluster,
+        sharedKeys: SharedKeyCache,
         hosts: Collection<String>,
-    ): List<Compare> = hosts.map { Compare(Keys.live(it), cluster.modRevision(Keys.live(it))) }
+    ): List<Compare> = hosts.map { Compare(Keys.live(it), sharedKeys.modRevision(Keys.live(it))) }
 
     /** Records that one transaction may move: two changes and two conditions each, beside [otherConditions]. */
     fun recordsAtOnce(
--- a/src/main/kotlin/micatally/recovery/RecordArchive.kt
+++ b/src/main/kotlin/micatally/recovery/RecordArchive.kt
@@ -45,7 +45,7 @@
     private val shards: LoadedShards,
 ) {
     private val log = LoggerFactory.getLogger("micatally.recovery")
-    private val cluster get() = membership.cluster
+    private val sharedKeys get() = membership.sharedKeys
     private val hosts = settings.peers.map { it.host } + settings.host
     private val recordsAtOnce = ArchivePlan.recordsAtOnce(settings.stateLimits, hosts.size + 1)
 
@@ -53,7 +53,7 @@
     private val refused = HashSet<String>()
 
     /** Whether a record may be in `final/`: only if this host, too, has announced that it looks there. */
-    val mayBeUsed get() = mode == ArchiveMode.ON || ArchivePlan.isAnnounced(cluster, settings.host)
+    val mayBeUsed get() = mode == ArchiveMode.ON || ArchivePlan.isAnnounced(sharedKeys, settings.host)
 
     fun start() {
         if (mode == ArchiveMode.OFF) return
@@ -71,7 +71,7 @@
 
     private suspend fun archive() {
         announce()
-        if (!ArchivePlan.mayMove(cluster, hosts)) return
+        if (!ArchivePlan.mayMove(sharedKeys, hosts)) return
         val moved = walk(Keys.JOB) { shard, some -> move(shard, some) } ?: return
         if (moved > 0) log.info("{} records of jobs that are over were archived", moved)
     }
@@ -87,11 +87,11 @@
 
     /** Only by a process that holds its own ledger: what a former one wrote, and comes late, then fails on the ledger. */
     private suspend fun announce() {
-        if (ArchivePlan.isAnnounced(cluster, settings.host)) return
+        if (ArchivePlan.isAnnounced(sharedKeys, settings.host)) return
         val key = Keys.archive(settings.host)
         val result =
             state.transact(1, Urgency.SUMMARY) {
-                val leader = cluster.leader(settings.host)
+                val leader = sharedKeys.leader(settings.host)
                 if (leader == null || !membership.holds(settings.host)) return@transact null
                 val conditions = listOf(Compare(key, 0), Compare(Keys.shard(settings.host), leader.modRevision))
                 Transaction(conditions, listOf(Put(key, buildJsonObject { put("n", 1) })))
@@ -181,10 +181,10 @@
     ): Int {
         val result =
             state.transact(items.size * 2, Urgency.SUMMARY) {
-                if (!shard.mine || !ArchivePlan.mayMove(cluster, hosts)) return@transact null
+                if (!shard.mine || !ArchivePlan.mayMove(sharedKeys, hosts)) return@transact null
                 val conditions =
                     items.flatMap { listOf(Compare(it.key, it.modRevision), Compare(finalKey(it), 0)) } +
-                        Compare(Keys.shard(shard.name), shard.leader.modRevision) + ArchivePlan.conditions(cluster, hosts)
+                        Compare(Keys.shard(shard.name), shard.leader.modRevision) + ArchivePlan.conditions(sharedKeys, hosts)
                 Transaction(conditions, items.flatMap { listOf(Delete(it.key), Put(finalKey(it), it.value)) })
             }
         return when (result) {
@@ -207,13 +207,13 @@
         if (final !is ReadResult.Found || final.item.value != item.value) return false
         val result =
             state.transact(1, Urgency.SUMMARY) {
-                if (!shard.mine || !ArchivePlan.mayMove(cluster, hosts)) return@transact null
+                if (!shard.mine || !ArchivePlan.mayMove(sharedKeys, hosts)) return@transact null
                 val conditions =
                     listOf(
                         Compare(item.key, item.modRevision),
                         Compare(finalKey(item), final.item.modRevision),
                         Compare(Keys.shard(shard.name), shard.leader.modRevision),
-                    ) + ArchivePlan.conditions(cluster, hosts)
+                    ) + ArchivePlan.conditions(sharedKeys, hosts)
                 Transaction(conditions, listOf(Delete(item.key)))
             }
         return result is TransactionResult.Applied
--- a/src/main/kotlin/micatally/settings/Settings.kt
+++ b/src/main/kotlin/micatally/settings/Settings.kt
@@ -75,7 +75,7 @@
     /** For how long a node may answer reports after its last proof of contact with the state service. What it has not heard of
      * by then is told [withdrawalDelayMs] later at the earliest; from there the worker's lease and a margin of a tenth of it fit in
      * the time that a cancellation has. */
-    val authorityMs get() = maxOf(leaseMs / 2, withdrawalDelayMs + cancelMs - leaseMs * 11 / 10)
+    val leadershipMs get() = maxOf(leaseMs / 2, withdrawalDelayMs + cancelMs - leaseMs * 11 / 10)
 
     /** A node's own lease at the state service. */
     val liveMs get() = leaseMs * 8 / 10
--- a/src/main/kotlin/micatally/upgrade/Upgrade.kt
+++ b/src/main/kotlin/micatally/upgrade/Upgrade.kt
@@ -5,7 +5,7 @@
 import kotlinx.coroutines.launch
 import kotlinx.serialization.json.buildJsonObject
 import kotlinx.serialization.json.put
-import micatally.ledger.Cluster
+import micatally.ledger.SharedKeyCache
 import micatally.ledger.Keys
 import micatally.settings.Settings
 import micatally.state.Compare
@@ -24,7 +24,7 @@
     private val scope: CoroutineScope,
     private val settings: Settings,
     private val state: StateStoreClient,
-    private val cluster: Cluster,
+    private val sharedKeys: SharedKeyCache,
     /** The format that this host is ready for. */
     private val wanted: Long,
     private val onUniform: () -> Unit,
@@ -39,33 +39,33 @@
     val isUniform get() = phase == UpgradePhase.UNIFORM
 
     /** Whether all controllers can read teams in the state service, so that they may be written. */
-    val mayStoreTeams get() = UpgradePlan.format(cluster) >= FormatVersion.STORED_TEAMS
+    val mayStoreTeams get() = UpgradePlan.format(sharedKeys) >= FormatVersion.STORED_TEAMS
 
     /** Whether this host has ever been ready for stored teams, so that others may have written them unseen. */
     val mayTeamsBeStored
         get() =
             wanted >= FormatVersion.STORED_TEAMS ||
-                UpgradePlan.announced(cluster, settings.host) >= FormatVersion.STORED_TEAMS
+                UpgradePlan.announced(sharedKeys, settings.host) >= FormatVersion.STORED_TEAMS
 
     private var writing = false
     private var lastStep: UpgradeStep? = null
     private var lastDowngraded: List<String> = emptyList()
 
     /** The one place where the phase changes. */
-    private fun become(next: UpgradePhase) {
+    private fun transitionTo(next: UpgradePhase) {
         if (next == phase) return
         check(next == UpgradePhase.UNIFORM) { "a raised format is never lowered" }
         phase = next
-        log.info("upgrade finished: all controllers write format {}", UpgradePlan.format(cluster))
+        log.info("upgrade finished: all controllers write format {}", UpgradePlan.format(sharedKeys))
         onUniform()
     }
 
     /** Looks at the shared keys after a change. */
     fun sharedChanged() {
-        if (cluster.revision < 0) return
-        if (UpgradePlan.phase(cluster) == UpgradePhase.UNIFORM) become(UpgradePhase.UNIFORM)
+        if (sharedKeys.revision < 0) return
+        if (UpgradePlan.phase(sharedKeys) == UpgradePhase.UNIFORM) transitionTo(UpgradePhase.UNIFORM)
         warnOfDowngrades()
-        val step = UpgradePlan.next(cluster, settings.host, hosts, wanted)
+        val step = UpgradePlan.next(sharedKeys, settings.host, hosts, wanted)
         if (step != lastStep) report(step)
         lastStep = step
         if (step == UpgradeStep.Announce || step == UpgradeStep.Raise) write()
@@ -83,7 +83,7 @@
     }
 
     private fun warnOfDowngrades() {
-        val downgraded = UpgradePlan.downgraded(cluster, hosts)
+        val downgraded = UpgradePlan.downgraded(sharedKeys, hosts)
         if (downgraded != lastDowngraded && downgraded.isNotEmpty()) {
             log.warn("upgrade: {} run an older version than they had announced", downgraded)
         }
@@ -109,16 +109,16 @@
      * need no condition: they are never taken back.
      */
     private fun transaction(): Transaction? {
-        val step = UpgradePlan.next(cluster, settings.host, hosts, wanted)
+        val step = UpgradePlan.next(sharedKeys, settings.host, hosts, wanted)
         val (key, version) =
             when (step) {
                 UpgradeStep.Announce -> Keys.version(settings.host) to wanted
-                UpgradeStep.Raise -> Keys.FORMAT to UpgradePlan.common(cluster, hosts)
+                UpgradeStep.Raise -> Keys.FORMAT to UpgradePlan.common(sharedKeys, hosts)
                 else -> return null
             }
         log.info("upgrade: writing {} = {}", key, version)
         val value = buildJsonObject { put(UpgradePlan.VERSION_FIELD, version) }
-        return Transaction(listOf(Compare(key, cluster.modRevision(key))), listOf(Put(key, value)))
+        return Transaction(listOf(Compare(key, sharedKeys.modRevision(key))), listOf(Put(key, value)))
     }
 
     private companion object {
--- a/src/main/kotlin/micatally/upgrade/UpgradePlan.kt
+++ b/src/main/kotlin/micatally/upgrade/UpgradePlan.kt
@@ -1,6 +1,6 @@
 package micatally.upgrade
 
-import micatally.ledger.Cluster
+import micatally.ledger.SharedKeyCache
 import micatally.ledger.Keys
 import micatally.wire.longOrNull
 
@@ -45,62 +45,62 @@
 /** Decides on the steps of an upgrade from the shared keys alone. */
 object UpgradePlan {
     fun announced(
-        cluster: Cluster,
+        sharedKeys: SharedKeyCache,
         host: String,
-    ): Long = version(cluster, Keys.version(host))
+    ): Long = version(sharedKeys, Keys.version(host))
 
-    fun phase(cluster: Cluster): UpgradePhase =
-        if (format(cluster) >= FormatVersion.PACKED_RECORDS) UpgradePhase.UNIFORM else UpgradePhase.MIXED
+    fun phase(sharedKeys: SharedKeyCache): UpgradePhase =
+        if (format(sharedKeys) >= FormatVersion.PACKED_RECORDS) UpgradePhase.UNIFORM else UpgradePhase.MIXED
 
     /** The newest format that may be written. */
-    fun format(cluster: Cluster): Long = version(cluster, Keys.FORMAT)
+    fun format(sharedKeys: SharedKeyCache): Long = version(sharedKeys, Keys.FORMAT)
 
     /** The newest format that all hosts have announced. */
     fun common(
-        cluster: Cluster,
+        sharedKeys: SharedKeyCache,
         hosts: Collection<String>,
-    ): Long = hosts.minOf { announced(cluster, it) }
+    ): Long = hosts.minOf { announced(sharedKeys, it) }
 
     /**
      * The next step of [self], which wants the format [wanted]. An announcement is written by a process of the current version once it is live itself, and stays. A host that has once
      * come up new does not return old, so a host that is merely away does not hold up the others.
      */
     fun next(
-        cluster: Cluster,
+        sharedKeys: SharedKeyCache,
         self: String,
         hosts: Collection<String>,
         wanted: Long = FormatVersion.PACKED_RECORDS,
     ): UpgradeStep {
-        if (announced(cluster, self) < wanted) {
+        if (announced(sharedKeys, self) < wanted) {
             // The live key may still be that of the former process.
-            val isLiveNew = running(cluster, self) >= wanted
+            val isLiveNew = running(sharedKeys, self) >= wanted
             return if (isLiveNew) UpgradeStep.Announce else UpgradeStep.WaitFor(listOf(self))
         }
-        if (common(cluster, hosts) > format(cluster)) return UpgradeStep.Raise
-        if (format(cluster) >= wanted) return UpgradeStep.Finished
-        return UpgradeStep.WaitFor(hosts.filter { announced(cluster, it) < wanted }.sorted())
+        if (common(sharedKeys, hosts) > format(sharedKeys)) return UpgradeStep.Raise
+        if (format(sharedKeys) >= wanted) return UpgradeStep.Finished
+        return UpgradeStep.WaitFor(hosts.filter { announced(sharedKeys, it) < wanted }.sorted())
     }
 
     /** Hosts that run an older version although they had announced the current one: an operator has gone back too late. */
     fun downgraded(
-        cluster: Cluster,
+        sharedKeys: SharedKeyCache,
         hosts: Collection<String>,
     ): List<String> =
         hosts
             .filter { host ->
-                cluster.has(Keys.live(host)) && running(cluster, host) < announced(cluster, host)
+                sharedKeys.has(Keys.live(host)) && running(sharedKeys, host) < announced(sharedKeys, host)
             }.sorted()
 
     /** The version of the process that the host's live key names. */
     private fun running(
-        cluster: Cluster,
+        sharedKeys: SharedKeyCache,
         host: String,
-    ): Long = cluster.value(Keys.live(host))?.longOrNull(FORMAT_FIELD) ?: FormatVersion.FIRST
+    ): Long = sharedKeys.value(Keys.live(host))?.longOrNull(FORMAT_FIELD) ?: FormatVersion.FIRST
 
     private fun version(
-        cluster: Cluster,
+        sharedKeys: SharedKeyCache,
         key: String,
-    ): Long = cluster.value(key)?.longOrNull(VERSION_FIELD) ?: FormatVersion.FIRST
+    ): Long = sharedKeys.value(key)?.longOrNull(VERSION_FIELD) ?: FormatVersion.FIRST
 
     /** Field of the announcements and of the format key. */
     const val VERSION_FIELD = "n"
--- a/src/main/kotlin/micatally/wire/PeerMessages.kt
+++ b/src/main/kotlin/micatally/wire/PeerMessages.kt
@@ -86,7 +86,7 @@
     /** The changes did not join on to what the receiver has: it needs the whole summary. */
     @ProtoNumber(1) val needsWhole: Boolean = false,
     /** The epoch that the answering node knows, if it knows all withdrawn tasks of its ledgers; 0 if it doesn't. */
-    @ProtoNumber(2) val epoch: Long = 0,
+    @ProtoNumber(2) val fencingToken: Long = 0,
     /** Tasks of withdrawn jobs that are not proven gone: whoever hears their machines hands the stop on. */
     @ProtoNumber(3) val kills: List<WithdrawnTask> = emptyList(),
 )
--- a/src/main/kotlin/micatally/worker/Orders.kt
+++ b/src/main/kotlin/micatally/worker/Orders.kt
@@ -83,7 +83,7 @@
 
     private fun build(m: Machine): Batch? {
         val now = nowMs()
-        val token = membership.cluster.epoch
+        val token = membership.sharedKeys.fencingToken
         val commands = ArrayList<Command>()
         var ask = m.mustAsk
         val covered = ArrayList<Attempt>()
@@ -95,7 +95,7 @@
             val entry = listed[id]
             // Another node holds the ledger by now, and this one has confirmed the cancellation to it.
             if (a.stop == null && kills.has(m.name, id)) a.stop(StopReason.WITHDRAWN, now)
-            val reconciled = m.confirmedToken >= a.job.shard.leader.epoch
+            val reconciled = m.confirmedToken >= a.job.shard.leader.fencingToken
             val stop = a.stop
             if (stop != null) {
                 if (a.state ==
@@ -263,7 +263,7 @@
             when (c.type) {
                 CommandType.RUN -> {
                     attempt.sentAt = now
-                    attempt.become(AttemptState.ORDERED, now)
+                    attempt.transitionTo(AttemptState.ORDERED, now)
                 }
                 CommandType.KILL -> killedAt[attempt] = now
                 CommandType.CLEAR -> {}
--- a/src/main/kotlin/micatally/worker/WorkerReach.kt
+++ b/src/main/kotlin/micatally/worker/WorkerReach.kt
@@ -38,19 +38,19 @@
     private var failedRounds = 0
     private var cutOffSince = 0L
     private var stoodBackUntil = Long.MIN_VALUE / 2
-    private var standsBack = false
+    private var shouldStepDown = false
 
     var state = ReachState.REACHING
         private set
 
     /** The one place where the state changes. */
-    private fun become(next: ReachState) {
+    private fun transitionTo(next: ReachState) {
         if (next == state) return
         if (next == ReachState.CUT_OFF) cutOffSince = nowMs()
         if (next == ReachState.REACHING) {
             failedRounds = 0
-            if (standsBack) stoodBackUntil = nowMs()
-            standsBack = false
+            if (shouldStepDown) stoodBackUntil = nowMs()
+            shouldStepDown = false
         }
         if (next == ReachState.CUT_OFF || state == ReachState.CUT_OFF) log.info("workers: {} -> {}", state, next)
         state = next
@@ -62,30 +62,30 @@
      * Whether the node is to leave its ledgers to others. Cuts of a few seconds move nothing, and after its return it keeps its work
      * for some leases whatever happens.
      */
-    fun mayStandBack(): Boolean {
+    fun mayStepDown(): Boolean {
         val now = nowMs()
         if (!isCutOff) return false
         if (now - cutOffSince > settings.leaseMs / 4 &&
             now - stoodBackUntil > settings.leaseMs * LEASES_BETWEEN
         ) {
-            standsBack = true
+            shouldStepDown = true
         }
-        return standsBack
+        return shouldStepDown
     }
 
     /** Looks at the clock, and asks workers where in doubt. */
     fun review() {
         val now = nowMs()
         if (now - machines.lastReachedAt < quietMs) {
-            become(ReachState.REACHING)
+            transitionTo(ReachState.REACHING)
             return
         }
         val heardByOthers = machines.byName.values.filter { isHeardByOthers(it, now) }
         if (heardByOthers.isEmpty()) {
-            become(ReachState.REACHING)
+            transitionTo(ReachState.REACHING)
             return
         }
-        if (state == ReachState.REACHING) become(ReachState.DOUBTFUL)
+        if (state == ReachState.REACHING) transitionTo(ReachState.DOUBTFUL)
         ask(heardByOthers)
     }
 
@@ -105,7 +105,7 @@
                 if (failedRounds >= ROUNDS_TO_CUT_OFF &&
                     nowMs() - machines.lastReachedAt >= quietMs
                 ) {
-                    become(ReachState.CUT_OFF)
+                    transitionTo(ReachState.CUT_OFF)
                 }
             } finally {
                 isAsking = false
