--- a/src/main/kotlin/micatally/api/UserApi.kt
+++ b/src/main/kotlin/micatally/api/UserApi.kt
@@ -10,7 +10,7 @@
 import micatally.job.JobRecord
 import micatally.job.JobState
 import micatally.job.JobStore
-import micatally.job.Owner
+import micatally.job.JobManager
 import micatally.job.UnreadableRecord
 import micatally.job.readable
 import micatally.ledger.LeadershipState
@@ -42,7 +42,7 @@
     private val teams: TeamDirectory,
     private val state: StateStoreClient,
     private val membership: Membership,
-    private val owner: Owner,
+    private val jobManager: JobManager,
     private val store: JobStore,
     private val machines: Machines,
     private val peers: Peers,
@@ -68,9 +68,9 @@
 
     fun health(): HttpResponse =
         when {
-            membership.checkLeadership() != LeadershipState.LEADING || owner.own() == null || machines.machineTypes.isEmpty() ->
+            membership.checkLeadership() != LeadershipState.LEADING || jobManager.own() == null || machines.machineTypes.isEmpty() ->
                 later("starting")
-            owner.own()?.let { owner.isLoadOverdue(it) } == true -> later("the ledger can't be loaded")
+            jobManager.own()?.let { jobManager.isLoadOverdue(it) } == true -> later("the ledger can't be loaded")
             // Others can take what this node has to turn away. In an outage for all every node stays: polls are still answered.
             !stateReachable && (peers.somePeerHasState() || !peers.anyHeard()) ->
                 later(
@@ -121,20 +121,20 @@
         ) {
             return knownOr(ref) { later("gangs are served once all controllers are upgraded") }
         }
-        val shard = owner.own()
+        val shard = jobManager.own()
         if (shard == null || !stateReachable ||
             !membership.leaseHolds()
         ) {
             return later("no contact with the state service")
         }
-        if (owner.isLoadOverdue(shard)) return knownOr(ref) { later("the ledger can't be loaded") }
-        if (reach.isCutOff && owner.job(ref) == null) return knownOr(ref) { later("no contact with the workers") }
+        if (jobManager.isLoadOverdue(shard)) return knownOr(ref) { later("the ledger can't be loaded") }
+        if (reach.isCutOff && jobManager.job(ref) == null) return knownOr(ref) { later("no contact with the workers") }
         if (state.waitingWrites > settings.stateWriteRps) return later("too many submissions at once")
-        owner.job(ref)?.let {
+        jobManager.job(ref)?.let {
             // Of a ledger that it has taken over this node can't tell whether it is still its own.
             return if (it.shard === shard) waitFor(it, 200) else knownOr(ref) { later("not stored yet") }
         }
-        val job = owner.create(spec, shard)
+        val job = jobManager.create(spec, shard)
         rounds.placeJob(job, nowMs())
         store.touch(job, true)
         return waitFor(job, 201)
@@ -146,7 +146,7 @@
     ): HttpResponse {
         val durable = withTimeoutOrNull(durableMs) { store.durable(job) } ?: return later("not stored yet")
         if (!durable) return knownOr(job.ref) { later("not stored") }
-        if (!owner.withdrawals.mayConfirm(job)) return later("a cancellation is under way")
+        if (!jobManager.cancellations.mayConfirm(job)) return later("a cancellation is under way")
         // Its end may have come and be on its way since.
         if (job.endUnderWay || !membership.leaseHolds()) return knownOr(job.ref) { later("not stored yet") }
         return if (status == 201 &&
@@ -199,12 +199,12 @@
     /** What this node may say from memory: final states, which never change, and its own jobs while nobody else can
      * have taken their ledger. */
     private fun local(ref: String): JobAnswer? {
-        owner.final(ref)?.let { return it }
-        val job = owner.job(ref) ?: return null
+        jobManager.final(ref)?.let { return it }
+        val job = jobManager.job(ref) ?: return null
         if (job.durableState == JobState.NEW || job.endUnderWay || !membership.leaseHolds()) return null
         // This node's lease keeps others from its own ledger only: a ledger that it took over goes back to its host the
         // moment that host starts again, so of its jobs only the state service can tell.
-        if (job.shard.name != settings.host || !owner.withdrawals.mayConfirm(job)) return null
+        if (job.shard.name != settings.host || !jobManager.cancellations.mayConfirm(job)) return null
         return job.answer()
     }
 
@@ -245,7 +245,7 @@
     ): Look {
         shardOf.put(ref, JobRecord.shardOf(record))
         // Withdrawn, but not all controllers know of it yet: only its owner can tell when they do.
-        if (!JobRecord.isWithdrawalConfirmable(record)) return Look.Unclear
+        if (!JobRecord.isCancellationConfirmable(record)) return Look.Unclear
         return Look.Known(fromRecord(ref, record))
     }
 
@@ -257,7 +257,7 @@
         val status =
             when (JobRecord.state(o)) {
                 JobState.DONE -> JobAnswer.DONE
-                JobState.WITHDRAWN -> JobAnswer.WITHDRAWN
+                JobState.CANCELLED -> JobAnswer.CANCELLED
                 else -> if (tasks > 0) JobAnswer.RUNNING else JobAnswer.PENDING
             }
         return JobAnswer(
@@ -271,7 +271,7 @@
             } else {
                 0
             },
-        ).also { owner.rememberFinal(it) }
+        ).also { jobManager.rememberFinal(it) }
     }
 
     private suspend fun askHolder(
@@ -282,14 +282,14 @@
         val host = membership.sharedKeys.leader(shard)?.host ?: return null
         if (host == settings.host || !membership.sharedKeys.isLive(host) || !peers.reaches(host)) return null
         val a = peers.ask(host, what, ref, askMs) ?: return null
-        return JobAnswer(ref, a.status, a.done, a.running).also { owner.rememberFinal(it) }
+        return JobAnswer(ref, a.status, a.done, a.running).also { jobManager.rememberFinal(it) }
     }
 
     suspend fun cancel(ref: String): HttpResponse {
         if (!JobSpec.validRef(ref)) return errorResponse(404, "no such job")
-        owner.final(ref)?.let { return brief(it) }
+        jobManager.final(ref)?.let { return brief(it) }
         withdrawHere(ref)?.let { return brief(it) }
-        if (owner.job(ref) != null) return later("the cancellation is not known everywhere yet")
+        if (jobManager.job(ref) != null) return later("the cancellation is not known everywhere yet")
         val cached = shardOf.getIfPresent(ref)
         if (cached == null) {
             when (val r = look(ref)) {
@@ -297,7 +297,7 @@
                 Look.Unclear -> return later("the job can't be looked up now")
                 is Look.Known ->
                     if (r.answer.status == JobAnswer.DONE ||
-                        r.answer.status == JobAnswer.WITHDRAWN
+                        r.answer.status == JobAnswer.CANCELLED
                     ) {
                         return brief(r.answer)
                     }
@@ -312,14 +312,14 @@
 
     /** Withdraws a job of this node's; null if it isn't, or if the state service has not taken it in time. */
     private suspend fun withdrawHere(ref: String): JobAnswer? {
-        val job = owner.job(ref) ?: return null
+        val job = jobManager.job(ref) ?: return null
         if (!membership.leaseHolds() && !stateReachable) return null
-        owner.withdraw(job)
+        jobManager.cancel(job)
         val ok = withTimeoutOrNull(durableMs) { store.durable(job) } ?: false
-        if (!ok || job.durableState != JobState.WITHDRAWN && job.durableState != JobState.DONE) return null
-        if (!owner.withdrawals.mayConfirm(job)) {
+        if (!ok || job.durableState != JobState.CANCELLED && job.durableState != JobState.DONE) return null
+        if (!jobManager.cancellations.mayConfirm(job)) {
             peers.spread(job)
-            if (!owner.withdrawals.mayConfirm(job)) return null
+            if (!jobManager.cancellations.mayConfirm(job)) return null
         }
         return job.answer()
     }
@@ -330,6 +330,6 @@
         local(ref)?.let { PeerJobResponse(true, it.status, it.done, it.running) } ?: PeerJobResponse()
 
     suspend fun peerCancel(ref: String): PeerJobResponse =
-        (owner.final(ref) ?: withdrawHere(ref))?.let { PeerJobResponse(true, it.status, it.done, it.running) }
+        (jobManager.final(ref) ?: withdrawHere(ref))?.let { PeerJobResponse(true, it.status, it.done, it.running) }
             ?: PeerJobResponse()
 }
--- a/src/main/kotlin/micatally/api/WorkerApi.kt
+++ b/src/main/kotlin/micatally/api/WorkerApi.kt
@@ -18,7 +18,7 @@
 import micatally.wire.heartbeatResponse
 import micatally.worker.AttemptId
 import micatally.worker.Machines
-import micatally.worker.WithdrawnTasks
+import micatally.worker.CancelledTasks
 
 /** Workers' reports. A 200 keeps a worker's tasks alive, so it is given only while this node is entitled to. */
 class WorkerApi(
@@ -26,7 +26,7 @@
     private val membership: Membership,
     private val machines: Machines,
     private val peers: Peers,
-    private val kills: WithdrawnTasks,
+    private val cancelledTasks: CancelledTasks,
     private val nowMs: () -> Long,
 ) {
     private val redirects = WorkerRedirects(settings, machines, nowMs) { peers.bestFor(it) }
@@ -87,7 +87,7 @@
     private fun killsFor(r: Heartbeat): List<Command> =
         r.tasks
             .filter {
-                !it.ended && kills.has(r.machine, AttemptId(it.ref, it.taskIndex, it.attempt))
+                !it.ended && cancelledTasks.has(r.machine, AttemptId(it.ref, it.taskIndex, it.attempt))
             }.map { Command(CommandType.KILL, it.ref, it.taskIndex, it.attempt, 0.0) }
 
     private fun refuse(): HttpResponse {
--- a/src/main/kotlin/micatally/gang/Gang.kt
+++ b/src/main/kotlin/micatally/gang/Gang.kt
@@ -54,7 +54,7 @@
     fun beginEnd() = transitionTo(GangPhase.ENDING)
 
     /** No task of the run is on a machine any more. */
-    fun allGone() {
+    fun allTerminated() {
         if (phase != GangPhase.PLACING) transitionTo(GangPhase.PLACING)
     }
 
--- a/src/main/kotlin/micatally/gang/GangPolicy.kt
+++ b/src/main/kotlin/micatally/gang/GangPolicy.kt
@@ -1,7 +1,7 @@
 package micatally.gang
 
 import micatally.job.Attempt
-import micatally.job.AttemptEnd
+import micatally.job.AttemptTermination
 import micatally.job.AttemptState
 import micatally.job.Job
 import micatally.wire.ExitReason
@@ -32,7 +32,7 @@
      */
     fun endsRun(
         phase: GangPhase,
-        end: AttemptEnd,
+        end: AttemptTermination,
     ): Boolean =
         when (phase) {
             GangPhase.RUNNING -> true
--- a/src/main/kotlin/micatally/gang/GangSupervisor.kt
+++ b/src/main/kotlin/micatally/gang/GangSupervisor.kt
@@ -1,9 +1,9 @@
 package micatally.gang
 
 import micatally.job.Attempt
-import micatally.job.AttemptEnd
+import micatally.job.AttemptTermination
 import micatally.job.AttemptState
-import micatally.job.GoneProof
+import micatally.job.TerminationEvidence
 import micatally.job.Job
 import micatally.job.JobState
 import micatally.job.StopReason
@@ -11,11 +11,11 @@
 import org.slf4j.LoggerFactory
 
 /** What the supervisor needs of the owner of the jobs. */
-interface GangOwner {
+interface GangTaskControl {
     /** Ends an attempt of which nothing was sent. */
-    fun gone(
+    fun terminate(
         attempt: Attempt,
-        end: AttemptEnd,
+        end: AttemptTermination,
     )
 
     fun poke(machine: Machine)
@@ -23,7 +23,7 @@
 
 /** Carries out what [GangPolicy] decides for the gangs of this node. Attempts end as everywhere, through their owner. */
 class GangSupervisor(
-    private val owner: GangOwner,
+    private val jobManager: GangTaskControl,
     private val timing: GangTiming,
     private val nowMs: () -> Long,
 ) {
@@ -49,16 +49,16 @@
     }
 
     /** An attempt of the job has just ended. */
-    fun taskGone(
+    fun taskTerminated(
         attempt: Attempt,
-        end: AttemptEnd,
+        end: AttemptTermination,
     ) {
         val job = attempt.job
         val gang = job.gang ?: return
         if (job.wantsTasks && GangPolicy.endsRun(gang.phase, end)) {
             endRun(job, gang, "task ${attempt.taskIndex} is gone: ${end.reason?.word ?: end.detail}")
         }
-        if (job.attempts.isEmpty()) gang.allGone()
+        if (job.attempts.isEmpty()) gang.allTerminated()
     }
 
     /** Looks at what time alone changes. */
@@ -108,7 +108,7 @@
         gang.beginEnd()
         log.info("gang {}#{} ends: {}", job.ref, gang.number, why)
         stopAll(job, StopReason.GANG_ENDED)
-        if (job.attempts.isEmpty()) gang.allGone()
+        if (job.attempts.isEmpty()) gang.allTerminated()
     }
 
     /** Stops every task of the present run; those of which nothing was sent end at once. */
@@ -120,12 +120,12 @@
         val machines = LinkedHashSet<Machine>()
         for (attempt in job.attempts.values.toList()) {
             if (attempt.state == AttemptState.INTENDED) {
-                owner.gone(attempt, AttemptEnd(GoneProof.NEVER_SENT, "the gang's run has ended"))
+                jobManager.terminate(attempt, AttemptTermination(TerminationEvidence.NEVER_SENT, "the gang's run has ended"))
                 continue
             }
             attempt.stop(reason, now)
             machines.add(attempt.machine)
         }
-        for (machine in machines) owner.poke(machine)
+        for (machine in machines) jobManager.poke(machine)
     }
 }
--- a/src/main/kotlin/micatally/job/Attempt.kt
+++ b/src/main/kotlin/micatally/job/Attempt.kt
@@ -10,18 +10,18 @@
  * ORDERED: a run may have left. From here on only a proof ends the attempt.
  * PULLING, WAITING, RUNNING, SAVING: as the worker said last; a gang's task waits for the others.
  * GONE: proven not to be on its machine and not to come there any more. */
-enum class AttemptState { INTENDED, RECORDED, ORDERED, PULLING, WAITING, RUNNING, SAVING, GONE }
+enum class AttemptState { INTENDED, RECORDED, ORDERED, PULLING, WAITING, RUNNING, SAVING, TERMINATED }
 
 /** The proofs that an attempt is gone. Nothing else counts; above all no report that merely lacks it. */
-enum class GoneProof { NEVER_SENT, OWN_ANSWER, NEWER_INCARNATION, MACHINE_DELETED, COMPLETED }
+enum class TerminationEvidence { NEVER_SENT, DIRECT_RESPONSE, NEWER_INCARNATION, MACHINE_DELETED, COMPLETED }
 
 /**
  * How an attempt ended.
  *
  * @property reason what the worker said, if it said anything
  */
-class AttemptEnd(
-    val proof: GoneProof,
+class AttemptTermination(
+    val proof: TerminationEvidence,
     val detail: String,
     val reason: ExitReason? = null,
     val isSaved: Boolean = false,
@@ -30,7 +30,7 @@
 }
 
 /** Why an attempt is to be stopped; an earlier reason replaces a later one. */
-enum class StopReason { WITHDRAWN, DRAIN, PREEMPTED, GANG_ENDED, STRAY }
+enum class StopReason { CANCELLED, DRAIN, PREEMPTED, GANG_ENDED, STRAY }
 
 class Attempt(
     val job: Job,
@@ -71,8 +71,8 @@
         return true
     }
 
-    val maySend get() = state >= AttemptState.RECORDED && state != AttemptState.GONE
-    val live get() = state != AttemptState.GONE
+    val maySend get() = state >= AttemptState.RECORDED && state != AttemptState.TERMINATED
+    val live get() = state != AttemptState.TERMINATED
 
     override fun toString() = "${job.ref}/$taskIndex#$number@${machine.name}"
 }
--- a/src/main/kotlin/micatally/job/Withdrawals.kt
+++ b/src/main/kotlin/micatally/job/Cancellations.kt
@@ -6,13 +6,13 @@
 import micatally.ledger.Keys
 import micatally.ledger.ShardState
 import micatally.settings.Settings
-import micatally.wire.WithdrawnTask
+import micatally.wire.CancelledTask
 import micatally.wire.asLong
 import micatally.wire.asText
-import micatally.worker.WithdrawnTasks
+import micatally.worker.CancelledTasks
 
 /** Cancelled jobs of this node's ledgers, and when their users may hear that they are cancelled. */
-class Withdrawals(
+class Cancellations(
     private val scope: CoroutineScope,
     private val settings: Settings,
     private val sharedKeys: SharedKeyCache,
@@ -20,7 +20,7 @@
     private val nowMs: () -> Long,
 ) {
     /** Tasks of cancelled jobs of all owners, as far as this node has heard of them. */
-    val stopList = WithdrawnTasks(settings.cancelMs * CANCELS_KEPT, nowMs)
+    val cancelledTasks = CancelledTasks(settings.cancelMs * CANCELS_KEPT, nowMs)
 
     /** Asks the other controllers to confirm the tasks of a job. */
     var askPeers: suspend (Job) -> Unit = {}
@@ -30,26 +30,26 @@
     val unfinished: Collection<Job> get() = pending
 
     /** Tasks that may still be on their machines. */
-    fun unfinishedTasks(): List<WithdrawnTask> =
+    fun unfinishedTasks(): List<CancelledTask> =
         pending
             .filter {
-                it.durableState == JobState.WITHDRAWN
+                it.durableState == JobState.CANCELLED
             }.flatMap { tasksOf(it) }
 
-    fun tasksOf(job: Job): List<WithdrawnTask> =
-        job.attempts.values.map { WithdrawnTask(it.machine.name, job.ref, it.taskIndex, it.number) }
+    fun tasksOf(job: Job): List<CancelledTask> =
+        job.attempts.values.map { CancelledTask(it.machine.name, job.ref, it.taskIndex, it.number) }
 
     fun begin(job: Job) {
         pending.add(job)
         // Its machines may report here and still not be reached by an order.
-        stopList.take(tasksOf(job))
+        cancelledTasks.take(tasksOf(job))
     }
 
     /** After a takeover; false if the job's tasks have yet to be published. */
     fun adopted(job: Job): Boolean {
         pending.add(job)
         val published = sharedKeys.value(Keys.cancelledTasks(job.ref)) ?: return false
-        job.storedKillOverflow = RecordPacking.overflowCount(published)
+        job.storedCancelledTasksOverflow = RecordPacking.overflowCount(published)
         // Written together with the record; this node's copy of the shared keys is as new as its hold on the ledger.
         job.publishedAt = nowMs()
         return true
@@ -57,17 +57,17 @@
 
     /**
      * Every controller that may answer workers either knows the job's tasks, and stops them where it hears them, or has lost
-     * touch: then its authority ends early enough after [Settings.withdrawalDelayMs] have passed since they lie in the state
+     * touch: then its authority ends early enough after [Settings.cancellationDelayMs] have passed since they lie in the state
      * service. Telling the user before that would leave a zone that is cut off only until its workers' leases end. A
      * confirmation counts only after the tasks lie there: the process that gave it may end, and the next one reads them at
      * its start.
      */
     fun mayConfirm(job: Job): Boolean {
-        if (job.durableState != JobState.WITHDRAWN || job.attempts.isEmpty() || job.withdrawalConfirmable) return true
+        if (job.durableState != JobState.CANCELLED || job.attempts.isEmpty() || job.cancellationConfirmable) return true
         val published = job.publishedAt ?: return false
         val isConfirmedByAll = job.confirmedBy.size >= settings.peers.size
-        job.withdrawalConfirmable = isConfirmedByAll || nowMs() - published >= settings.withdrawalDelayMs
-        return job.withdrawalConfirmable
+        job.cancellationConfirmable = isConfirmedByAll || nowMs() - published >= settings.cancellationDelayMs
+        return job.cancellationConfirmable
     }
 
     /** The shared keys have changed: tasks that some owner has published. */
@@ -75,8 +75,8 @@
         val ref = key.removePrefix(Keys.CANCELLED_TASKS).substringBefore('/')
         val main = sharedKeys.value(Keys.cancelledTasks(ref)) ?: return
         val parts = (0 until RecordPacking.overflowCount(main)).map { sharedKeys.value(Keys.cancelledTasksPart(ref, it)) ?: return }
-        val rows = KillListValue.rows(RecordPacking.unpack(main, parts))
-        stopList.take(rows.map { WithdrawnTask(it[0].asText(), ref, it[1].asLong().toInt(), it[2].asLong()) })
+        val rows = CancelledTasksValue.rows(RecordPacking.unpack(main, parts))
+        cancelledTasks.take(rows.map { CancelledTask(it[0].asText(), ref, it[1].asLong().toInt(), it[2].asLong()) })
     }
 
     /**
@@ -85,18 +85,18 @@
      */
     fun follow(now: Long) {
         for (job in pending.toList()) if (isOverdue(job, now)) confirm(job)
-        pending.removeIf { it.attempts.isEmpty() || it.state != JobState.WITHDRAWN }
-        stopList.prune { sharedKeys.has(Keys.cancelledTasks(it)) }
+        pending.removeIf { it.attempts.isEmpty() || it.state != JobState.CANCELLED }
+        cancelledTasks.prune { sharedKeys.has(Keys.cancelledTasks(it)) }
     }
 
     private fun isOverdue(
         job: Job,
         now: Long,
     ): Boolean {
-        val isOwn = job.shard.state == ShardState.ACTIVE && job.durableState == JobState.WITHDRAWN
+        val isOwn = job.shard.state == ShardState.ACTIVE && job.durableState == JobState.CANCELLED
         val since = now - settings.leaseMs / OVERDUE_SHARE
         return isOwn && !job.confirmableRecorded &&
-            job.attempts.values.any { it.stop == StopReason.WITHDRAWN && it.stopSinceMs < since }
+            job.attempts.values.any { it.stop == StopReason.CANCELLED && it.stopSinceMs < since }
     }
 
     private fun confirm(job: Job) {
--- a/src/main/kotlin/micatally/job/FaultJudgement.kt
+++ b/src/main/kotlin/micatally/job/FaultJudgement.kt
@@ -91,7 +91,7 @@
         )
         for (name in job.health.machines) {
             val machine = machines.of(name) ?: continue
-            if (machine.health.withdraw(
+            if (machine.health.cancel(
                     job.ref,
                 )
             ) {
--- a/src/main/kotlin/micatally/job/Job.kt
+++ b/src/main/kotlin/micatally/job/Job.kt
@@ -8,8 +8,8 @@
 import java.util.BitSet
 import java.util.TreeMap
 
-/** NEW: not yet durable. OPEN: accepted. DONE and WITHDRAWN are final. DROPPED: this node does not own it any more. */
-enum class JobState { NEW, OPEN, DONE, WITHDRAWN, DROPPED }
+/** NEW: not yet durable. OPEN: accepted. DONE and CANCELLED are final. DROPPED: this node does not own it any more. */
+enum class JobState { NEW, OPEN, DONE, CANCELLED, DROPPED }
 
 class Job(
     val ref: String,
@@ -47,7 +47,7 @@
     var publishedAt: Long? = null
     val confirmedBy = HashSet<String>()
     var spreading = false
-    var withdrawalConfirmable = false
+    var cancellationConfirmable = false
     var confirmableRecorded = false
 
     // What the store keeps about writing the record.
@@ -55,7 +55,7 @@
 
     /** Further values that the stored record and its kill list take. */
     var storedOverflow = 0
-    var storedKillOverflow = 0
+    var storedCancelledTasksOverflow = 0
 
     /** How many attempts the record is known to have room for. */
     var attemptLimit = Int.MAX_VALUE
@@ -76,7 +76,7 @@
             when (next) {
                 JobState.OPEN -> state == JobState.NEW
                 JobState.DONE -> state == JobState.OPEN && doneCount == taskCount
-                JobState.WITHDRAWN -> state == JobState.OPEN || state == JobState.NEW
+                JobState.CANCELLED -> state == JobState.OPEN || state == JobState.NEW
                 JobState.DROPPED -> true
                 JobState.NEW -> false
             }
@@ -94,7 +94,7 @@
 
     /** The end of the job is on its way to the state service. Another node may read it there, and tell, before this one
      * hears that it is durable: what this node knows is not enough for an answer then. */
-    val endUnderWay get() = (state == JobState.DONE || state == JobState.WITHDRAWN) && durableState != state
+    val endUnderWay get() = (state == JobState.DONE || state == JobState.CANCELLED) && durableState != state
 
     val wantsTasks get() = state == JobState.OPEN || state == JobState.NEW
 
@@ -116,7 +116,7 @@
         val status =
             when (durableState) {
                 JobState.DONE -> JobAnswer.DONE
-                JobState.WITHDRAWN -> JobAnswer.WITHDRAWN
+                JobState.CANCELLED -> JobAnswer.CANCELLED
                 else -> if (running > 0) JobAnswer.RUNNING else JobAnswer.PENDING
             }
         return JobAnswer(ref, status, doneCount, running)
--- a/src/main/kotlin/micatally/job/Owner.kt
+++ b/src/main/kotlin/micatally/job/JobManager.kt
@@ -4,7 +4,7 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import micatally.gang.GangOwner
+import micatally.gang.GangTaskControl
 import micatally.gang.GangSupervisor
 import micatally.gang.GangTiming
 import micatally.ledger.ShardLeader
@@ -28,7 +28,7 @@
 import org.slf4j.LoggerFactory
 
 /** The jobs of the ledgers that this node holds, and all that happens to their tasks. */
-class Owner(
+class JobManager(
     private val scope: CoroutineScope,
     private val settings: Settings,
     state: StateStoreClient,
@@ -38,7 +38,7 @@
     private val nowMs: () -> Long,
     private val wallMs: () -> Long,
 ) : OrderBook,
-    GangOwner {
+    GangTaskControl {
     private val log = LoggerFactory.getLogger("micatally.job")
     private val loader = ShardLoader(settings, ShardRecords(state), machines, store, this, nowMs)
     val shards = HashMap<String, JobShard>()
@@ -58,7 +58,7 @@
 
     fun rememberFinal(a: JobAnswer) {
         if (a.status == JobAnswer.DONE ||
-            a.status == JobAnswer.WITHDRAWN
+            a.status == JobAnswer.CANCELLED
         ) {
             finals.put(a.ref, a)
         }
@@ -107,7 +107,7 @@
     val settled get() = own() != null && shards.values.all { it.state == ShardState.ACTIVE }
 
     /** Jobs that were cancelled, until their tasks are gone. */
-    val withdrawals = Withdrawals(scope, settings, membership.sharedKeys, store, nowMs)
+    val cancellations = Cancellations(scope, settings, membership.sharedKeys, store, nowMs)
 
     // Ledgers
 
@@ -193,8 +193,8 @@
             }
         }
         for (m in touched) orders.poke(m)
-        if (job.durableState == JobState.DONE || job.durableState == JobState.WITHDRAWN) {
-            if (withdrawals.mayConfirm(job)) rememberFinal(job.answer())
+        if (job.durableState == JobState.DONE || job.durableState == JobState.CANCELLED) {
+            if (cancellations.mayConfirm(job)) rememberFinal(job.answer())
             if (job.attempts.isEmpty() && job.durableVersion == job.version) {
                 // Kept in memory for a while so that its ended entries are still cleared from the machines.
                 val l = job.shard
@@ -212,7 +212,7 @@
         attempts: List<Attempt>,
     ) {
         val all = if (job.gang == null) attempts else job.attempts.values.filter { it.state == AttemptState.INTENDED }
-        for (a in all) gone(a, AttemptEnd(GoneProof.NEVER_SENT, "no room in the job's record"))
+        for (a in all) terminate(a, AttemptTermination(TerminationEvidence.NEVER_SENT, "no room in the job's record"))
         job.attemptLimit = job.attempts.size
     }
 
@@ -228,37 +228,37 @@
             val team = job.spec?.team ?: continue
             val unsent = job.attempts.values.filter { it.state <= AttemptState.RECORDED }
             if (unsent.isEmpty() || !isAffected(team) || !quota.isSuspended(team)) continue
-            for (attempt in unsent) gone(attempt, AttemptEnd(GoneProof.NEVER_SENT, "the limit of $team was lowered"))
+            for (attempt in unsent) terminate(attempt, AttemptTermination(TerminationEvidence.NEVER_SENT, "the limit of $team was lowered"))
         }
     }
 
     /** The one place where an attempt ends. A task may start elsewhere only after it. */
-    override fun gone(
+    override fun terminate(
         attempt: Attempt,
-        end: AttemptEnd,
+        end: AttemptTermination,
     ) {
         if (!attempt.live) return
         val job = attempt.job
         val now = nowMs()
         val ranMs = attempt.runningSince?.let { now - it } ?: 0L
-        attempt.transitionTo(AttemptState.GONE, now)
+        attempt.transitionTo(AttemptState.TERMINATED, now)
         attempt.machine.detach(attempt, now)
         job.attempts.remove(attempt.taskIndex, attempt)
         // What a ledger used is forgotten with it; its next holder has counted anew.
         if (job.shard.mine) quota.release(job)
         log.info("task {} gone: {}", attempt, end)
         if (job.state == JobState.DROPPED) return
-        if (end.proof == GoneProof.COMPLETED) {
+        if (end.proof == TerminationEvidence.COMPLETED) {
             finished(attempt, ranMs)
         } else if (ranMs > 0 && job.spec?.isService == false) {
             // Stopped or lost: its run time counts as service that the job has had.
             lift(job, attempt.inherited + ranMs / 1000.0)
         }
         learn(attempt, end, ranMs, now)
-        gangs.taskGone(attempt, end)
+        gangs.taskTerminated(attempt, end)
         // The end of a job that is done is known already: that its last attempts are gone may wait a little.
         val isUrgent =
-            job.state == JobState.WITHDRAWN || job.state == JobState.OPEN && attempt.stop != null || job.endUnderWay
+            job.state == JobState.CANCELLED || job.state == JobState.OPEN && attempt.stop != null || job.endUnderWay
         store.touch(job, isUrgent)
         wake()
     }
@@ -266,7 +266,7 @@
     /** What an exit tells of the machine and of when to try again. */
     private fun learn(
         attempt: Attempt,
-        end: AttemptEnd,
+        end: AttemptTermination,
         ranMs: Long,
         now: Long,
     ) {
@@ -316,7 +316,7 @@
             if (a.incarnation <
                 m.incarnation
             ) {
-                gone(a, AttemptEnd(GoneProof.NEWER_INCARNATION, "session ${m.incarnation}"))
+                terminate(a, AttemptTermination(TerminationEvidence.NEWER_INCARNATION, "session ${m.incarnation}"))
             }
         }
     }
@@ -324,7 +324,7 @@
     fun deleted(m: Machine) {
         m.deleted = true
         m.unansweredRuns.clear()
-        for (a in m.attempts.toList()) gone(a, AttemptEnd(GoneProof.MACHINE_DELETED, "machine gone"))
+        for (a in m.attempts.toList()) terminate(a, AttemptTermination(TerminationEvidence.MACHINE_DELETED, "machine gone"))
     }
 
     /** A newer task list of a machine. Without an answer to our own request it proves only what can't change any more. */
@@ -383,7 +383,7 @@
             ListedTask.ENDED -> {
                 if (t.reason == null) logOnce("task $a ended for an unknown reason: ${t.why}")
                 if (t.done) {
-                    gone(a, AttemptEnd(GoneProof.COMPLETED, "done", ExitReason.DONE))
+                    terminate(a, AttemptTermination(TerminationEvidence.COMPLETED, "done", ExitReason.DONE))
                 } else if (!own) {
                     a.machine.mustAsk = true
                 }
@@ -450,23 +450,23 @@
 
     /** The job is not this node's after all. None of its tasks was ever sent: that takes a record that is durable. */
     fun forget(job: Job) {
-        for (a in job.attempts.values.toList()) gone(a, AttemptEnd(GoneProof.NEVER_SENT, "job not accepted"))
+        for (a in job.attempts.values.toList()) terminate(a, AttemptTermination(TerminationEvidence.NEVER_SENT, "job not accepted"))
         job.shard.jobs.remove(job.ref, job)
     }
 
-    fun withdraw(job: Job) {
+    fun cancel(job: Job) {
         if (job.state != JobState.OPEN && job.state != JobState.NEW) return
-        job.transitionTo(JobState.WITHDRAWN)
+        job.transitionTo(JobState.CANCELLED)
         log.info("job {} withdrawn with {} tasks", job.ref, job.attempts.size)
-        withdrawals.begin(job)
+        cancellations.begin(job)
         val now = nowMs()
         val touched = LinkedHashSet<Machine>()
         for (a in job.attempts.values.toList()) {
             if (a.state == AttemptState.INTENDED) {
-                gone(a, AttemptEnd(GoneProof.NEVER_SENT, "withdrawn"))
+                terminate(a, AttemptTermination(TerminationEvidence.NEVER_SENT, "withdrawn"))
                 continue
             }
-            a.stop(StopReason.WITHDRAWN, now)
+            a.stop(StopReason.CANCELLED, now)
             touched.add(a.machine)
         }
         store.touch(job, true)
@@ -476,11 +476,11 @@
     /** Adopted after a takeover: a withdrawn job's tasks must still go. */
     fun sweep() {
         val now = nowMs()
-        for (j in withdrawals.unfinished) {
+        for (j in cancellations.unfinished) {
             if (j.shard.state ==
                 ShardState.ACTIVE
             ) {
-                for (a in j.attempts.values) a.stop(StopReason.WITHDRAWN, now)
+                for (a in j.attempts.values) a.stop(StopReason.CANCELLED, now)
             }
         }
         for (m in machines.byName.values) {
--- a/src/main/kotlin/micatally/job/JobRecord.kt
+++ b/src/main/kotlin/micatally/job/JobRecord.kt
@@ -23,11 +23,11 @@
 object JobRecord {
     private const val OPEN = "o"
     private const val DONE = "d"
-    private const val WITHDRAWN = "w"
+    private const val CANCELLED = "w"
 
     /** The tasks of a withdrawn job that are not proven gone, as all nodes watch them. */
     fun encodeTasks(job: Job): JsonObject =
-        KillListValue.of(
+        CancelledTasksValue.of(
             JsonArray(
                 job.attempts.values.map {
                     JsonArray(
@@ -44,19 +44,19 @@
                 "e",
                 when (job.state) {
                     JobState.DONE -> DONE
-                    JobState.WITHDRAWN -> WITHDRAWN
+                    JobState.CANCELLED -> CANCELLED
                     else -> OPEN
                 },
             )
             put("k", job.taskCount)
             // Under which hold on the ledger it was written: the record of a new job that is found there is this node's own only then.
             put("c", job.shard.term)
-            val final = job.state == JobState.DONE || job.state == JobState.WITHDRAWN
+            val final = job.state == JobState.DONE || job.state == JobState.CANCELLED
             if (job.spec != null && !(final && job.attempts.isEmpty())) put("s", job.spec.source)
             if (job.doneCount > 0) put("d", ranges(job.done))
             if (final && job.attempts.isEmpty()) return@buildJsonObject
             // Withdrawn, and the user may have been told: any node may say so.
-            if (final && job.withdrawalConfirmable) put("x", 1)
+            if (final && job.cancellationConfirmable) put("x", 1)
             put("n", job.nextAttempt)
             put("t", job.submittedAt)
             if (job.service > 0) {
@@ -136,7 +136,7 @@
     fun state(o: JsonObject) =
         when (val name = o.text("e")) {
             DONE -> JobState.DONE
-            WITHDRAWN -> JobState.WITHDRAWN
+            CANCELLED -> JobState.CANCELLED
             OPEN -> JobState.OPEN
             else -> throw MalformedMessage("a job's state can't be $name")
         }
@@ -146,7 +146,7 @@
     private fun mayHaveAttempts(o: JsonObject) = o["a"] != null || RecordPacking.isPacked(o)
 
     /** Whether a user may hear of the end that the record has. */
-    fun isWithdrawalConfirmable(o: JsonObject) = state(o) != JobState.WITHDRAWN || !mayHaveAttempts(o) || o["x"] != null
+    fun isCancellationConfirmable(o: JsonObject) = state(o) != JobState.CANCELLED || !mayHaveAttempts(o) || o["x"] != null
 
     fun placed(o: JsonObject): List<Placed> =
         (o.listOrNull("a") ?: emptyList()).flatMap { e ->
@@ -189,8 +189,8 @@
         job.queue = (o.longOrNull("q") ?: 0L).toInt()
         job.modRevision = modRevision
         job.durableState = state
-        job.withdrawalConfirmable = state == JobState.WITHDRAWN && isWithdrawalConfirmable(o)
-        job.confirmableRecorded = job.withdrawalConfirmable
+        job.cancellationConfirmable = state == JobState.CANCELLED && isCancellationConfirmable(o)
+        job.confirmableRecorded = job.cancellationConfirmable
         return job
     }
 
--- a/src/main/kotlin/micatally/job/JobStore.kt
+++ b/src/main/kotlin/micatally/job/JobStore.kt
@@ -151,8 +151,8 @@
 
     /** The budget is asked before the transaction is put together, so its size is that of the last one. */
     private fun expectedChanges(job: Job): Int {
-        val killList = if (job.state == JobState.WITHDRAWN) 1 + job.storedKillOverflow else 0
-        return 1 + job.storedOverflow + killList
+        val cancelledTasks = if (job.state == JobState.CANCELLED) 1 + job.storedCancelledTasksOverflow else 0
+        return 1 + job.storedOverflow + cancelledTasks
     }
 
     /** A new job is nowhere: the record of one that is over may have been archived. */
@@ -185,7 +185,7 @@
         val job = snapshot.job
         job.modRevision = revision
         job.storedOverflow = snapshot.write.overflow
-        job.storedKillOverflow = snapshot.write.killOverflow
+        job.storedCancelledTasksOverflow = snapshot.write.cancelledTasksOverflow
         job.durableVersion = snapshot.version
         job.durableState = if (snapshot.state == JobState.NEW) JobState.OPEN else snapshot.state
         // The tasks of a withdrawn job stand where all nodes watch them for as long as its record has any: a cancellation
--- a/src/main/kotlin/micatally/job/RecordPacking.kt
+++ b/src/main/kotlin/micatally/job/RecordPacking.kt
@@ -82,7 +82,7 @@
 }
 
 /** The rows of a kill list: the tasks of a withdrawn job that are not proven gone. */
-object KillListValue {
+object CancelledTasksValue {
     private const val ROWS = "tasks"
 
     fun of(rows: JsonArray) = JsonObject(mapOf(ROWS to rows))
--- a/src/main/kotlin/micatally/job/RecordWrite.kt
+++ b/src/main/kotlin/micatally/job/RecordWrite.kt
@@ -17,7 +17,7 @@
 class RecordWrite(
     val changes: List<Write>,
     val overflow: Int,
-    val killOverflow: Int,
+    val cancelledTasksOverflow: Int,
     val listsTasks: Boolean,
 )
 
@@ -42,15 +42,15 @@
 ) {
     fun fit(job: Job): RecordFit {
         val record = JobRecord.encode(job)
-        val listsTasks = job.state == JobState.WITHDRAWN && job.attempts.isNotEmpty()
+        val listsTasks = job.state == JobState.CANCELLED && job.attempts.isNotEmpty()
         val main = form(record) { JobRecord.summary(job, record) } ?: return RecordFit.TooLarge
-        val kills =
+        val cancelledTasks =
             if (listsTasks) {
                 form(JobRecord.encodeTasks(job)) { EMPTY } ?: return RecordFit.TooLarge
             } else {
                 null
             }
-        return RecordFit.Fits(write(job, main, kills))
+        return RecordFit.Fits(write(job, main, cancelledTasks))
     }
 
     /** Whether new attempts have to wait: the plain form is kept within the limits to come, also while it need not be. */
@@ -68,19 +68,19 @@
     private fun write(
         job: Job,
         main: PackedValue,
-        kills: PackedValue?,
+        cancelledTasks: PackedValue?,
     ): RecordWrite {
         val changes = ArrayList<Write>()
         changes += Put(Keys.job(job.ref), main.main)
         changes += overflowChanges(main, job.storedOverflow) { Keys.jobPart(job.ref, it) }
-        if (kills != null) {
-            changes += Put(Keys.cancelledTasks(job.ref), kills.main)
-            changes += overflowChanges(kills, job.storedKillOverflow) { Keys.cancelledTasksPart(job.ref, it) }
+        if (cancelledTasks != null) {
+            changes += Put(Keys.cancelledTasks(job.ref), cancelledTasks.main)
+            changes += overflowChanges(cancelledTasks, job.storedCancelledTasksOverflow) { Keys.cancelledTasksPart(job.ref, it) }
         } else if (job.publishedAt != null) {
             changes += Delete(Keys.cancelledTasks(job.ref))
-            changes += (0 until job.storedKillOverflow).map { Delete(Keys.cancelledTasksPart(job.ref, it)) }
+            changes += (0 until job.storedCancelledTasksOverflow).map { Delete(Keys.cancelledTasksPart(job.ref, it)) }
         }
-        return RecordWrite(changes, main.overflow.size, kills?.overflow?.size ?: 0, kills != null)
+        return RecordWrite(changes, main.overflow.size, cancelledTasks?.overflow?.size ?: 0, cancelledTasks != null)
     }
 
     private fun overflowChanges(
--- a/src/main/kotlin/micatally/job/ShardLoader.kt
+++ b/src/main/kotlin/micatally/job/ShardLoader.kt
@@ -5,7 +5,7 @@
 import micatally.ledger.JobShard
 import micatally.ledger.ShardState
 import micatally.settings.Settings
-import micatally.wire.WithdrawnTask
+import micatally.wire.CancelledTask
 import micatally.worker.Machines
 import org.slf4j.LoggerFactory
 
@@ -15,7 +15,7 @@
     private val records: ShardRecords,
     private val machines: Machines,
     private val store: JobStore,
-    private val owner: Owner,
+    private val jobManager: JobManager,
     private val nowMs: () -> Long,
 ) {
     private val log = LoggerFactory.getLogger("micatally.job")
@@ -48,7 +48,7 @@
         val tookMs = nowMs() - l.leaderSinceMs
         log.info("ledger {} loaded at epoch {}: {} jobs in {} ms", l.name, l.leader.fencingToken, l.jobs.size, tookMs)
         reconcileMachines()
-        owner.wake()
+        jobManager.wake()
         return true
     }
 
@@ -58,10 +58,10 @@
     ) {
         val ref = record.ref
         // Whoever's job it is: a node that has just started must stop its tasks where it hears them.
-        if (record.plain != null && JobRecord.state(record.stored) == JobState.WITHDRAWN) {
-            owner.withdrawals.stopList.take(
+        if (record.plain != null && JobRecord.state(record.stored) == JobState.CANCELLED) {
+            jobManager.cancellations.cancelledTasks.take(
                 JobRecord.placed(record.plain).map {
-                    WithdrawnTask(it.machine, ref, it.taskIndex, it.number)
+                    CancelledTask(it.machine, ref, it.taskIndex, it.number)
                 },
             )
         }
@@ -70,15 +70,15 @@
         val plain = record.plain ?: return
         val job = JobRecord.decode(ref, plain, l, record.modRevision)
         if (JobRecord.isSettled(plain)) {
-            owner.rememberFinal(job.answer())
+            jobManager.rememberFinal(job.answer())
             return
         }
         job.storedOverflow = RecordPacking.overflowCount(record.stored)
         l.jobs[ref] = job
         for (placed in JobRecord.placed(plain)) adoptAttempt(job, placed)
-        owner.gangs.adopted(job)
-        if (job.state == JobState.WITHDRAWN) {
-            if (!owner.withdrawals.adopted(job)) store.touch(job, true)
+        jobManager.gangs.adopted(job)
+        if (job.state == JobState.CANCELLED) {
+            if (!jobManager.cancellations.adopted(job)) store.touch(job, true)
         }
     }
 
@@ -102,7 +102,7 @@
         record: JsonObject,
     ) {
         if (!l.mine || isKnown(l, ref, record)) return
-        owner.rememberFinal(JobRecord.decode(ref, record, l, 0L).answer())
+        jobManager.rememberFinal(JobRecord.decode(ref, record, l, 0L).answer())
     }
 
     private fun adoptAttempt(
@@ -114,17 +114,17 @@
         val attempt =
             Attempt(job, placed.taskIndex, placed.number, machine, placed.incarnation, job.service, AttemptState.ORDERED)
         job.attempts[placed.taskIndex] = attempt
-        owner.attach(attempt)
+        jobManager.attach(attempt)
     }
 
     /** What is known of the machines already is applied to the attempts that have just been loaded. */
     private fun reconcileMachines() {
         for (m in machines.byName.values.toList()) {
-            if (m.incarnation > 0) owner.newIncarnation(m)
-            if (m.deleted) owner.deleted(m)
+            if (m.incarnation > 0) jobManager.newIncarnation(m)
+            if (m.deleted) jobManager.deleted(m)
             if (m.attempts.isNotEmpty()) {
-                owner.listed(m, false)
-                owner.poke(m)
+                jobManager.listed(m, false)
+                jobManager.poke(m)
             }
         }
     }
--- a/src/main/kotlin/micatally/job/ShardRecords.kt
+++ b/src/main/kotlin/micatally/job/ShardRecords.kt
@@ -97,7 +97,7 @@
     ) {
         val isOwn = JobRecord.shardOf(item.value) == shard.name
         if (!JobRecord.isSettled(item.value)) {
-            if (isOwn || JobRecord.state(item.value) == JobState.WITHDRAWN) open.add(item)
+            if (isOwn || JobRecord.state(item.value) == JobState.CANCELLED) open.add(item)
         } else if (isOwn) {
             onSettled(refOf(item), item.value)
         }
--- a/src/main/kotlin/micatally/ledger/Membership.kt
+++ b/src/main/kotlin/micatally/ledger/Membership.kt
@@ -80,7 +80,7 @@
     var startGate: () -> Boolean = { true }
 
     /** Whether a task may be started now. A cancellation that this node has neither seen nor confirmed was published after it
-     * last knew of all, and is told [Settings.withdrawalDelayMs] after that at the earliest: until then no start comes after it. */
+     * last knew of all, and is told [Settings.cancellationDelayMs] after that at the earliest: until then no start comes after it. */
     val mayStart get() = nowMs() - toldAt < settings.startBoundMs && startGate()
 
     val viewAgeMs get() = nowMs() - viewProvenAt
--- a/src/main/kotlin/micatally/node/Controller.kt
+++ b/src/main/kotlin/micatally/node/Controller.kt
@@ -20,7 +20,7 @@
 import micatally.http.errorResponse
 import micatally.job.AttemptState
 import micatally.job.JobStore
-import micatally.job.Owner
+import micatally.job.JobManager
 import micatally.job.RecordForms
 import micatally.job.StopReason
 import micatally.ledger.SharedKeyCache
@@ -106,17 +106,17 @@
     private val lookup = RecordLookup(state) { archive.mayBeUsed }
     private val store =
         JobStore(scope, state, forms, settings.heartbeatIntervalMs / 4, settings.leaseMs / 10, { archive.mayBeUsed }, nowMs)
-    val owner = Owner(scope, settings, state, membership, machines, store, nowMs, wallMs)
-    private val orders = Orders(scope, http, settings, membership, machines, owner, owner.withdrawals.stopList, nowMs)
+    val jobManager = JobManager(scope, settings, state, membership, machines, store, nowMs, wallMs)
+    private val orders = Orders(scope, http, settings, membership, machines, jobManager, jobManager.cancellations.cancelledTasks, nowMs)
     private val quota =
         Quota(scope, state, membership.sharedKeys, configuration.teams, {
-            owner.shards.values.filter { it.mine }
+            jobManager.shards.values.filter { it.mine }
         }, settings.controllers) { rounds.wake() }
     val rounds: Rounds =
         Rounds(
             scope,
             settings,
-            owner,
+            jobManager,
             machines,
             store,
             quota,
@@ -132,7 +132,7 @@
             effort,
             nowMs,
         )
-    private val peers = Peers(scope, http, settings, state, membership, machines, owner, rounds, nowMs)
+    private val peers = Peers(scope, http, settings, state, membership, machines, jobManager, rounds, nowMs)
     private val reach = WorkerReach(scope, http, settings, machines, nowMs)
     private val fleetManager =
         FleetManager(scope, http, settings, state, cloud, membership, machines, fleetDemand(), operator, nowMs)
@@ -150,7 +150,7 @@
             configuration.teams,
             state,
             membership,
-            owner,
+            jobManager,
             store,
             machines,
             peers,
@@ -161,11 +161,11 @@
             reach,
             nowMs,
         )
-    private val workers = WorkerApi(settings, membership, machines, peers, owner.withdrawals.stopList, nowMs)
+    private val workers = WorkerApi(settings, membership, machines, peers, jobManager.cancellations.cancelledTasks, nowMs)
 
     private fun loadedShards() =
         object : LoadedShards {
-            override fun loaded(name: String) = owner.shards[name]?.takeIf { it.state == ShardState.ACTIVE }
+            override fun loaded(name: String) = jobManager.shards[name]?.takeIf { it.state == ShardState.ACTIVE }
         }
 
     private fun fleetDemand() =
@@ -181,23 +181,23 @@
     val isFleetManager get() = fleetManager.isLeader
 
     fun start() {
-        owner.orders = orders
+        jobManager.orders = orders
         configuration.start { former, next -> configurationApplied(former, next) }
         membership.shouldStepDown = { reach.mayStepDown() && peers.somePeerHasState() }
         membership.peersConfirmedAt = { peers.peersConfirmedAt() }
-        owner.quota = quota
-        owner.wake = { rounds.wake() }
+        jobManager.quota = quota
+        jobManager.wake = { rounds.wake() }
         rounds.stateAnswers = { state.waitingWrites == 0 && state.get(Keys.FENCING_TOKEN, Urgency.SUMMARY) is ReadResult.Found }
         rounds.foreign = { peers.demandOfPeers() }
-        store.onDurable = { job, written -> owner.durable(job, written) }
-        store.onDropped = { owner.forget(it) }
-        store.onRecordFull = { job, attempts -> owner.giveUp(job, attempts) }
-        owner.withdrawals.askPeers = { peers.spread(it) }
+        store.onDurable = { job, written -> jobManager.durable(job, written) }
+        store.onDropped = { jobManager.forget(it) }
+        store.onRecordFull = { job, attempts -> jobManager.giveUp(job, attempts) }
+        jobManager.cancellations.askPeers = { peers.spread(it) }
         store.onShardLost = { l ->
-            owner.loseShard(l)
+            jobManager.loseShard(l)
             scope.launch { membership.refresh() }
         }
-        machines.onNewIncarnation = { owner.newIncarnation(it) }
+        machines.onNewIncarnation = { jobManager.newIncarnation(it) }
         machines.onBehind = { m ->
             if (m.attempts.isNotEmpty()) {
                 m.mustAsk = true
@@ -205,7 +205,7 @@
             }
         }
         machines.onTasks = { m, own ->
-            owner.listed(m, own)
+            jobManager.listed(m, own)
             rounds.wake()
         }
         fleetManager.onMachineTypes = { rounds.wake() }
@@ -226,7 +226,7 @@
 
     /** The form of the records changes, and with it how many attempts they have room for. */
     private fun uniform() {
-        for (job in owner.openJobs()) job.attemptLimit = Int.MAX_VALUE
+        for (job in jobManager.openJobs()) job.attemptLimit = Int.MAX_VALUE
         rounds.wake()
     }
 
@@ -235,7 +235,7 @@
         former: Configuration,
         next: Configuration,
     ) {
-        owner.endUnsent { team -> former.team(team) !== next.team(team) }
+        jobManager.endUnsent { team -> former.team(team) !== next.team(team) }
         quota.limitsChanged()
         rounds.wake()
     }
@@ -243,16 +243,16 @@
     private fun sharedChanged(keys: Set<String>) {
         upgrade.sharedChanged()
         configuration.sharedChanged()
-        owner.checkShards()
+        jobManager.checkShards()
         for (k in keys) {
             if (k.startsWith(Keys.DELETED_MACHINE)) {
                 val name = k.removePrefix(Keys.DELETED_MACHINE)
                 if (membership.sharedKeys.has(k)) {
                     machines.deletedNames.add(name)
-                    machines.of(name)?.let { owner.deleted(it) }
+                    machines.of(name)?.let { jobManager.deleted(it) }
                 }
             }
-            if (k.startsWith(Keys.CANCELLED_TASKS)) owner.withdrawals.published(k)
+            if (k.startsWith(Keys.CANCELLED_TASKS)) jobManager.cancellations.published(k)
             if (k.startsWith(Keys.TEAM)) quota.teamChanged(k.removePrefix(Keys.TEAM))
             if (k.startsWith(Keys.DRAIN)) machines.of(k.removePrefix(Keys.DRAIN))?.draining = membership.sharedKeys.has(k)
         }
@@ -275,9 +275,9 @@
             effort.of(Effort.Kind.HOUSE) {
                 membership.checkLeadership()
                 reach.review()
-                owner.sweep()
-                for (job in owner.openJobs()) if (job.gang != null) owner.gangs.review(job, now)
-                owner.faults.review(owner.openJobs(), now)
+                jobManager.sweep()
+                for (job in jobManager.openJobs()) if (job.gang != null) jobManager.gangs.review(job, now)
+                jobManager.faults.review(jobManager.openJobs(), now)
                 rounds.wake()
                 rounds.moveOff(now)
                 for (m in machines.byName.values) m.releaseOld(now)
@@ -290,7 +290,7 @@
                         if (a.job.gang !=
                             null
                         ) {
-                            owner.gangs.stopOrderly(a.job, "${m.name} is taken back") { isReachable(it, now) }
+                            jobManager.gangs.stopOrderly(a.job, "${m.name} is taken back") { isReachable(it, now) }
                         } else if (a.stop(StopReason.DRAIN, now)) {
                             touched = true
                         }
@@ -307,7 +307,7 @@
                 quota.handBack()
                 scope.launch { fleetManager.prune() }
             }
-            if (round % 4 == 0) owner.withdrawals.follow(now)
+            if (round % 4 == 0) jobManager.cancellations.follow(now)
             if (now - effortAt >
                 settings.leaseMs
             ) {
@@ -387,7 +387,7 @@
                         effort.of(Effort.Kind.NEWS) { peers.takeNews(r.body) }.also {
                             effort.newsTaken(r.body.size, it.size)
                         }
-                    Peers.KILLS -> peers.takeKills(r.body)
+                    Peers.CANCELLED_TASKS -> peers.takeCancelledTasks(r.body)
                     Peers.QUERY ->
                         ProtoBuf.encodeToByteArray(
                             users.peerQuery(ProtoBuf.decodeFromByteArray<PeerJobRequest>(r.body).ref),
--- a/src/main/kotlin/micatally/peer/OwnSummary.kt
+++ b/src/main/kotlin/micatally/peer/OwnSummary.kt
@@ -4,7 +4,7 @@
 
 import kotlinx.serialization.encodeToByteArray
 import kotlinx.serialization.protobuf.ProtoBuf
-import micatally.job.Owner
+import micatally.job.JobManager
 import micatally.ledger.Membership
 import micatally.placement.Rounds
 import micatally.settings.Settings
@@ -18,7 +18,7 @@
     private val settings: Settings,
     private val membership: Membership,
     private val machines: Machines,
-    private val owner: Owner,
+    private val jobManager: JobManager,
     private val rounds: Rounds,
 ) {
     /** This node's room on a machine, and the number of the summary in which it changed last. */
@@ -68,7 +68,7 @@
             demand = demandNow
             changed = true
         }
-        val recentNow = owner.recentServices()
+        val recentNow = jobManager.recentServices()
         if (recentNow != recent) {
             recent = recentNow
             changed = true
--- a/src/main/kotlin/micatally/peer/Peers.kt
+++ b/src/main/kotlin/micatally/peer/Peers.kt
@@ -14,7 +14,7 @@
 import micatally.http.HttpCaller
 import micatally.http.Outcome
 import micatally.job.Job
-import micatally.job.Owner
+import micatally.job.JobManager
 import micatally.ledger.Keys
 import micatally.ledger.Membership
 import micatally.placement.Rounds
@@ -34,7 +34,7 @@
 import micatally.wire.PeerJobRequest
 import micatally.wire.PeerDelta
 import micatally.wire.CapacitySummary
-import micatally.wire.WithdrawnTaskList
+import micatally.wire.CancelledTaskList
 import micatally.wire.textOrNull
 import micatally.worker.Machine
 import micatally.worker.Machines
@@ -49,7 +49,7 @@
     private val state: StateStoreClient,
     private val membership: Membership,
     private val machines: Machines,
-    private val owner: Owner,
+    private val jobManager: JobManager,
     private val rounds: Rounds,
     private val nowMs: () -> Long,
 ) {
@@ -73,7 +73,7 @@
     }
 
     private val lines = settings.peers.map { Line(it) }
-    private val own = OwnSummary(settings, membership, machines, owner, rounds)
+    private val own = OwnSummary(settings, membership, machines, jobManager, rounds)
     private val summaries = PeerSummaries(settings, membership, machines, nowMs)
     private val tellMs = settings.heartbeatIntervalMs / TELLS_A_REPORT
 
@@ -138,7 +138,7 @@
      * While the state service is out for all, this keeps the workers' leases alive as long as the controllers hear each other. */
     fun peersConfirmedAt(): Long {
         val fencingToken = membership.sharedKeys.fencingToken
-        if (lines.isEmpty() || !owner.settled ||
+        if (lines.isEmpty() || !jobManager.settled ||
             lines.any { it.confirmedFencingToken != fencingToken }
         ) {
             return Long.MIN_VALUE / 2
@@ -170,7 +170,7 @@
                 delay(tellMs)
                 summaries.forgetOrphans()
                 // Before its ledgers are loaded a node does not know what it holds, and an empty summary reads as free room.
-                if (owner.settled) own.refresh()
+                if (jobManager.settled) own.refresh()
                 for (l in lines) {
                     if (!l.talking && nowMs() >= l.nextAt && hasNewsFor(l)) {
                         l.talking = true
@@ -222,7 +222,7 @@
             l.failures = 0
             val answer = ProtoBuf.decodeFromByteArray<PeerDeltaResponse>(out.body)
             l.toldSummary = if (answer.needsWhole) 0 else sentNumber
-            owner.withdrawals.stopList.take(answer.kills)
+            jobManager.cancellations.cancelledTasks.take(answer.cancelledTasks)
             l.confirmedFencingToken = answer.fencingToken
             l.peersConfirmedAt = at
             if (heard.isNotEmpty()) l.toldHeardAt = at
@@ -254,11 +254,11 @@
         val joined = news.summary?.let { summaries.take(it) } ?: true
         if (news.retire.isNotEmpty()) onRetire(news.retire)
         if (new) onNews()
-        val kills = owner.withdrawals.unfinishedTasks()
-        val most = maxOf(LEAST_KILLS, machines.byName.size)
-        val all = owner.settled && kills.size <= most
+        val cancelledTasks = jobManager.cancellations.unfinishedTasks()
+        val most = maxOf(MIN_CANCELLED_TASKS, machines.byName.size)
+        val all = jobManager.settled && cancelledTasks.size <= most
         return ProtoBuf.encodeToByteArray(
-            PeerDeltaResponse(!joined, if (all) membership.sharedKeys.fencingToken else 0, kills.take(most)),
+            PeerDeltaResponse(!joined, if (all) membership.sharedKeys.fencingToken else 0, cancelledTasks.take(most)),
         )
     }
 
@@ -324,15 +324,15 @@
     }
 
     /** Makes the tasks of a withdrawn job known to the controllers that have not confirmed them yet. Only once they are in
-     * the state service: see [micatally.job.Withdrawals.mayConfirm]. */
+     * the state service: see [micatally.job.Cancellations.mayConfirm]. */
     suspend fun spread(job: Job) {
         if (job.publishedAt == null) return
-        val body = ProtoBuf.encodeToByteArray(WithdrawnTaskList(owner.withdrawals.tasksOf(job)))
+        val body = ProtoBuf.encodeToByteArray(CancelledTaskList(jobManager.cancellations.tasksOf(job)))
         coroutineScope {
             for (l in lines) {
                 if (l.peer.host !in job.confirmedBy) {
                     launch {
-                        val out = http.call(l.peer.addr, "POST", KILLS, body, settings.leaseMs / 20)
+                        val out = http.call(l.peer.addr, "POST", CANCELLED_TASKS, body, settings.leaseMs / 20)
                         if (out is Outcome.Answer && out.status == 200) job.confirmedBy.add(l.peer.host)
                     }
                 }
@@ -340,8 +340,8 @@
         }
     }
 
-    fun takeKills(body: ByteArray): ByteArray {
-        owner.withdrawals.stopList.take(ProtoBuf.decodeFromByteArray<WithdrawnTaskList>(body).kills)
+    fun takeCancelledTasks(body: ByteArray): ByteArray {
+        jobManager.cancellations.cancelledTasks.take(ProtoBuf.decodeFromByteArray<CancelledTaskList>(body).cancelledTasks)
         return ByteArray(0)
     }
 
@@ -360,7 +360,7 @@
 
     companion object {
         const val NEWS = "/peer/news"
-        const val KILLS = "/peer/kills"
+        const val CANCELLED_TASKS = "/peer/kills"
         const val QUERY = "/peer/query"
         const val CANCEL = "/peer/cancel"
         private const val TELLS_A_REPORT = 8
@@ -369,7 +369,7 @@
         private const val LEAST_NOTES = 100
 
         /** An answer lists at least so many withdrawn tasks; in a large fleet one for each machine. */
-        private const val LEAST_KILLS = 500
+        private const val MIN_CANCELLED_TASKS = 500
 
         /** Shares of this node's writes that go to summaries. */
         private const val PIECES_SHARE = 0.125
--- a/src/main/kotlin/micatally/placement/PlacementView.kt
+++ b/src/main/kotlin/micatally/placement/PlacementView.kt
@@ -98,7 +98,7 @@
         lengthMs: Long,
     ) = (now / lengthMs % hosts.size).toInt() == ownIndex
 
-    val owners get() = hosts.size
+    val controllers get() = hosts.size
 
     fun mayUse(
         demand: ResourceRequest,
--- a/src/main/kotlin/micatally/placement/Preemption.kt
+++ b/src/main/kotlin/micatally/placement/Preemption.kt
@@ -126,7 +126,7 @@
         if (!view.isOwnTurn(now, turnMs)) return
         for (d in view.foreignServices) {
             val key = "${d.image}/${d.gpus}/${d.cores}"
-            if (now - (stoppedForPeersAt[key] ?: Long.MIN_VALUE / 2) < turnMs * view.owners) continue
+            if (now - (stoppedForPeersAt[key] ?: Long.MIN_VALUE / 2) < turnMs * view.controllers) continue
             stoppedForPeersAt[key] = now
             val resources = Resources(d.cores, d.gpus, d.memoryGb)
             val need =
--- a/src/main/kotlin/micatally/placement/ReplicaMoves.kt
+++ b/src/main/kotlin/micatally/placement/ReplicaMoves.kt
@@ -7,7 +7,7 @@
 import micatally.job.AttemptState
 import micatally.job.Job
 import micatally.job.JobStore
-import micatally.job.Owner
+import micatally.job.JobManager
 import micatally.job.StopReason
 import micatally.quota.Quota
 import micatally.settings.Settings
@@ -21,7 +21,7 @@
     private val scope: CoroutineScope,
     private val settings: Settings,
     private val view: PlacementView,
-    private val owner: Owner,
+    private val jobManager: JobManager,
     private val store: JobStore,
     private val quota: Quota,
     private val orders: Orders,
@@ -47,7 +47,7 @@
             ) {
                 continue
             }
-            owner.place(job, task.second, to)
+            jobManager.place(job, task.second, to)
             store.touch(job, true)
         }
     }
--- a/src/main/kotlin/micatally/placement/Rounds.kt
+++ b/src/main/kotlin/micatally/placement/Rounds.kt
@@ -6,7 +6,7 @@
 import micatally.job.AttemptState
 import micatally.job.Job
 import micatally.job.JobStore
-import micatally.job.Owner
+import micatally.job.JobManager
 import micatally.node.Effort
 import micatally.queue.Queues
 import micatally.quota.Quota
@@ -23,7 +23,7 @@
 class Rounds(
     private val scope: CoroutineScope,
     private val settings: Settings,
-    private val owner: Owner,
+    private val jobManager: JobManager,
     private val machines: Machines,
     private val store: JobStore,
     private val quota: Quota,
@@ -44,9 +44,9 @@
     var foreign: () -> List<ResourceRequest> = { emptyList() }
     private val view = PlacementView(settings, machines)
     private val preemption = Preemption(settings, view, queues, orders)
-    private val moves = ReplicaMoves(scope, settings, view, owner, store, quota, orders, nowMs)
+    private val moves = ReplicaMoves(scope, settings, view, jobManager, store, quota, orders, nowMs)
     private val whole =
-        WholePlacement(settings, view, owner, store, quota) { job, demand ->
+        WholePlacement(settings, view, jobManager, store, quota) { job, demand ->
             finding[job.ref] = demand
             if (demand.isGang) view.gangWaits(demand)
         }
@@ -107,7 +107,7 @@
     }
 
     private fun ordered(): List<Job> =
-        owner
+        jobManager
             .openJobs()
             .filter { it.pendingCount > 0 }
             .sortedWith(
@@ -188,7 +188,7 @@
     private fun tickWaits(now: Long) {
         val step = now - lastAt
         if (lastAt == 0L || step <= 0) return
-        for (j in owner.openJobs()) {
+        for (j in jobManager.openJobs()) {
             if (j.pendingCount > 0 &&
                 j.attempts.values.none { it.state >= AttemptState.RUNNING }
             ) {
@@ -249,7 +249,7 @@
                 }
                 break
             }
-            owner.place(job, taskIndex, m)
+            jobManager.place(job, taskIndex, m)
             placed++
         }
         val q = queues.current(job)
--- a/src/main/kotlin/micatally/placement/WholePlacement.kt
+++ b/src/main/kotlin/micatally/placement/WholePlacement.kt
@@ -7,7 +7,7 @@
 import micatally.gang.GangPlacement
 import micatally.job.Job
 import micatally.job.JobStore
-import micatally.job.Owner
+import micatally.job.JobManager
 import micatally.quota.Quota
 import micatally.settings.Settings
 import micatally.wire.ResourceRequest
@@ -18,7 +18,7 @@
 class WholePlacement(
     private val settings: Settings,
     private val view: PlacementView,
-    private val owner: Owner,
+    private val jobManager: JobManager,
     private val store: JobStore,
     private val quota: Quota,
     private val onNoRoom: (Job, ResourceRequest) -> Unit,
@@ -33,7 +33,7 @@
     ): Boolean {
         val missing = job.pending(spec.taskCount)
         val isReplacing = gang.phase == GangPhase.WAITING
-        val mayPlace = if (isReplacing) owner.gangs.mayReplace(job, gang, now) else gang.phase == GangPhase.PLACING
+        val mayPlace = if (isReplacing) jobManager.gangs.mayReplace(job, gang, now) else gang.phase == GangPhase.PLACING
         if (missing.isEmpty() || !mayPlace || missing.size > room) return true
         if (!isReplacing) {
             return placeWhole(job, spec, missing, now) { job.nextAttempt++.also { gang.beginRun(it) } } !=
@@ -44,7 +44,7 @@
         if (waitedMs + placed.fetchS * 1000 * FETCH_MARGIN >
             settings.gangWaitMs
         ) {
-            owner.gangs.giveUp(job, "a replacement needs ${placed.fetchS} s")
+            jobManager.gangs.giveUp(job, "a replacement needs ${placed.fetchS} s")
         }
         return true
     }
@@ -76,7 +76,7 @@
             return null
         }
         val attempt = number()
-        for ((index, task) in tasks.withIndex()) owner.place(job, task, assignment.machines[index].machine, attempt)
+        for ((index, task) in tasks.withIndex()) jobManager.place(job, task, assignment.machines[index].machine, attempt)
         store.touch(job, true)
         return assignment
     }
--- a/src/main/kotlin/micatally/settings/Settings.kt
+++ b/src/main/kotlin/micatally/settings/Settings.kt
@@ -67,15 +67,15 @@
     val maxOperationsPerTransaction get() = stateLimits.maxOperationsPerTransaction
 
     /** How long a cancellation that some controller has not confirmed lies in the state service before its user is told. */
-    val withdrawalDelayMs get() = leaseMs
+    val cancellationDelayMs get() = leaseMs
 
     /** For how long after its last contact a controller may start tasks, on its own clock. */
-    val startBoundMs get() = withdrawalDelayMs * 9 / 10
+    val startBoundMs get() = cancellationDelayMs * 9 / 10
 
     /** For how long a node may answer reports after its last proof of contact with the state service. What it has not heard of
-     * by then is told [withdrawalDelayMs] later at the earliest; from there the worker's lease and a margin of a tenth of it fit in
+     * by then is told [cancellationDelayMs] later at the earliest; from there the worker's lease and a margin of a tenth of it fit in
      * the time that a cancellation has. */
-    val leadershipMs get() = maxOf(leaseMs / 2, withdrawalDelayMs + cancelMs - leaseMs * 11 / 10)
+    val leadershipMs get() = maxOf(leaseMs / 2, cancellationDelayMs + cancelMs - leaseMs * 11 / 10)
 
     /** A node's own lease at the state service. */
     val liveMs get() = leaseMs * 8 / 10
--- a/src/main/kotlin/micatally/wire/JobMessages.kt
+++ b/src/main/kotlin/micatally/wire/JobMessages.kt
@@ -199,6 +199,6 @@
         const val PENDING = "pending"
         const val RUNNING = "running"
         const val DONE = "done"
-        const val WITHDRAWN = "withdrawn"
+        const val CANCELLED = "withdrawn"
     }
 }
--- a/src/main/kotlin/micatally/wire/PeerMessages.kt
+++ b/src/main/kotlin/micatally/wire/PeerMessages.kt
@@ -88,11 +88,11 @@
     /** The epoch that the answering node knows, if it knows all withdrawn tasks of its ledgers; 0 if it doesn't. */
     @ProtoNumber(2) val fencingToken: Long = 0,
     /** Tasks of withdrawn jobs that are not proven gone: whoever hears their machines hands the stop on. */
-    @ProtoNumber(3) val kills: List<WithdrawnTask> = emptyList(),
+    @ProtoNumber(3) val cancelledTasks: List<CancelledTask> = emptyList(),
 )
 
 @Serializable
-class WithdrawnTask(
+class CancelledTask(
     @ProtoNumber(1) val machine: String,
     @ProtoNumber(2) val ref: String,
     @ProtoNumber(3) val taskIndex: Int,
@@ -101,8 +101,8 @@
 
 /** All tasks of a job that was withdrawn. */
 @Serializable
-class WithdrawnTaskList(
-    @ProtoNumber(1) val kills: List<WithdrawnTask>,
+class CancelledTaskList(
+    @ProtoNumber(1) val cancelledTasks: List<CancelledTask>,
 )
 
 @Serializable
--- a/src/main/kotlin/micatally/worker/WithdrawnTasks.kt
+++ b/src/main/kotlin/micatally/worker/CancelledTasks.kt
@@ -1,16 +1,16 @@
 package micatally.worker
 
-import micatally.wire.WithdrawnTask
+import micatally.wire.CancelledTask
 
 /** Tasks of withdrawn jobs, as the owners told them. Whichever node hears their machines hands the stop on. A note is kept
  * well beyond the time that a cancellation has: its owner may end before it can say that the task is gone. */
-class WithdrawnTasks(
+class CancelledTasks(
     private val keepMs: Long,
     private val nowMs: () -> Long,
 ) {
     private val byMachine = HashMap<String, HashMap<AttemptId, Long>>()
 
-    fun take(notes: List<WithdrawnTask>) {
+    fun take(notes: List<CancelledTask>) {
         val until = nowMs() + keepMs
         for (k in notes) byMachine.getOrPut(k.machine) { HashMap() }[AttemptId(k.ref, k.taskIndex, k.attempt)] = until
     }
--- a/src/main/kotlin/micatally/worker/MachineHealth.kt
+++ b/src/main/kotlin/micatally/worker/MachineHealth.kt
@@ -51,7 +51,7 @@
     }
 
     /** The job has turned out to fail everywhere: what it said of the machine counts no more. True if that clears the machine. */
-    fun withdraw(job: String): Boolean {
+    fun cancel(job: String): Boolean {
         accusers.remove(job)
         if (!excludedBy.remove(job) || excludedBy.size >= ACCUSERS || excludedUntil == 0L) return false
         for (other in excludedBy) accusers[other] = excludedUntil
--- a/src/main/kotlin/micatally/worker/Orders.kt
+++ b/src/main/kotlin/micatally/worker/Orders.kt
@@ -6,9 +6,9 @@
 import micatally.http.HttpCaller
 import micatally.http.Outcome
 import micatally.job.Attempt
-import micatally.job.AttemptEnd
+import micatally.job.AttemptTermination
 import micatally.job.AttemptState
-import micatally.job.GoneProof
+import micatally.job.TerminationEvidence
 import micatally.job.StopReason
 import micatally.ledger.ShardState
 import micatally.ledger.Membership
@@ -34,9 +34,9 @@
     /** Whether nothing of the job may be started now, not even again, since its team's limit was lowered. */
     fun isSuspended(ref: String): Boolean
 
-    fun gone(
+    fun terminate(
         attempt: Attempt,
-        end: AttemptEnd,
+        end: AttemptTermination,
     )
 }
 
@@ -49,7 +49,7 @@
     private val membership: Membership,
     private val machines: Machines,
     private val book: OrderBook,
-    private val kills: WithdrawnTasks,
+    private val cancelledTasks: CancelledTasks,
     private val nowMs: () -> Long,
 ) {
     private val log = LoggerFactory.getLogger("micatally.worker")
@@ -94,14 +94,14 @@
             val id = AttemptId(a.job.ref, a.taskIndex, a.number)
             val entry = listed[id]
             // Another node holds the ledger by now, and this one has confirmed the cancellation to it.
-            if (a.stop == null && kills.has(m.name, id)) a.stop(StopReason.WITHDRAWN, now)
+            if (a.stop == null && cancelledTasks.has(m.name, id)) a.stop(StopReason.CANCELLED, now)
             val reconciled = m.confirmedToken >= a.job.shard.leader.fencingToken
             val stop = a.stop
             if (stop != null) {
                 if (a.state ==
                     AttemptState.RECORDED
                 ) {
-                    book.gone(a, AttemptEnd(GoneProof.NEVER_SENT, stop.name))
+                    book.terminate(a, AttemptTermination(TerminationEvidence.NEVER_SENT, stop.name))
                     continue
                 }
                 covered.add(a)
@@ -198,7 +198,7 @@
         reason: StopReason,
     ): Double =
         when (reason) {
-            StopReason.WITHDRAWN, StopReason.STRAY -> 0.0
+            StopReason.CANCELLED, StopReason.STRAY -> 0.0
             StopReason.GANG_ENDED -> if (attempt.state == AttemptState.SAVING) saveS(attempt) else 0.0
             StopReason.DRAIN, StopReason.PREEMPTED -> saveS(attempt)
         }
@@ -309,14 +309,14 @@
                     m.mustAsk = true
                 } else {
                     killedAt.remove(a)
-                    book.gone(a, AttemptEnd(GoneProof.OWN_ANSWER, "not on the machine"))
+                    book.terminate(a, AttemptTermination(TerminationEvidence.DIRECT_RESPONSE, "not on the machine"))
                 }
             } else if (e.ended) {
                 killedAt.remove(a)
-                book.gone(
+                book.terminate(
                     a,
-                    AttemptEnd(
-                        if (e.done) GoneProof.COMPLETED else GoneProof.OWN_ANSWER,
+                    AttemptTermination(
+                        if (e.done) TerminationEvidence.COMPLETED else TerminationEvidence.DIRECT_RESPONSE,
                         e.why ?: "",
                         e.reason,
                         e.saved,
