--- a/src/main/kotlin/micatally/api/RecordReads.kt
+++ b/src/main/kotlin/micatally/api/RecordReads.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.coroutines.CompletableDeferred
 import kotlinx.coroutines.withTimeoutOrNull
-import micatally.recovery.RecordLookup
+import micatally.archive.RecordLookup
 import micatally.state.RateBudget
 import micatally.state.ReadResult
 import micatally.state.Urgency
--- a/src/main/kotlin/micatally/api/UserApi.kt
+++ b/src/main/kotlin/micatally/api/UserApi.kt
@@ -13,12 +13,12 @@
 import micatally.job.JobManager
 import micatally.job.UnreadableRecord
 import micatally.job.readable
-import micatally.ledger.LeadershipState
-import micatally.ledger.Membership
+import micatally.membership.LeadershipState
+import micatally.membership.Membership
 import micatally.peer.Peers
-import micatally.placement.Placement
-import micatally.placement.Scheduler
-import micatally.recovery.RecordLookup
+import micatally.scheduling.Placement
+import micatally.scheduling.Scheduler
+import micatally.archive.RecordLookup
 import micatally.settings.Settings
 import micatally.settings.TeamDirectory
 import micatally.state.ReadResult
--- a/src/main/kotlin/micatally/api/WorkerApi.kt
+++ b/src/main/kotlin/micatally/api/WorkerApi.kt
@@ -5,8 +5,8 @@
 import micatally.http.HttpRequest
 import micatally.http.HttpResponse
 import micatally.http.errorResponse
-import micatally.ledger.LeadershipState
-import micatally.ledger.Membership
+import micatally.membership.LeadershipState
+import micatally.membership.Membership
 import micatally.peer.Peers
 import micatally.settings.Settings
 import micatally.wire.Command
--- a/src/main/kotlin/micatally/recovery/ArchivePlan.kt
+++ b/src/main/kotlin/micatally/archive/ArchivePlan.kt
@@ -1,7 +1,7 @@
-package micatally.recovery
+package micatally.archive
 
-import micatally.ledger.SharedKeyCache
-import micatally.ledger.Keys
+import micatally.membership.SharedKeyCache
+import micatally.membership.Keys
 import micatally.state.Compare
 import micatally.state.StateLimits
 import micatally.wire.longOrNull
--- a/src/main/kotlin/micatally/recovery/RecordArchive.kt
+++ b/src/main/kotlin/micatally/archive/RecordArchive.kt
@@ -1,4 +1,4 @@
-package micatally.recovery
+package micatally.archive
 
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
@@ -8,9 +8,9 @@
 import micatally.job.JobRecord
 import micatally.job.UnreadableRecord
 import micatally.job.readable
-import micatally.ledger.Keys
-import micatally.ledger.JobShard
-import micatally.ledger.Membership
+import micatally.membership.Keys
+import micatally.job.JobShard
+import micatally.membership.Membership
 import micatally.settings.Settings
 import micatally.state.Compare
 import micatally.state.Delete
@@ -44,7 +44,7 @@
     private val mode: ArchiveMode,
     private val shards: LoadedShards,
 ) {
-    private val log = LoggerFactory.getLogger("micatally.recovery")
+    private val log = LoggerFactory.getLogger("micatally.archive")
     private val sharedKeys get() = membership.sharedKeys
     private val hosts = settings.peers.map { it.host } + settings.host
     private val recordsAtOnce = ArchivePlan.recordsAtOnce(settings.stateLimits, hosts.size + 1)
--- a/src/main/kotlin/micatally/recovery/RecordLookup.kt
+++ b/src/main/kotlin/micatally/archive/RecordLookup.kt
@@ -1,6 +1,6 @@
-package micatally.recovery
+package micatally.archive
 
-import micatally.ledger.Keys
+import micatally.membership.Keys
 import micatally.state.ReadResult
 import micatally.state.StateStoreClient
 import micatally.state.Urgency
--- a/src/main/kotlin/micatally/cli/ControllerStart.kt
+++ b/src/main/kotlin/micatally/cli/ControllerStart.kt
@@ -4,7 +4,7 @@
 import kotlinx.coroutines.launch
 import micatally.http.Client
 import micatally.http.Server
-import micatally.node.Controller
+import micatally.controller.Controller
 import micatally.settings.Operator
 import micatally.settings.Settings
 import java.io.IOException
--- a/src/main/kotlin/micatally/cli/Loop.kt
+++ b/src/main/kotlin/micatally/cli/Loop.kt
@@ -62,7 +62,7 @@
         ScheduledThreadPoolExecutor(1) { Thread(it, "$name-timers") }.apply { removeOnCancelPolicy = true }
     val group: AsynchronousChannelGroup =
         AsynchronousChannelGroup.withFixedThreadPool(1) { Thread(it, "$name-io").apply { isDaemon = true } }
-    private val log = LoggerFactory.getLogger("micatally.node")
+    private val log = LoggerFactory.getLogger("micatally.controller")
     private val onFailure = CoroutineExceptionHandler { _, e -> log.error("a task of the event loop failed", e) }
     val scope = CoroutineScope(SupervisorJob() + Serial(timers) + onFailure)
 
--- a/src/main/kotlin/micatally/cli/Main.kt
+++ b/src/main/kotlin/micatally/cli/Main.kt
@@ -4,7 +4,7 @@
 import micatally.settings.Operator
 import micatally.settings.Settings
 import micatally.settings.SettingsError
-import micatally.standin.Rehearsal
+import micatally.emulator.Rehearsal
 import org.slf4j.LoggerFactory
 import picocli.CommandLine
 import picocli.CommandLine.Model.CommandSpec
@@ -49,7 +49,7 @@
     val settings = readSettings(parsed.matchedOptionValue("--config", ""))
     val operator = readOperator(parsed.matchedOptionValue("--properties", null as String?))
     startController(Loop(), settings, operator)
-    LoggerFactory.getLogger("micatally.node").info("{} {} listens on {}", settings.host, VERSION, settings.listen)
+    LoggerFactory.getLogger("micatally.controller").info("{} {} listens on {}", settings.host, VERSION, settings.listen)
     Thread.currentThread().join()
     return OK
 }
--- a/src/main/kotlin/micatally/config/ConfigurationService.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationService.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.coroutines.CoroutineScope
 import micatally.http.HttpCaller
-import micatally.ledger.Membership
+import micatally.membership.Membership
 import micatally.settings.Settings
 import micatally.settings.TeamDirectory
 import micatally.state.StateStoreClient
--- a/src/main/kotlin/micatally/config/ConfigurationStore.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationStore.kt
@@ -1,7 +1,7 @@
 package micatally.config
 
 import kotlinx.serialization.json.JsonObject
-import micatally.ledger.Keys
+import micatally.membership.Keys
 import micatally.state.Write
 import micatally.state.Delete
 import micatally.state.KeyValue
--- a/src/main/kotlin/micatally/config/ConfigurationWriter.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationWriter.kt
@@ -6,8 +6,8 @@
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.withTimeoutOrNull
 import kotlinx.serialization.json.JsonObject
-import micatally.ledger.SharedKeyCache
-import micatally.ledger.Keys
+import micatally.membership.SharedKeyCache
+import micatally.membership.Keys
 import micatally.settings.Settings
 import micatally.state.Compare
 import micatally.state.Put
--- a/src/main/kotlin/micatally/node/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -1,4 +1,4 @@
-package micatally.node
+package micatally.controller
 
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
@@ -23,18 +23,18 @@
 import micatally.job.JobManager
 import micatally.job.RecordForms
 import micatally.job.StopReason
-import micatally.ledger.SharedKeyCache
-import micatally.ledger.Keys
-import micatally.ledger.ShardState
-import micatally.ledger.Membership
+import micatally.membership.SharedKeyCache
+import micatally.membership.Keys
+import micatally.job.ShardState
+import micatally.membership.Membership
 import micatally.peer.Peers
-import micatally.placement.Scheduler
-import micatally.queue.PriorityQueues
+import micatally.scheduling.Scheduler
+import micatally.scheduling.PriorityQueues
 import micatally.quota.Quota
-import micatally.recovery.ArchiveMode
-import micatally.recovery.LoadedShards
-import micatally.recovery.RecordArchive
-import micatally.recovery.RecordLookup
+import micatally.archive.ArchiveMode
+import micatally.archive.LoadedShards
+import micatally.archive.RecordArchive
+import micatally.archive.RecordLookup
 import micatally.settings.Operator
 import micatally.settings.Settings
 import micatally.state.RateBudget
@@ -67,7 +67,7 @@
     },
 ) {
     private val cpuUsage = CpuUsage(nowNs)
-    private val log = LoggerFactory.getLogger("micatally.node")
+    private val log = LoggerFactory.getLogger("micatally.controller")
     private val share = 0.95 / settings.controllers
     private val requestBudget = RateBudget(scope, settings.stateLimits.rps * share, nowMs)
     private val writeBudget =
--- a/src/main/kotlin/micatally/node/CpuUsage.kt
+++ b/src/main/kotlin/micatally/controller/CpuUsage.kt
@@ -1,4 +1,4 @@
-package micatally.node
+package micatally.controller
 
 import org.slf4j.LoggerFactory
 
--- a/src/main/kotlin/micatally/standin/Rehearsal.kt
+++ b/src/main/kotlin/micatally/emulator/Rehearsal.kt
@@ -1,4 +1,4 @@
-package micatally.standin
+package micatally.emulator
 
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.withTimeoutOrNull
--- a/src/main/kotlin/micatally/standin/RuleChecker.kt
+++ b/src/main/kotlin/micatally/emulator/RuleChecker.kt
@@ -1,6 +1,6 @@
-package micatally.standin
+package micatally.emulator
 
-import micatally.placement.Placement
+import micatally.scheduling.Placement
 import micatally.settings.Team
 import micatally.wire.Resources
 import micatally.wire.Format
--- a/src/main/kotlin/micatally/standin/StateStoreEmulator.kt
+++ b/src/main/kotlin/micatally/emulator/StateStoreEmulator.kt
@@ -1,4 +1,4 @@
-package micatally.standin
+package micatally.emulator
 
 import kotlinx.coroutines.CompletableDeferred
 import kotlinx.coroutines.withTimeoutOrNull
--- a/src/main/kotlin/micatally/standin/WorkerEmulator.kt
+++ b/src/main/kotlin/micatally/emulator/WorkerEmulator.kt
@@ -1,4 +1,4 @@
-package micatally.standin
+package micatally.emulator
 
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.Job
--- a/src/main/kotlin/micatally/fleet/FleetManager.kt
+++ b/src/main/kotlin/micatally/fleet/FleetManager.kt
@@ -6,9 +6,9 @@
 import kotlinx.serialization.json.buildJsonObject
 import kotlinx.serialization.json.put
 import micatally.http.HttpCaller
-import micatally.ledger.SharedKeyCache
-import micatally.ledger.Keys
-import micatally.ledger.Membership
+import micatally.membership.SharedKeyCache
+import micatally.membership.Keys
+import micatally.membership.Membership
 import micatally.settings.Operator
 import micatally.settings.Settings
 import micatally.state.Compare
--- a/src/main/kotlin/micatally/fleet/GracefulEviction.kt
+++ b/src/main/kotlin/micatally/fleet/GracefulEviction.kt
@@ -4,8 +4,8 @@
 import kotlinx.coroutines.launch
 import kotlinx.serialization.json.buildJsonObject
 import kotlinx.serialization.json.put
-import micatally.ledger.SharedKeyCache
-import micatally.ledger.Keys
+import micatally.membership.SharedKeyCache
+import micatally.membership.Keys
 import micatally.settings.Operator
 import micatally.settings.Settings
 import micatally.state.Write
--- a/src/main/kotlin/micatally/fleet/MachineTypeCatalog.kt
+++ b/src/main/kotlin/micatally/fleet/MachineTypeCatalog.kt
@@ -3,7 +3,7 @@
 import kotlinx.coroutines.delay
 import kotlinx.serialization.json.JsonObject
 import micatally.job.RecordPacking
-import micatally.ledger.Keys
+import micatally.membership.Keys
 import micatally.settings.Settings
 import micatally.state.Put
 import micatally.state.ReadResult
--- a/src/main/kotlin/micatally/fleet/ScaleIn.kt
+++ b/src/main/kotlin/micatally/fleet/ScaleIn.kt
@@ -3,8 +3,8 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import micatally.ledger.SharedKeyCache
-import micatally.ledger.Keys
+import micatally.membership.SharedKeyCache
+import micatally.membership.Keys
 import micatally.settings.Settings
 import micatally.state.Delete
 import micatally.state.Put
--- a/src/main/kotlin/micatally/job/Cancellations.kt
+++ b/src/main/kotlin/micatally/job/Cancellations.kt
@@ -2,9 +2,8 @@
 
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.launch
-import micatally.ledger.SharedKeyCache
-import micatally.ledger.Keys
-import micatally.ledger.ShardState
+import micatally.membership.SharedKeyCache
+import micatally.membership.Keys
 import micatally.settings.Settings
 import micatally.wire.CancelledTask
 import micatally.wire.asLong
--- a/src/main/kotlin/micatally/job/Job.kt
+++ b/src/main/kotlin/micatally/job/Job.kt
@@ -2,7 +2,6 @@
 
 import kotlinx.coroutines.CompletableDeferred
 import micatally.gang.Gang
-import micatally.ledger.JobShard
 import micatally.wire.JobAnswer
 import micatally.wire.JobSpec
 import java.util.BitSet
--- a/src/main/kotlin/micatally/job/JobManager.kt
+++ b/src/main/kotlin/micatally/job/JobManager.kt
@@ -7,11 +7,9 @@
 import micatally.gang.GangTaskControl
 import micatally.gang.GangSupervisor
 import micatally.gang.GangTiming
-import micatally.ledger.ShardLeader
-import micatally.ledger.Keys
-import micatally.ledger.JobShard
-import micatally.ledger.ShardState
-import micatally.ledger.Membership
+import micatally.membership.ShardLeader
+import micatally.membership.Keys
+import micatally.membership.Membership
 import micatally.quota.Quota
 import micatally.settings.Settings
 import micatally.state.StateStoreClient
--- a/src/main/kotlin/micatally/job/JobRecord.kt
+++ b/src/main/kotlin/micatally/job/JobRecord.kt
@@ -6,7 +6,6 @@
 import kotlinx.serialization.json.buildJsonArray
 import kotlinx.serialization.json.buildJsonObject
 import kotlinx.serialization.json.put
-import micatally.ledger.JobShard
 import micatally.wire.JobSpec
 import micatally.wire.MalformedMessage
 import micatally.wire.asLong
--- a/src/main/kotlin/micatally/ledger/JobShard.kt
+++ b/src/main/kotlin/micatally/job/JobShard.kt
@@ -1,6 +1,6 @@
-package micatally.ledger
+package micatally.job
 
-import micatally.job.Job
+import micatally.membership.ShardLeader
 
 /** ACTIVE: its jobs are known and may be moved. LOST: another node holds it; nothing may be written or sent for it. */
 enum class ShardState { LOADING, ACTIVE, LOST }
--- a/src/main/kotlin/micatally/job/JobStore.kt
+++ b/src/main/kotlin/micatally/job/JobStore.kt
@@ -4,9 +4,8 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import micatally.ledger.Keys
-import micatally.ledger.JobShard
-import micatally.recovery.RecordLookup
+import micatally.membership.Keys
+import micatally.archive.RecordLookup
 import micatally.state.Compare
 import micatally.state.ReadResult
 import micatally.state.StateStoreClient
--- a/src/main/kotlin/micatally/job/ShardLoader.kt
+++ b/src/main/kotlin/micatally/job/ShardLoader.kt
@@ -2,8 +2,6 @@
 
 import kotlinx.coroutines.delay
 import kotlinx.serialization.json.JsonObject
-import micatally.ledger.JobShard
-import micatally.ledger.ShardState
 import micatally.settings.Settings
 import micatally.wire.CancelledTask
 import micatally.worker.MachineRegistry
--- a/src/main/kotlin/micatally/job/ShardRecords.kt
+++ b/src/main/kotlin/micatally/job/ShardRecords.kt
@@ -2,8 +2,7 @@
 
 import kotlinx.coroutines.CancellationException
 import kotlinx.serialization.json.JsonObject
-import micatally.ledger.Keys
-import micatally.ledger.JobShard
+import micatally.membership.Keys
 import micatally.state.KeyValue
 import micatally.state.StateStoreClient
 import micatally.state.Urgency
--- a/src/main/kotlin/micatally/ledger/Membership.kt
+++ b/src/main/kotlin/micatally/membership/Membership.kt
@@ -1,11 +1,11 @@
-package micatally.ledger
+package micatally.membership
 
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import kotlinx.serialization.json.buildJsonObject
 import kotlinx.serialization.json.put
-import micatally.recovery.ArchivePlan
+import micatally.archive.ArchivePlan
 import micatally.settings.Settings
 import micatally.state.Compare
 import micatally.state.Put
@@ -32,7 +32,7 @@
     private val nowMs: () -> Long,
     private val archives: Boolean = false,
 ) {
-    private val log = LoggerFactory.getLogger("micatally.ledger")
+    private val log = LoggerFactory.getLogger("micatally.membership")
 
     /** Names this process, so that a restarted node does not mistake its predecessor's entries for its own. */
     val process: String = java.lang.Long.toString(random.nextLong(1, Long.MAX_VALUE), 36)
--- a/src/main/kotlin/micatally/ledger/SharedKeyCache.kt
+++ b/src/main/kotlin/micatally/membership/SharedKeyCache.kt
@@ -1,4 +1,4 @@
-package micatally.ledger
+package micatally.membership
 
 import kotlinx.serialization.json.JsonObject
 import micatally.state.KeyValue
--- a/src/main/kotlin/micatally/peer/OwnSummary.kt
+++ b/src/main/kotlin/micatally/peer/OwnSummary.kt
@@ -5,8 +5,8 @@
 import kotlinx.serialization.encodeToByteArray
 import kotlinx.serialization.protobuf.ProtoBuf
 import micatally.job.JobManager
-import micatally.ledger.Membership
-import micatally.placement.Scheduler
+import micatally.membership.Membership
+import micatally.scheduling.Scheduler
 import micatally.settings.Settings
 import micatally.wire.ResourceRequest
 import micatally.wire.HeldCapacity
--- a/src/main/kotlin/micatally/peer/PeerSummaries.kt
+++ b/src/main/kotlin/micatally/peer/PeerSummaries.kt
@@ -1,7 +1,7 @@
 package micatally.peer
 
-import micatally.ledger.Keys
-import micatally.ledger.Membership
+import micatally.membership.Keys
+import micatally.membership.Membership
 import micatally.settings.Settings
 import micatally.wire.Resources
 import micatally.wire.ResourceRequest
--- a/src/main/kotlin/micatally/peer/Peers.kt
+++ b/src/main/kotlin/micatally/peer/Peers.kt
@@ -15,9 +15,9 @@
 import micatally.http.Outcome
 import micatally.job.Job
 import micatally.job.JobManager
-import micatally.ledger.Keys
-import micatally.ledger.Membership
-import micatally.placement.Scheduler
+import micatally.membership.Keys
+import micatally.membership.Membership
+import micatally.scheduling.Scheduler
 import micatally.settings.Peer
 import micatally.settings.Settings
 import micatally.state.Put
--- a/src/main/kotlin/micatally/quota/AllotmentWriter.kt
+++ b/src/main/kotlin/micatally/quota/AllotmentWriter.kt
@@ -3,10 +3,10 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import micatally.ledger.SharedKeyCache
-import micatally.ledger.Keys
-import micatally.ledger.JobShard
-import micatally.ledger.ShardState
+import micatally.membership.SharedKeyCache
+import micatally.membership.Keys
+import micatally.job.JobShard
+import micatally.job.ShardState
 import micatally.settings.Team
 import micatally.settings.TeamDirectory
 import micatally.state.Compare
--- a/src/main/kotlin/micatally/quota/Quota.kt
+++ b/src/main/kotlin/micatally/quota/Quota.kt
@@ -2,10 +2,10 @@
 
 import kotlinx.coroutines.CoroutineScope
 import micatally.job.Job
-import micatally.ledger.SharedKeyCache
-import micatally.ledger.Keys
-import micatally.ledger.JobShard
-import micatally.ledger.ShardState
+import micatally.membership.SharedKeyCache
+import micatally.membership.Keys
+import micatally.job.JobShard
+import micatally.job.ShardState
 import micatally.settings.Team
 import micatally.settings.TeamDirectory
 import micatally.state.StateStoreClient
--- a/src/main/kotlin/micatally/scale/ControllerProcess.kt
+++ b/src/main/kotlin/micatally/scale/ControllerProcess.kt
@@ -1,6 +1,6 @@
 package micatally.scale
 
-import micatally.standin.ControllerPlace
+import micatally.emulator.ControllerPlace
 import java.nio.file.Files
 import java.nio.file.Path
 import java.util.concurrent.TimeUnit
--- a/src/main/kotlin/micatally/scale/CpuUsageLines.kt
+++ b/src/main/kotlin/micatally/scale/CpuUsageLines.kt
@@ -7,7 +7,7 @@
     val longestMs: Long,
 )
 
-/** Reads the lines that controllers log once a lease, see [micatally.node.CpuUsage]. */
+/** Reads the lines that controllers log once a lease, see [micatally.controller.CpuUsage]. */
 class CpuUsageLines(
     lines: List<String>,
 ) {
--- a/src/main/kotlin/micatally/scale/Failures.kt
+++ b/src/main/kotlin/micatally/scale/Failures.kt
@@ -5,8 +5,8 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.withContext
-import micatally.standin.LoopbackFleet
-import micatally.standin.WorkerEmulator
+import micatally.emulator.LoopbackFleet
+import micatally.emulator.WorkerEmulator
 import kotlin.random.Random
 
 /** Carries out the failures of a scenario at their times. */
--- a/src/main/kotlin/micatally/scale/Measurement.kt
+++ b/src/main/kotlin/micatally/scale/Measurement.kt
@@ -1,8 +1,8 @@
 package micatally.scale
 
 import micatally.cli.Loop
-import micatally.standin.LoopbackFleet
-import micatally.standin.StoredKeys
+import micatally.emulator.LoopbackFleet
+import micatally.emulator.StoredKeys
 import java.lang.management.ManagementFactory
 
 /** The figures of all roles at one moment. */
--- a/src/main/kotlin/micatally/scale/MessageCounters.kt
+++ b/src/main/kotlin/micatally/scale/MessageCounters.kt
@@ -1,6 +1,6 @@
 package micatally.scale
 
-import micatally.standin.MessageObserver
+import micatally.emulator.MessageObserver
 import java.util.concurrent.ConcurrentHashMap
 import java.util.concurrent.atomic.LongAdder
 
--- a/src/main/kotlin/micatally/scale/RunHistory.kt
+++ b/src/main/kotlin/micatally/scale/RunHistory.kt
@@ -1,11 +1,11 @@
 package micatally.scale
 
 import micatally.settings.Team
-import micatally.standin.FleetTasks
-import micatally.standin.OnMachine
-import micatally.standin.RuleChecker
-import micatally.standin.RuleViolation
-import micatally.standin.WorkerEmulator
+import micatally.emulator.FleetTasks
+import micatally.emulator.OnMachine
+import micatally.emulator.RuleChecker
+import micatally.emulator.RuleViolation
+import micatally.emulator.WorkerEmulator
 import micatally.wire.JobSpec
 
 /** A broken rule together with all that is known of the job that broke it. */
--- a/src/main/kotlin/micatally/scale/Users.kt
+++ b/src/main/kotlin/micatally/scale/Users.kt
@@ -5,7 +5,7 @@
 import kotlinx.coroutines.launch
 import micatally.http.HttpCaller
 import micatally.http.Outcome
-import micatally.standin.MessageObserver
+import micatally.emulator.MessageObserver
 import micatally.wire.JobAnswer
 import micatally.wire.MalformedMessage
 import micatally.wire.bytes
--- a/src/main/kotlin/micatally/placement/AllOrNothingPlacement.kt
+++ b/src/main/kotlin/micatally/scheduling/AllOrNothingPlacement.kt
@@ -1,4 +1,4 @@
-package micatally.placement
+package micatally.scheduling
 
 import micatally.gang.Gang
 import micatally.gang.GangAssignment
--- a/src/main/kotlin/micatally/placement/ClusterView.kt
+++ b/src/main/kotlin/micatally/scheduling/ClusterView.kt
@@ -1,4 +1,4 @@
-package micatally.placement
+package micatally.scheduling
 
 import micatally.settings.Settings
 import micatally.wire.Resources
--- a/src/main/kotlin/micatally/placement/MachineSelector.kt
+++ b/src/main/kotlin/micatally/scheduling/MachineSelector.kt
@@ -1,4 +1,4 @@
-package micatally.placement
+package micatally.scheduling
 
 import micatally.gang.GangCandidate
 import micatally.job.Attempt
--- a/src/main/kotlin/micatally/placement/Placement.kt
+++ b/src/main/kotlin/micatally/scheduling/Placement.kt
@@ -1,4 +1,4 @@
-package micatally.placement
+package micatally.scheduling
 
 import micatally.job.Attempt
 import micatally.job.Job
--- a/src/main/kotlin/micatally/placement/Preemption.kt
+++ b/src/main/kotlin/micatally/scheduling/Preemption.kt
@@ -1,9 +1,8 @@
-package micatally.placement
+package micatally.scheduling
 
 import micatally.job.Attempt
 import micatally.job.AttemptState
 import micatally.job.StopReason
-import micatally.queue.PriorityQueues
 import micatally.settings.Settings
 import micatally.wire.Resources
 import micatally.wire.MachineType
@@ -44,7 +43,7 @@
     private val queues: PriorityQueues,
     private val dispatcher: CommandDispatcher,
 ) {
-    private val log = LoggerFactory.getLogger("micatally.placement")
+    private val log = LoggerFactory.getLogger("micatally.scheduling")
 
     /** Room that stops under way will leave, as far as it is meant for a waiter already; worked out anew each round. */
     private val promised = HashMap<String, Resources>()
--- a/src/main/kotlin/micatally/queue/PriorityQueues.kt
+++ b/src/main/kotlin/micatally/scheduling/PriorityQueues.kt
@@ -1,4 +1,4 @@
-package micatally.queue
+package micatally.scheduling
 
 import micatally.job.Job
 
--- a/src/main/kotlin/micatally/placement/ReplicaMigration.kt
+++ b/src/main/kotlin/micatally/scheduling/ReplicaMigration.kt
@@ -1,4 +1,4 @@
-package micatally.placement
+package micatally.scheduling
 
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.launch
@@ -27,7 +27,7 @@
     private val dispatcher: CommandDispatcher,
     private val nowMs: () -> Long,
 ) {
-    private val log = LoggerFactory.getLogger("micatally.placement")
+    private val log = LoggerFactory.getLogger("micatally.scheduling")
 
     /** Replicas that were stopped to move go where room was kept for them. */
     fun place(
--- a/src/main/kotlin/micatally/placement/Scheduler.kt
+++ b/src/main/kotlin/micatally/scheduling/Scheduler.kt
@@ -1,4 +1,4 @@
-package micatally.placement
+package micatally.scheduling
 
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
@@ -7,8 +7,7 @@
 import micatally.job.Job
 import micatally.job.JobStore
 import micatally.job.JobManager
-import micatally.node.CpuUsage
-import micatally.queue.PriorityQueues
+import micatally.controller.CpuUsage
 import micatally.quota.Quota
 import micatally.settings.Settings
 import micatally.wire.Resources
@@ -32,7 +31,7 @@
     private val cpuUsage: CpuUsage,
     private val nowMs: () -> Long,
 ) {
-    private val log = LoggerFactory.getLogger("micatally.placement")
+    private val log = LoggerFactory.getLogger("micatally.scheduling")
     private val gapMs = maxOf(5L, settings.heartbeatIntervalMs / 40)
     private val budgetMs = maxOf(5L, settings.heartbeatIntervalMs / 40)
     private var asked = false
--- a/src/main/kotlin/micatally/settings/Operator.kt
+++ b/src/main/kotlin/micatally/settings/Operator.kt
@@ -1,6 +1,6 @@
 package micatally.settings
 
-import micatally.recovery.ArchiveMode
+import micatally.archive.ArchiveMode
 import java.util.Properties
 
 /** Operators' own settings, beyond the file that the platform hands over. Durations are multiples of a worker's lease or of a machine's boot. */
--- a/src/main/kotlin/micatally/upgrade/UpgradePlan.kt
+++ b/src/main/kotlin/micatally/upgrade/UpgradePlan.kt
@@ -1,7 +1,7 @@
 package micatally.upgrade
 
-import micatally.ledger.SharedKeyCache
-import micatally.ledger.Keys
+import micatally.membership.SharedKeyCache
+import micatally.membership.Keys
 import micatally.wire.longOrNull
 
 /**
--- a/src/main/kotlin/micatally/worker/CommandDispatcher.kt
+++ b/src/main/kotlin/micatally/worker/CommandDispatcher.kt
@@ -10,8 +10,8 @@
 import micatally.job.AttemptState
 import micatally.job.TerminationEvidence
 import micatally.job.StopReason
-import micatally.ledger.ShardState
-import micatally.ledger.Membership
+import micatally.job.ShardState
+import micatally.membership.Membership
 import micatally.settings.Settings
 import micatally.wire.Command
 import micatally.wire.Heartbeat
--- a/src/test/kotlin/micatally/api/RecordReadsTest.kt
+++ b/src/test/kotlin/micatally/api/RecordReadsTest.kt
@@ -8,7 +8,7 @@
 import kotlinx.coroutines.test.runTest
 import micatally.http.HttpCaller
 import micatally.http.Outcome
-import micatally.recovery.RecordLookup
+import micatally.archive.RecordLookup
 import micatally.state.RateBudget
 import micatally.state.ReadResult
 import micatally.state.StateStoreClient
--- a/src/test/kotlin/micatally/compatibility/MessagesTest.kt
+++ b/src/test/kotlin/micatally/compatibility/MessagesTest.kt
@@ -24,7 +24,7 @@
 import micatally.http.Server
 import micatally.http.errorResponse
 import micatally.peer.Peers
-import micatally.recovery.ArchiveMode
+import micatally.archive.ArchiveMode
 import micatally.settings.Operator
 import micatally.settings.Settings
 import micatally.settings.SettingsError
--- a/src/test/kotlin/micatally/compatibility/RecordedRun.kt
+++ b/src/test/kotlin/micatally/compatibility/RecordedRun.kt
@@ -6,7 +6,7 @@
 import kotlinx.serialization.json.JsonObject
 import kotlinx.serialization.protobuf.ProtoBuf
 import micatally.config.ConfigurationPaths
-import micatally.recovery.ArchiveMode
+import micatally.archive.ArchiveMode
 import micatally.settings.Operator
 import micatally.sim.Meeting
 import micatally.sim.SimFleet
--- a/src/test/kotlin/micatally/job/RecordPackingTest.kt
+++ b/src/test/kotlin/micatally/job/RecordPackingTest.kt
@@ -6,13 +6,11 @@
 import kotlinx.serialization.json.JsonPrimitive
 import micatally.http.HttpCaller
 import micatally.http.Outcome
-import micatally.ledger.SharedKeyCache
-import micatally.ledger.ShardLeader
-import micatally.ledger.Keys
-import micatally.ledger.JobShard
-import micatally.ledger.ShardState
+import micatally.membership.SharedKeyCache
+import micatally.membership.ShardLeader
+import micatally.membership.Keys
 import micatally.sim.SimFleet
-import micatally.standin.Rehearsal
+import micatally.emulator.Rehearsal
 import micatally.state.KeyValue
 import micatally.state.Listing
 import micatally.state.Put
--- a/src/test/kotlin/micatally/job/ShardRecordsTest.kt
+++ b/src/test/kotlin/micatally/job/ShardRecordsTest.kt
@@ -7,10 +7,9 @@
 import micatally.http.HttpCaller
 import micatally.http.HttpRequest
 import micatally.http.Outcome
-import micatally.ledger.ShardLeader
-import micatally.ledger.Keys
-import micatally.ledger.JobShard
-import micatally.standin.StateStoreEmulator
+import micatally.membership.ShardLeader
+import micatally.membership.Keys
+import micatally.emulator.StateStoreEmulator
 import micatally.state.RateBudget
 import micatally.state.StateStoreClient
 import org.junit.jupiter.api.Assertions.assertEquals
--- a/src/test/kotlin/micatally/quota/QuotaScheduleTest.kt
+++ b/src/test/kotlin/micatally/quota/QuotaScheduleTest.kt
@@ -1,6 +1,6 @@
 package micatally.quota
 
-import micatally.ledger.ShardState
+import micatally.job.ShardState
 import micatally.settings.Team
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
--- a/src/test/kotlin/micatally/scale/RunHistoryTest.kt
+++ b/src/test/kotlin/micatally/scale/RunHistoryTest.kt
@@ -4,10 +4,10 @@
 import micatally.http.HttpCaller
 import micatally.http.Outcome
 import micatally.settings.Team
-import micatally.standin.GangTable
-import micatally.standin.GangTimes
-import micatally.standin.WorkerEmulator
-import micatally.standin.WorkerWorld
+import micatally.emulator.GangTable
+import micatally.emulator.GangTimes
+import micatally.emulator.WorkerEmulator
+import micatally.emulator.WorkerWorld
 import micatally.wire.Resources
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
--- a/src/test/kotlin/micatally/sim/ConfigurationTest.kt
+++ b/src/test/kotlin/micatally/sim/ConfigurationTest.kt
@@ -7,7 +7,7 @@
 import micatally.config.ConfigurationPaths
 import micatally.config.ConfigurationWriter
 import micatally.job.AttemptState
-import micatally.ledger.Keys
+import micatally.membership.Keys
 import micatally.settings.Operator
 import micatally.settings.Team
 import micatally.upgrade.FormatVersion
--- a/src/test/kotlin/micatally/sim/LateWritesTest.kt
+++ b/src/test/kotlin/micatally/sim/LateWritesTest.kt
@@ -2,9 +2,9 @@
 
 import kotlinx.coroutines.launch
 import micatally.http.HttpRequest
-import micatally.ledger.LeadershipState
-import micatally.ledger.Keys
-import micatally.ledger.ShardState
+import micatally.membership.LeadershipState
+import micatally.membership.Keys
+import micatally.job.ShardState
 import micatally.wire.JobSpec
 import micatally.wire.bytes
 import org.junit.jupiter.api.Assertions.assertEquals
--- a/src/test/kotlin/micatally/sim/Meetings.kt
+++ b/src/test/kotlin/micatally/sim/Meetings.kt
@@ -4,8 +4,8 @@
 import kotlinx.coroutines.launch
 import kotlinx.serialization.json.JsonObject
 import kotlinx.serialization.json.JsonPrimitive
-import micatally.standin.Rehearsal
-import micatally.standin.WorkerEmulator
+import micatally.emulator.Rehearsal
+import micatally.emulator.WorkerEmulator
 import micatally.state.StateLimits
 import micatally.wire.JobSpec
 import micatally.wire.bytes
--- a/src/test/kotlin/micatally/sim/OperationsTest.kt
+++ b/src/test/kotlin/micatally/sim/OperationsTest.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import micatally.standin.RuleViolation
+import micatally.emulator.RuleViolation
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -155,7 +155,7 @@
     }
 
     /** Guard: a controller that can talk to no worker says that it is not healthy, accepts nothing, and leaves its ledger to one that
-     * can ([micatally.worker.WorkerReach], [micatally.ledger.Membership.shouldStepDown]). */
+     * can ([micatally.worker.WorkerReach], [micatally.membership.Membership.shouldStepDown]). */
     @Test
     fun `the jobs of a controller that is cut from the workers go on at another one, and short cuts move nothing`() {
         for (mode in CutMode.entries) {
--- a/src/test/kotlin/micatally/sim/RolloutTest.kt
+++ b/src/test/kotlin/micatally/sim/RolloutTest.kt
@@ -3,7 +3,7 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import micatally.http.HttpRequest
-import micatally.ledger.Keys
+import micatally.membership.Keys
 import micatally.state.StateLimits
 import micatally.wire.bytes
 import org.junit.jupiter.api.Assertions.assertEquals
--- a/src/test/kotlin/micatally/sim/RulesTest.kt
+++ b/src/test/kotlin/micatally/sim/RulesTest.kt
@@ -1,10 +1,10 @@
 package micatally.sim
 
 import micatally.settings.Team
-import micatally.standin.OnMachine
-import micatally.standin.Rehearsal
-import micatally.standin.RuleChecker
-import micatally.standin.RuleViolation
+import micatally.emulator.OnMachine
+import micatally.emulator.Rehearsal
+import micatally.emulator.RuleChecker
+import micatally.emulator.RuleViolation
 import micatally.wire.JobSpec
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertThrows
--- a/src/test/kotlin/micatally/sim/SimTest.kt
+++ b/src/test/kotlin/micatally/sim/SimTest.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import micatally.standin.OnMachine
+import micatally.emulator.OnMachine
 import micatally.state.StateLimits
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
--- a/src/test/kotlin/micatally/sim/TakeoverTest.kt
+++ b/src/test/kotlin/micatally/sim/TakeoverTest.kt
@@ -1,7 +1,7 @@
 package micatally.sim
 
 import kotlinx.coroutines.launch
-import micatally.ledger.Keys
+import micatally.membership.Keys
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertNotEquals
--- a/src/test/kotlin/micatally/upgrade/FormatTest.kt
+++ b/src/test/kotlin/micatally/upgrade/FormatTest.kt
@@ -11,11 +11,11 @@
 import micatally.job.AttemptState
 import micatally.job.Job
 import micatally.job.JobRecord
-import micatally.ledger.SharedKeyCache
-import micatally.ledger.ShardLeader
-import micatally.ledger.Keys
-import micatally.ledger.JobShard
-import micatally.ledger.ShardState
+import micatally.membership.SharedKeyCache
+import micatally.membership.ShardLeader
+import micatally.membership.Keys
+import micatally.job.JobShard
+import micatally.job.ShardState
 import micatally.state.KeyValue
 import micatally.state.Listing
 import micatally.wire.HeartbeatAcknowledgements
