--- a/src/main/kotlin/micatally/api/RecordReads.kt
+++ b/src/main/kotlin/micatally/api/RecordReads.kt
@@ -23,22 +23,22 @@
 ) {
     private val notSent = HashMap<String, CompletableDeferred<ReadResult>>()
 
-    suspend fun read(ref: String): ReadResult {
-        notSent[ref]?.let { return it.await() }
+    suspend fun read(jobId: String): ReadResult {
+        notSent[jobId]?.let { return it.await() }
         if (notSent.size >= mostWaiting) return ReadResult.Unavailable
         val answer = CompletableDeferred<ReadResult>()
-        notSent[ref] = answer
+        notSent[jobId] = answer
         try {
             val read =
                 withTimeoutOrNull(timeoutMs) {
                     val withinBudget = suspend { budget.take(1, Urgency.ACCEPTANCE) }
                     withinBudget()
-                    lookup.read(ref, Urgency.ACCEPTANCE, { withinBudget() }) { notSent.remove(ref, answer) }
+                    lookup.read(jobId, Urgency.ACCEPTANCE, { withinBudget() }) { notSent.remove(jobId, answer) }
                 } ?: ReadResult.Unavailable
             answer.complete(read)
             return read
         } finally {
-            notSent.remove(ref, answer)
+            notSent.remove(jobId, answer)
             answer.complete(ReadResult.Unavailable)
         }
     }
--- a/src/main/kotlin/micatally/api/UserApi.kt
+++ b/src/main/kotlin/micatally/api/UserApi.kt
@@ -89,37 +89,37 @@
             } catch (e: MalformedMessage) {
                 return errorResponse(400, e.message ?: "")
             }
-        val ref =
+        val jobId =
             try {
                 o.textOrNull("ref")
             } catch (e: MalformedMessage) {
                 null
             }
-        if (ref == null || !JobSpec.validRef(ref)) return errorResponse(400, "ref must look like j-000412")
-        local(ref)?.let { return ok(it) }
+        if (jobId == null || !JobSpec.isValidId(jobId)) return errorResponse(400, "ref must look like j-000412")
+        local(jobId)?.let { return ok(it) }
         // From here on a repeat of an accepted job must not be judged by what it says now.
         val spec =
             try {
                 JobSpec.parse(o)
             } catch (e: MalformedMessage) {
-                return knownOr(ref) {
+                return knownOr(jobId) {
                     errorResponse(
                         400,
                         e.message ?: "",
                     )
                 }
             }
-        if (machines.machineTypes.isEmpty()) return knownOr(ref) { later("the machine types are not known yet") }
+        if (machines.machineTypes.isEmpty()) return knownOr(jobId) { later("the machine types are not known yet") }
         if (impossible(spec) != null) {
             // Never on an old view: the team may have come, or its limit been raised, just now.
-            if (!teams.refresh()) return knownOr(ref) { later("the teams can't be looked up now") }
-            impossible(spec)?.let { why -> return knownOr(ref) { errorResponse(422, why) } }
+            if (!teams.refresh()) return knownOr(jobId) { later("the teams can't be looked up now") }
+            impossible(spec)?.let { why -> return knownOr(jobId) { errorResponse(422, why) } }
         }
         // The previous version would run a gang's tasks as if they were independent.
         if (spec.isGang &&
             !upgrade.isUniform
         ) {
-            return knownOr(ref) { later("gangs are served once all controllers are upgraded") }
+            return knownOr(jobId) { later("gangs are served once all controllers are upgraded") }
         }
         val shard = jobManager.own()
         if (shard == null || !stateReachable ||
@@ -127,12 +127,12 @@
         ) {
             return later("no contact with the state service")
         }
-        if (jobManager.isLoadOverdue(shard)) return knownOr(ref) { later("the ledger can't be loaded") }
-        if (reach.isCutOff && jobManager.job(ref) == null) return knownOr(ref) { later("no contact with the workers") }
+        if (jobManager.isLoadOverdue(shard)) return knownOr(jobId) { later("the ledger can't be loaded") }
+        if (reach.isCutOff && jobManager.job(jobId) == null) return knownOr(jobId) { later("no contact with the workers") }
         if (state.waitingWrites > settings.stateWriteRps) return later("too many submissions at once")
-        jobManager.job(ref)?.let {
+        jobManager.job(jobId)?.let {
             // Of a shard that it has taken over this node can't tell whether it is still its own.
-            return if (it.shard === shard) waitFor(it, 200) else knownOr(ref) { later("not stored yet") }
+            return if (it.shard === shard) waitFor(it, 200) else knownOr(jobId) { later("not stored yet") }
         }
         val job = jobManager.create(spec, shard)
         scheduler.placeJob(job, nowMs())
@@ -145,14 +145,14 @@
         status: Int,
     ): HttpResponse {
         val durable = withTimeoutOrNull(durableMs) { store.durable(job) } ?: return later("not stored yet")
-        if (!durable) return knownOr(job.ref) { later("not stored") }
+        if (!durable) return knownOr(job.jobId) { later("not stored") }
         if (!jobManager.cancellations.mayConfirm(job)) return later("a cancellation is under way")
         // Its end may have come and be on its way since.
-        if (job.endUnderWay || !membership.leaseHolds()) return knownOr(job.ref) { later("not stored yet") }
+        if (job.endUnderWay || !membership.leaseHolds()) return knownOr(job.jobId) { later("not stored yet") }
         return if (status == 201 &&
             job.durableState == JobState.OPEN
         ) {
-            HttpResponse(201, JobAnswer(job.ref, JobAnswer.PENDING, 0, 0).brief().bytes())
+            HttpResponse(201, JobAnswer(job.jobId, JobAnswer.PENDING, 0, 0).brief().bytes())
         } else {
             ok(job.answer())
         }
@@ -177,19 +177,19 @@
     }
 
     private suspend fun knownOr(
-        ref: String,
+        jobId: String,
         otherwise: () -> HttpResponse,
     ): HttpResponse =
-        when (val r = look(ref)) {
+        when (val r = look(jobId)) {
             is Look.Known -> ok(r.answer)
             Look.Missing -> otherwise()
             Look.Unclear -> later("the job can't be looked up now")
         }
 
-    suspend fun query(ref: String): HttpResponse {
-        if (!JobSpec.validRef(ref)) return errorResponse(404, "no such job")
-        local(ref)?.let { return ok(it) }
-        return when (val r = look(ref) { reads.read(ref) }) {
+    suspend fun query(jobId: String): HttpResponse {
+        if (!JobSpec.isValidId(jobId)) return errorResponse(404, "no such job")
+        local(jobId)?.let { return ok(it) }
+        return when (val r = look(jobId) { reads.read(jobId) }) {
             is Look.Known -> ok(r.answer)
             Look.Missing -> errorResponse(404, "no such job")
             Look.Unclear -> later("the job can't be looked up now")
@@ -198,9 +198,9 @@
 
     /** What this node may say from memory: final states, which never change, and its own jobs while nobody else can
      * have taken their shard. */
-    private fun local(ref: String): JobAnswer? {
-        jobManager.final(ref)?.let { return it }
-        val job = jobManager.job(ref) ?: return null
+    private fun local(jobId: String): JobAnswer? {
+        jobManager.final(jobId)?.let { return it }
+        val job = jobManager.job(jobId) ?: return null
         if (job.durableState == JobState.NEW || job.endUnderWay || !membership.leaseHolds()) return null
         // This node's lease keeps others from its own shard only: a shard that it took over goes back to its host the
         // moment that host starts again, so of its jobs only the state service can tell.
@@ -219,20 +219,20 @@
     }
 
     private suspend fun look(
-        ref: String,
+        jobId: String,
         read: suspend () -> ReadResult = {
-            lookup.read(ref, Urgency.ACCEPTANCE)
+            lookup.read(jobId, Urgency.ACCEPTANCE)
         },
     ): Look {
-        val cached = shardOf.getIfPresent(ref)
-        if (cached != null) askHolder(cached, Peers.QUERY, ref)?.let { return Look.Known(it) }
+        val cached = shardOf.getIfPresent(jobId)
+        if (cached != null) askHolder(cached, Peers.QUERY, jobId)?.let { return Look.Known(it) }
         if (!stateReachable) return Look.Unclear
         return when (val found = read()) {
             is ReadResult.Unavailable -> Look.Unclear
             is ReadResult.Missing -> Look.Missing
             is ReadResult.Found ->
                 try {
-                    readable(ref) { judge(ref, found.item.value) }
+                    readable(jobId) { judge(jobId, found.item.value) }
                 } catch (e: UnreadableRecord) {
                     Look.Unclear
                 }
@@ -240,17 +240,17 @@
     }
 
     private fun judge(
-        ref: String,
+        jobId: String,
         record: JsonObject,
     ): Look {
-        shardOf.put(ref, JobRecord.shardOf(record))
+        shardOf.put(jobId, JobRecord.shardOf(record))
         // Cancelled, but not all controllers know of it yet: only its owner can tell when they do.
         if (!JobRecord.isCancellationConfirmable(record)) return Look.Unclear
-        return Look.Known(fromRecord(ref, record))
+        return Look.Known(fromRecord(jobId, record))
     }
 
     private fun fromRecord(
-        ref: String,
+        jobId: String,
         o: JsonObject,
     ): JobAnswer {
         val tasks = JobRecord.attemptCount(o)
@@ -261,7 +261,7 @@
                 else -> if (tasks > 0) JobAnswer.RUNNING else JobAnswer.PENDING
             }
         return JobAnswer(
-            ref,
+            jobId,
             status,
             JobRecord.doneCount(o),
             if (status ==
@@ -277,22 +277,22 @@
     private suspend fun askHolder(
         shard: String,
         what: String,
-        ref: String,
+        jobId: String,
     ): JobAnswer? {
         val host = membership.sharedKeys.leader(shard)?.host ?: return null
         if (host == settings.host || !membership.sharedKeys.isLive(host) || !peers.reaches(host)) return null
-        val a = peers.ask(host, what, ref, askMs) ?: return null
-        return JobAnswer(ref, a.status, a.done, a.running).also { jobManager.rememberFinal(it) }
+        val a = peers.ask(host, what, jobId, askMs) ?: return null
+        return JobAnswer(jobId, a.status, a.done, a.running).also { jobManager.rememberFinal(it) }
     }
 
-    suspend fun cancel(ref: String): HttpResponse {
-        if (!JobSpec.validRef(ref)) return errorResponse(404, "no such job")
-        jobManager.final(ref)?.let { return brief(it) }
-        withdrawHere(ref)?.let { return brief(it) }
-        if (jobManager.job(ref) != null) return later("the cancellation is not known everywhere yet")
-        val cached = shardOf.getIfPresent(ref)
+    suspend fun cancel(jobId: String): HttpResponse {
+        if (!JobSpec.isValidId(jobId)) return errorResponse(404, "no such job")
+        jobManager.final(jobId)?.let { return brief(it) }
+        withdrawHere(jobId)?.let { return brief(it) }
+        if (jobManager.job(jobId) != null) return later("the cancellation is not known everywhere yet")
+        val cached = shardOf.getIfPresent(jobId)
         if (cached == null) {
-            when (val r = look(ref)) {
+            when (val r = look(jobId)) {
                 Look.Missing -> return errorResponse(404, "no such job")
                 Look.Unclear -> return later("the job can't be looked up now")
                 is Look.Known ->
@@ -303,16 +303,16 @@
                     }
             }
         }
-        val shard = shardOf.getIfPresent(ref) ?: return later("the job's owner is not known")
-        withdrawHere(ref)?.let { return brief(it) }
-        return askHolder(shard, Peers.CANCEL, ref)?.let { brief(it) } ?: later("the job's owner can't be reached")
+        val shard = shardOf.getIfPresent(jobId) ?: return later("the job's owner is not known")
+        withdrawHere(jobId)?.let { return brief(it) }
+        return askHolder(shard, Peers.CANCEL, jobId)?.let { brief(it) } ?: later("the job's owner can't be reached")
     }
 
     private fun brief(a: JobAnswer) = HttpResponse(200, a.brief().bytes())
 
     /** Withdraws a job of this node's; null if it isn't, or if the state service has not taken it in time. */
-    private suspend fun withdrawHere(ref: String): JobAnswer? {
-        val job = jobManager.job(ref) ?: return null
+    private suspend fun withdrawHere(jobId: String): JobAnswer? {
+        val job = jobManager.job(jobId) ?: return null
         if (!membership.leaseHolds() && !stateReachable) return null
         jobManager.cancel(job)
         val ok = withTimeoutOrNull(durableMs) { store.durable(job) } ?: false
@@ -326,10 +326,10 @@
 
     // The same for other controllers
 
-    fun peerQuery(ref: String): PeerJobResponse =
-        local(ref)?.let { PeerJobResponse(true, it.status, it.done, it.running) } ?: PeerJobResponse()
+    fun peerQuery(jobId: String): PeerJobResponse =
+        local(jobId)?.let { PeerJobResponse(true, it.status, it.done, it.running) } ?: PeerJobResponse()
 
-    suspend fun peerCancel(ref: String): PeerJobResponse =
-        (jobManager.final(ref) ?: withdrawHere(ref))?.let { PeerJobResponse(true, it.status, it.done, it.running) }
+    suspend fun peerCancel(jobId: String): PeerJobResponse =
+        (jobManager.final(jobId) ?: withdrawHere(jobId))?.let { PeerJobResponse(true, it.status, it.done, it.running) }
             ?: PeerJobResponse()
 }
--- a/src/main/kotlin/micatally/api/WorkerApi.kt
+++ b/src/main/kotlin/micatally/api/WorkerApi.kt
@@ -79,7 +79,7 @@
         r: Heartbeat,
     ) = before.size != r.tasks.size || r.spotNoticeS != null ||
         before.zip(r.tasks).any { (a, b) ->
-            a.ref != b.ref || a.taskIndex != b.taskIndex || a.attempt != b.attempt ||
+            a.jobId != b.jobId || a.taskIndex != b.taskIndex || a.attempt != b.attempt ||
                 a.status != b.status
         }
 
@@ -87,8 +87,8 @@
     private fun killsFor(r: Heartbeat): List<Command> =
         r.tasks
             .filter {
-                !it.ended && cancelledTasks.has(r.machine, AttemptId(it.ref, it.taskIndex, it.attempt))
-            }.map { Command(CommandType.KILL, it.ref, it.taskIndex, it.attempt, 0.0) }
+                !it.ended && cancelledTasks.has(r.machine, AttemptId(it.jobId, it.taskIndex, it.attempt))
+            }.map { Command(CommandType.KILL, it.jobId, it.taskIndex, it.attempt, 0.0) }
 
     private fun refuse(): HttpResponse {
         val other = peers.leadingPeer()
--- a/src/main/kotlin/micatally/archive/RecordArchive.kt
+++ b/src/main/kotlin/micatally/archive/RecordArchive.kt
@@ -128,10 +128,10 @@
     ): Map<JobShard, List<KeyValue>> {
         val found = HashMap<JobShard, MutableList<KeyValue>>()
         for (item in page) {
-            val ref = item.key.removePrefix(prefix)
-            val shard = shardOf(ref, item) ?: continue
+            val jobId = item.key.removePrefix(prefix)
+            val shard = shardOf(jobId, item) ?: continue
             // A job that this node still knows may be written once more.
-            if (ref in shard.jobs || ref in refused) continue
+            if (jobId in shard.jobs || jobId in refused) continue
             found.getOrPut(shard) { ArrayList() }.add(item)
         }
         return found
@@ -139,12 +139,12 @@
 
     /** Null if the record is open, unreadable, or of a shard that this node does not hold. */
     private fun shardOf(
-        ref: String,
+        jobId: String,
         item: KeyValue,
     ): JobShard? =
         try {
             readable(
-                ref,
+                jobId,
             ) { if (JobRecord.isSettled(item.value)) shards.loaded(JobRecord.shardOf(item.value)) else null }
         } catch (e: UnreadableRecord) {
             log.debug("not archived: {}", e.message)
--- a/src/main/kotlin/micatally/archive/RecordLookup.kt
+++ b/src/main/kotlin/micatally/archive/RecordLookup.kt
@@ -16,14 +16,14 @@
     /** @param onSend runs when the first request leaves: what is asked from then on may be newer than the answer
      * @param beforeSecond runs before the second request, where one is needed */
     suspend fun read(
-        ref: String,
+        jobId: String,
         urgency: Urgency,
         beforeSecond: suspend () -> Unit = {},
         onSend: () -> Unit = {},
     ): ReadResult {
-        val open = state.get(Keys.job(ref), urgency, onSend)
+        val open = state.get(Keys.job(jobId), urgency, onSend)
         if (open !is ReadResult.Missing || !mayBeArchived()) return open
         beforeSecond()
-        return state.get(Keys.final(ref), urgency)
+        return state.get(Keys.final(jobId), urgency)
     }
 }
--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -390,11 +390,11 @@
                     Peers.CANCELLED_TASKS -> peers.takeCancelledTasks(r.body)
                     Peers.QUERY ->
                         ProtoBuf.encodeToByteArray(
-                            users.peerQuery(ProtoBuf.decodeFromByteArray<PeerJobRequest>(r.body).ref),
+                            users.peerQuery(ProtoBuf.decodeFromByteArray<PeerJobRequest>(r.body).jobId),
                         )
                     Peers.CANCEL ->
                         ProtoBuf.encodeToByteArray(
-                            users.peerCancel(ProtoBuf.decodeFromByteArray<PeerJobRequest>(r.body).ref),
+                            users.peerCancel(ProtoBuf.decodeFromByteArray<PeerJobRequest>(r.body).jobId),
                         )
                     else ->
                         configuration.handle(r.path, r.body) ?: return errorResponse(404, "no such resource")
--- a/src/main/kotlin/micatally/emulator/GangEmulator.kt
+++ b/src/main/kotlin/micatally/emulator/GangEmulator.kt
@@ -53,12 +53,12 @@
         attempt: Long,
         totalMs: Long,
     ): GangRun =
-        runs.getOrPut(spec.ref to attempt) {
+        runs.getOrPut(spec.jobId to attempt) {
             GangRun(spec, totalMs)
         }
 
     /** Progress of a job that no failure takes back. */
-    fun safeProgressMs(ref: String): Long = safeProgressMs[ref] ?: 0L
+    fun safeProgressMs(jobId: String): Long = safeProgressMs[jobId] ?: 0L
 
     /** One try of a gang, as the workers see it. */
     inner class GangRun(
@@ -114,7 +114,7 @@
                 over = true
                 saved = true
                 savedStops++
-                safeProgressMs[spec.ref] = stoppedAtMs
+                safeProgressMs[spec.jobId] = stoppedAtMs
             }
             if (!over) fail()
             leaveWith(member, ExitReason.STOPPED, saved)
@@ -127,7 +127,7 @@
             stoppedAtMs = ms
         }
 
-        private fun progressMs() = minOf(totalMs, safeProgressMs(spec.ref) + nowMs() - (startedAtMs ?: nowMs()))
+        private fun progressMs() = minOf(totalMs, safeProgressMs(spec.jobId) + nowMs() - (startedAtMs ?: nowMs()))
 
         private fun leaveWith(
             member: GangMember,
@@ -143,7 +143,7 @@
             over = true
             val reached = if (firstKillMs != null) stoppedAtMs else progressMs()
             val step = (spec.checkpointS * 1000).toLong()
-            if (step > 0) safeProgressMs[spec.ref] = maxOf(safeProgressMs(spec.ref), reached / step * step)
+            if (step > 0) safeProgressMs[spec.jobId] = maxOf(safeProgressMs(spec.jobId), reached / step * step)
             for (member in members.values.toList()) {
                 scope.launch {
                     delay(random.nextLong(times.peerMs))
--- a/src/main/kotlin/micatally/emulator/LoopbackFleet.kt
+++ b/src/main/kotlin/micatally/emulator/LoopbackFleet.kt
@@ -175,32 +175,32 @@
         return worker
     }
 
-    override fun spec(ref: String) = tasks.spec(ref)
+    override fun spec(jobId: String) = tasks.spec(jobId)
 
     override fun runMs(
-        ref: String,
+        jobId: String,
         taskIndex: Int,
-    ) = tasks.runMs(ref, taskIndex)
+    ) = tasks.runMs(jobId, taskIndex)
 
     override fun completed(
-        ref: String,
+        jobId: String,
         taskIndex: Int,
-    ) = (ref to taskIndex) in completed
+    ) = (jobId to taskIndex) in completed
 
     override fun started(
         machine: WorkerEmulator,
-        ref: String,
+        jobId: String,
         taskIndex: Int,
-    ) = tasks.started(machine, ref, taskIndex)
+    ) = tasks.started(machine, jobId, taskIndex)
 
     override fun left(
         machine: WorkerEmulator,
-        ref: String,
+        jobId: String,
         taskIndex: Int,
         done: Boolean,
     ) {
-        if (done) completed.add(ref to taskIndex)
-        tasks.left(machine, ref, taskIndex, done)
+        if (done) completed.add(jobId to taskIndex)
+        tasks.left(machine, jobId, taskIndex, done)
     }
 
     /** The settings file of a controller among [all]. */
--- a/src/main/kotlin/micatally/emulator/Rehearsal.kt
+++ b/src/main/kotlin/micatally/emulator/Rehearsal.kt
@@ -28,25 +28,25 @@
     private val specs = HashMap<String, JobSpec>()
 
     fun upload(spec: JobSpec) {
-        specs[spec.ref] = spec
+        specs[spec.jobId] = spec
     }
 
-    override fun spec(ref: String) = specs[ref]
+    override fun spec(jobId: String) = specs[jobId]
 
     override fun runMs(
-        ref: String,
+        jobId: String,
         taskIndex: Int,
-    ) = if (specs[ref]?.isService == true) null else TASK_MS
+    ) = if (specs[jobId]?.isService == true) null else TASK_MS
 
     override fun started(
         machine: WorkerEmulator,
-        ref: String,
+        jobId: String,
         taskIndex: Int,
     ) {}
 
     override fun left(
         machine: WorkerEmulator,
-        ref: String,
+        jobId: String,
         taskIndex: Int,
         done: Boolean,
     ) {}
--- a/src/main/kotlin/micatally/emulator/RuleChecker.kt
+++ b/src/main/kotlin/micatally/emulator/RuleChecker.kt
@@ -14,7 +14,7 @@
 
 /** A task on a machine, as the outside world sees it. */
 data class OnMachine(
-    val ref: String,
+    val jobId: String,
     val taskIndex: Int,
     val machine: String,
     val type: String,
@@ -53,29 +53,29 @@
         private set
 
     fun submitted(spec: JobSpec) {
-        specs[spec.ref] = spec
+        specs[spec.jobId] = spec
     }
 
-    fun asksToCancel(ref: String) {
-        cancelAsked.add(ref)
+    fun asksToCancel(jobId: String) {
+        cancelAsked.add(jobId)
     }
 
-    fun isAccepted(ref: String) = ref in accepted
+    fun isAccepted(jobId: String) = jobId in accepted
 
     val acceptedJobs get() = accepted.toList()
 
-    fun isFinal(ref: String) = ref in toldDoneAt || ref in toldCancelledAt
+    fun isFinal(jobId: String) = jobId in toldDoneAt || jobId in toldCancelledAt
 
-    fun isCancelled(ref: String) = ref in toldCancelledAt
+    fun isCancelled(jobId: String) = jobId in toldCancelledAt
 
-    fun isDone(ref: String) = ref in toldDoneAt
+    fun isDone(jobId: String) = jobId in toldDoneAt
 
-    fun cancelledAt(ref: String) = toldCancelledAt[ref]
+    fun cancelledAt(jobId: String) = toldCancelledAt[jobId]
 
-    fun isAskedToCancel(ref: String) = ref in cancelAsked
+    fun isAskedToCancel(jobId: String) = jobId in cancelAsked
 
     private fun used(team: String) =
-        running.map { specs.getValue(it.ref) }.filter { it.team == team }.fold(Resources.NONE) { a, s ->
+        running.map { specs.getValue(it.jobId) }.filter { it.team == team }.fold(Resources.NONE) { a, s ->
             a +
                 s.resources
         }
@@ -98,16 +98,16 @@
         starts++
         running
             .filter {
-                it.ref == t.ref && it.taskIndex == t.taskIndex
+                it.jobId == t.jobId && it.taskIndex == t.taskIndex
             }.let { if (it.isNotEmpty()) throw RuleViolation("ran_twice", "$t while on ${it.first().machine}") }
-        val spec = specs[t.ref] ?: throw RuleViolation("invented", "$t of a job that nobody submitted")
+        val spec = specs[t.jobId] ?: throw RuleViolation("invented", "$t of a job that nobody submitted")
         if (spec.types != null && t.type !in spec.types || spec.zone != null && spec.zone != t.zone ||
             t.spot && !spec.spot
         ) {
             throw RuleViolation("wrong_place", "$t")
         }
         running.add(t)
-        val mine = running.filter { it.ref == t.ref }
+        val mine = running.filter { it.jobId == t.jobId }
         if (spec.together &&
             mine.any { it.zone != t.zone }
         ) {
@@ -125,25 +125,25 @@
         ) {
             throw RuleViolation("quota", "${spec.team} uses $used")
         }
-        toldCancelledAt[t.ref]?.let {
+        toldCancelledAt[t.jobId]?.let {
             startsAfterCancel++
             if (now - it > cancelMs) throw RuleViolation("ran_cancelled", "$t started ${now - it} ms after")
         }
     }
 
-    /** A controller sends a command to start [ref]'s task. [known] tells whether it was sent before. */
+    /** A controller sends a command to start [jobId]'s task. [known] tells whether it was sent before. */
     fun runSent(
-        ref: String,
+        jobId: String,
         now: Long,
         known: Boolean,
     ) {
-        val at = toldCancelledAt[ref] ?: return
+        val at = toldCancelledAt[jobId] ?: return
         if (now <= at) return
         runsSentAfterCancel++
         if (!known) {
             throw RuleViolation(
                 "ran_cancelled",
-                "a first command to start $ref left ${now - at} ms after its cancellation",
+                "a first command to start $jobId left ${now - at} ms after its cancellation",
             )
         }
     }
@@ -154,12 +154,12 @@
     ) {
         running.remove(t)
         if (!done) return
-        val tasks = completed.getOrPut(t.ref) { HashSet() }
+        val tasks = completed.getOrPut(t.jobId) { HashSet() }
         // The tasks of a gang complete together.
-        if (specs[t.ref]?.isGang ==
+        if (specs[t.jobId]?.isGang ==
             true
         ) {
-            tasks.addAll(0 until specs.getValue(t.ref).taskCount)
+            tasks.addAll(0 until specs.getValue(t.jobId).taskCount)
         } else {
             tasks.add(t.taskIndex)
         }
@@ -169,7 +169,7 @@
     fun check(now: Long) {
         for (t in running) {
             if (!hangs(t.machine)) {
-                toldCancelledAt[t.ref]?.let {
+                toldCancelledAt[t.jobId]?.let {
                     if (now - it >
                         cancelMs
                     ) {
@@ -186,84 +186,84 @@
         troublesOverAt: Long,
         silentMs: Long = 75_000,
     ) {
-        for (ref in accepted) {
-            val last = maxOf(answeredAt[ref] ?: 0L, troublesOverAt)
+        for (jobId in accepted) {
+            val last = maxOf(answeredAt[jobId] ?: 0L, troublesOverAt)
             if (now - last > silentMs &&
-                !isFinal(ref)
+                !isFinal(jobId)
             ) {
-                throw RuleViolation("forgotten", "no question about $ref was answered for ${now - last} ms")
+                throw RuleViolation("forgotten", "no question about $jobId was answered for ${now - last} ms")
             }
         }
     }
 
     /** [sentAt] is when the question left: an answer may be as old as its question. */
     fun answeredSubmit(
-        ref: String,
+        jobId: String,
         status: Int,
         word: String? = null,
         now: Long = 0,
         sentAt: Long = now,
     ) {
         if (status == 200 || status == 201) {
-            accepted.add(ref)
-            if (word != null) told(ref, word, now, sentAt)
+            accepted.add(jobId)
+            if (word != null) told(jobId, word, now, sentAt)
         }
-        if (ref in accepted && sentAt >= (toldAcceptedAt[ref] ?: 0L) &&
+        if (jobId in accepted && sentAt >= (toldAcceptedAt[jobId] ?: 0L) &&
             (status == 400 || status == 422)
         ) {
-            throw RuleViolation("forgotten", "a repeat of $ref is answered $status")
+            throw RuleViolation("forgotten", "a repeat of $jobId is answered $status")
         }
     }
 
     /** [sentAt] is when the question left: an answer may be as old as its question. */
     fun answeredPoll(
-        ref: String,
+        jobId: String,
         status: Int,
         word: String?,
         now: Long,
         sentAt: Long = now,
     ) {
-        if (status == 404 && ref in accepted &&
-            sentAt >= (toldAcceptedAt[ref] ?: 0L)
+        if (status == 404 && jobId in accepted &&
+            sentAt >= (toldAcceptedAt[jobId] ?: 0L)
         ) {
-            throw RuleViolation("forgotten", "$ref is answered 404")
+            throw RuleViolation("forgotten", "$jobId is answered 404")
         }
         if (status != 200) return
-        if (ref !in specs) throw RuleViolation("invented", ref)
-        told(ref, word, now, sentAt)
+        if (jobId !in specs) throw RuleViolation("invented", jobId)
+        told(jobId, word, now, sentAt)
     }
 
     fun told(
-        ref: String,
+        jobId: String,
         word: String?,
         now: Long,
         sentAt: Long = now,
     ) {
-        accepted.add(ref)
-        toldAcceptedAt.putIfAbsent(ref, now)
-        answeredAt[ref] = now
-        if (toldDoneAt[ref]?.let { it <= sentAt } == true &&
+        accepted.add(jobId)
+        toldAcceptedAt.putIfAbsent(jobId, now)
+        answeredAt[jobId] = now
+        if (toldDoneAt[jobId]?.let { it <= sentAt } == true &&
             word != "done"
         ) {
-            throw RuleViolation("went_back", "$ref was done and is called $word")
+            throw RuleViolation("went_back", "$jobId was done and is called $word")
         }
-        if (toldCancelledAt[ref]?.let { it <= sentAt } == true &&
+        if (toldCancelledAt[jobId]?.let { it <= sentAt } == true &&
             word != "withdrawn"
         ) {
-            throw RuleViolation("went_back", "$ref was cancelled and is called $word")
+            throw RuleViolation("went_back", "$jobId was cancelled and is called $word")
         }
         if (word == "done") {
-            val spec = specs.getValue(ref)
+            val spec = specs.getValue(jobId)
             if (spec.format == Format.SERVICE ||
-                (completed[ref]?.size ?: 0) < spec.taskCount
+                (completed[jobId]?.size ?: 0) < spec.taskCount
             ) {
-                throw RuleViolation("not_done", "$ref has ${completed[ref]?.size ?: 0} of ${spec.taskCount}")
+                throw RuleViolation("not_done", "$jobId has ${completed[jobId]?.size ?: 0} of ${spec.taskCount}")
             }
-            toldDoneAt.putIfAbsent(ref, now)
+            toldDoneAt.putIfAbsent(jobId, now)
         }
         if (word == "withdrawn") {
-            if (ref !in cancelAsked) throw RuleViolation("went_back", "$ref was never cancelled by its user")
-            toldCancelledAt.putIfAbsent(ref, now)
+            if (jobId !in cancelAsked) throw RuleViolation("went_back", "$jobId was never cancelled by its user")
+            toldCancelledAt.putIfAbsent(jobId, now)
         }
     }
 }
--- a/src/main/kotlin/micatally/emulator/WorkerEmulator.kt
+++ b/src/main/kotlin/micatally/emulator/WorkerEmulator.kt
@@ -30,23 +30,23 @@
 
 /** What the tasks of a fleet do and who hears of their starts and ends. */
 interface FleetTasks {
-    fun spec(ref: String): JobSpec?
+    fun spec(jobId: String): JobSpec?
 
     /** How long a task takes without its image, in milliseconds; null: until it is stopped. */
     fun runMs(
-        ref: String,
+        jobId: String,
         taskIndex: Int,
     ): Long?
 
     fun started(
         machine: WorkerEmulator,
-        ref: String,
+        jobId: String,
         taskIndex: Int,
     )
 
     fun left(
         machine: WorkerEmulator,
-        ref: String,
+        jobId: String,
         taskIndex: Int,
         done: Boolean,
     )
@@ -55,12 +55,12 @@
 /** What tells the emulator of a worker about jobs, and what hears of starts and ends. */
 interface WorkerWorld : FleetTasks {
     fun completed(
-        ref: String,
+        jobId: String,
         taskIndex: Int,
     ): Boolean
 
     /** Whether the job was submitted with a mistake: its tasks fail on every machine. */
-    fun isBroken(ref: String): Boolean = false
+    fun isBroken(jobId: String): Boolean = false
 
     val gangs: GangTable
 }
@@ -84,7 +84,7 @@
     private val nowMs: () -> Long,
 ) {
     class Task(
-        val ref: String,
+        val jobId: String,
         val taskIndex: Int,
         val attempt: Long,
         val resources: Resources,
@@ -131,7 +131,7 @@
     ) {
         t.status = "waiting"
         changed = true
-        val run = world.gangs.run(spec, t.attempt, world.runMs(t.ref, 0) ?: 0L)
+        val run = world.gangs.run(spec, t.attempt, world.runMs(t.jobId, 0) ?: 0L)
         val member = Member(t)
         t.run = run
         t.member = member
@@ -194,7 +194,7 @@
 
     private fun drop(t: Task) {
         t.job?.cancel()
-        if (t.isOnMachine) world.left(this, t.ref, t.taskIndex, false)
+        if (t.isOnMachine) world.left(this, t.jobId, t.taskIndex, false)
         leaveGang(t)
     }
 
@@ -223,7 +223,7 @@
                 JsonArray(
                     tasks.values.map { t ->
                         buildJsonObject {
-                            put("lap", "${t.ref}/${t.taskIndex}")
+                            put("lap", "${t.jobId}/${t.taskIndex}")
                             put("start", t.attempt)
                             put("status", t.status)
                             if (t.why != null) put("retire_reason", t.why)
@@ -302,9 +302,9 @@
     private fun execute(o: JsonObject) {
         for (c in (o.listOrNull("radio") ?: emptyList()).map { it.asObject() }) {
             val name = c.text("lap")
-            val ref = name.substringBeforeLast('/')
+            val jobId = name.substringBeforeLast('/')
             val taskIndex = name.substringAfterLast('/').toInt()
-            val id = Triple(ref, taskIndex, c.long("start"))
+            val id = Triple(jobId, taskIndex, c.long("start"))
             when (c.text("call")) {
                 "run" -> run(id)
                 "kill" -> tasks[id]?.let { kill(it, c.numberOrNull("cooldown_s") ?: 0.0) }
@@ -321,7 +321,7 @@
         t.status = "ended"
         t.why = why
         changed = true
-        if (wasOnMachine) world.left(this, t.ref, t.taskIndex, why == "done")
+        if (wasOnMachine) world.left(this, t.jobId, t.taskIndex, why == "done")
         leaveGang(t)
     }
 
@@ -334,7 +334,7 @@
         val live = tasks.values.filter { it !== t && it.status != "ended" }
         when {
             spec == null || t.taskIndex !in 0 until spec.taskCount -> end(t, "unknown")
-            live.any { it.ref == t.ref && it.taskIndex == t.taskIndex } -> end(t, "in_use")
+            live.any { it.jobId == t.jobId && it.taskIndex == t.taskIndex } -> end(t, "in_use")
             !t.resources.fitsIn(live.fold(total) { a, b -> a - b.resources }) -> end(t, "full")
             else ->
                 t.job =
@@ -348,21 +348,21 @@
                         while (hung) delay(50)
                         t.status = "running"
                         changed = true
-                        world.started(this@WorkerEmulator, t.ref, t.taskIndex)
-                        if (spec.isGang && !sick && !world.completed(t.ref, t.taskIndex)) {
+                        world.started(this@WorkerEmulator, t.jobId, t.taskIndex)
+                        if (spec.isGang && !sick && !world.completed(t.jobId, t.taskIndex)) {
                             joinGang(t, spec)
                             return@launch
                         }
-                        if (sick || world.isBroken(t.ref)) {
+                        if (sick || world.isBroken(t.jobId)) {
                             delay(FAILS_AFTER_MS)
                             end(t, "error")
                             return@launch
                         }
-                        if (world.completed(t.ref, t.taskIndex)) {
+                        if (world.completed(t.jobId, t.taskIndex)) {
                             end(t, "done")
                             return@launch
                         }
-                        val ms = world.runMs(t.ref, t.taskIndex) ?: return@launch
+                        val ms = world.runMs(t.jobId, t.taskIndex) ?: return@launch
                         delay(ms)
                         while (hung) delay(50)
                         end(t, "done")
@@ -375,7 +375,7 @@
         grace: Double,
     ) {
         if (t.status == "ended") return
-        val spec = world.spec(t.ref)
+        val spec = world.spec(t.jobId)
         val mayGrace = spec != null && spec.checkpointS > 0 && grace >= spec.saveS && grace > 0
         val run = t.run
         if (t.status == "running" && mayGrace && run != null) {
--- a/src/main/kotlin/micatally/gang/GangSupervisor.kt
+++ b/src/main/kotlin/micatally/gang/GangSupervisor.kt
@@ -43,7 +43,7 @@
         if (attempt.state == AttemptState.WAITING) gang.taskWaits(nowMs())
         if (attempt.state >= AttemptState.RUNNING && gang.phase == GangPhase.WAITING) {
             gang.taskRuns()
-            log.info("gang {}#{} runs", job.ref, gang.number)
+            log.info("gang {}#{} runs", job.jobId, gang.number)
             review(job, nowMs())
         }
     }
@@ -96,7 +96,7 @@
         val gang = job.gang ?: return
         if (job.state != JobState.OPEN || !GangPolicy.mayStopOrderly(job, gang) { isReachable(it.machine) }) return
         gang.beginStop()
-        log.info("gang {}#{} is stopped: {}", job.ref, gang.number, why)
+        log.info("gang {}#{} is stopped: {}", job.jobId, gang.number, why)
         stopAll(job, StopReason.DRAIN)
     }
 
@@ -106,7 +106,7 @@
         why: String,
     ) {
         gang.beginEnd()
-        log.info("gang {}#{} ends: {}", job.ref, gang.number, why)
+        log.info("gang {}#{} ends: {}", job.jobId, gang.number, why)
         stopAll(job, StopReason.GANG_ENDED)
         if (job.attempts.isEmpty()) gang.allTerminated()
     }
--- a/src/main/kotlin/micatally/job/Attempt.kt
+++ b/src/main/kotlin/micatally/job/Attempt.kt
@@ -56,7 +56,7 @@
         nowMs: Long,
     ) {
         if (next == state) return
-        check(next.ordinal > state.ordinal) { "attempt ${job.ref}/$taskIndex#$number may not go from $state to $next" }
+        check(next.ordinal > state.ordinal) { "attempt ${job.jobId}/$taskIndex#$number may not go from $state to $next" }
         state = next
         if (next == AttemptState.RUNNING && runningSince == null) runningSince = nowMs
     }
@@ -74,5 +74,5 @@
     val maySend get() = state >= AttemptState.RECORDED && state != AttemptState.TERMINATED
     val live get() = state != AttemptState.TERMINATED
 
-    override fun toString() = "${job.ref}/$taskIndex#$number@${machine.name}"
+    override fun toString() = "${job.jobId}/$taskIndex#$number@${machine.name}"
 }
--- a/src/main/kotlin/micatally/job/Cancellations.kt
+++ b/src/main/kotlin/micatally/job/Cancellations.kt
@@ -36,7 +36,7 @@
             }.flatMap { tasksOf(it) }
 
     fun tasksOf(job: Job): List<CancelledTask> =
-        job.attempts.values.map { CancelledTask(it.machine.name, job.ref, it.taskIndex, it.number) }
+        job.attempts.values.map { CancelledTask(it.machine.name, job.jobId, it.taskIndex, it.number) }
 
     fun begin(job: Job) {
         pending.add(job)
@@ -47,7 +47,7 @@
     /** After a takeover; false if the job's tasks have yet to be published. */
     fun adopted(job: Job): Boolean {
         pending.add(job)
-        val published = sharedKeys.value(Keys.cancelledTasks(job.ref)) ?: return false
+        val published = sharedKeys.value(Keys.cancelledTasks(job.jobId)) ?: return false
         job.storedCancelledTasksOverflow = RecordPacking.overflowCount(published)
         // Written together with the record; this node's copy of the shared keys is as new as its hold on the shard.
         job.publishedAt = nowMs()
@@ -71,11 +71,11 @@
 
     /** The shared keys have changed: tasks that some owner has published. */
     fun published(key: String) {
-        val ref = key.removePrefix(Keys.CANCELLED_TASKS).substringBefore('/')
-        val main = sharedKeys.value(Keys.cancelledTasks(ref)) ?: return
-        val parts = (0 until RecordPacking.overflowCount(main)).map { sharedKeys.value(Keys.cancelledTasksPart(ref, it)) ?: return }
+        val jobId = key.removePrefix(Keys.CANCELLED_TASKS).substringBefore('/')
+        val main = sharedKeys.value(Keys.cancelledTasks(jobId)) ?: return
+        val parts = (0 until RecordPacking.overflowCount(main)).map { sharedKeys.value(Keys.cancelledTasksPart(jobId, it)) ?: return }
         val rows = CancelledTasksValue.rows(RecordPacking.unpack(main, parts))
-        cancelledTasks.take(rows.map { CancelledTask(it[0].asText(), ref, it[1].asLong().toInt(), it[2].asLong()) })
+        cancelledTasks.take(rows.map { CancelledTask(it[0].asText(), jobId, it[1].asLong().toInt(), it[2].asLong()) })
     }
 
     /**
--- a/src/main/kotlin/micatally/job/FaultJudgement.kt
+++ b/src/main/kotlin/micatally/job/FaultJudgement.kt
@@ -33,7 +33,7 @@
         }
         val runsElsewhere = health.hasSucceeded && !isProven
         if (attempt.machine.health.accuse(
-                job.ref,
+                job.jobId,
                 runsElsewhere,
                 nowMs,
                 memoryMs,
@@ -62,7 +62,7 @@
     ) {
         val isProven = job.attempts.values.any { a -> job.health.isProvenBy(ranMs(a, nowMs), settings.leaseMs) }
         if (!isProven) return
-        if (job.health.isSuspect) log.info("job {} runs after all", job.ref)
+        if (job.health.isSuspect) log.info("job {} runs after all", job.jobId)
         job.health.succeeded()
     }
 
@@ -85,17 +85,17 @@
     ) {
         log.warn(
             "job {} fails wherever it starts: {} failures on {} machines; tried with one task at a time",
-            job.ref,
+            job.jobId,
             job.health.failures,
             job.health.machines.size,
         )
         for (name in job.health.machines) {
             val machine = machines.of(name) ?: continue
             if (machine.health.cancel(
-                    job.ref,
+                    job.jobId,
                 )
             ) {
-                log.info("machine {} is used again: it was {} that failed", name, job.ref)
+                log.info("machine {} is used again: it was {} that failed", name, job.jobId)
             }
         }
     }
--- a/src/main/kotlin/micatally/job/Job.kt
+++ b/src/main/kotlin/micatally/job/Job.kt
@@ -11,7 +11,7 @@
 enum class JobState { NEW, OPEN, DONE, CANCELLED, DROPPED }
 
 class Job(
-    val ref: String,
+    val jobId: String,
     val spec: JobSpec?,
     val shard: JobShard,
     val taskCount: Int,
@@ -79,7 +79,7 @@
                 JobState.DROPPED -> true
                 JobState.NEW -> false
             }
-        check(ok) { "job $ref may not go from $state to $next" }
+        check(ok) { "job $jobId may not go from $state to $next" }
         state = next
     }
 
@@ -118,6 +118,6 @@
                 JobState.CANCELLED -> JobAnswer.CANCELLED
                 else -> if (running > 0) JobAnswer.RUNNING else JobAnswer.PENDING
             }
-        return JobAnswer(ref, status, doneCount, running)
+        return JobAnswer(jobId, status, doneCount, running)
     }
 }
--- a/src/main/kotlin/micatally/job/JobManager.kt
+++ b/src/main/kotlin/micatally/job/JobManager.kt
@@ -52,23 +52,23 @@
     /** Final answers, which never change. */
     private val finals = CacheBuilder.newBuilder().maximumSize(FINALS).build<String, JobAnswer>()
 
-    fun final(ref: String): JobAnswer? = finals.getIfPresent(ref)
+    fun final(jobId: String): JobAnswer? = finals.getIfPresent(jobId)
 
     fun rememberFinal(a: JobAnswer) {
         if (a.status == JobAnswer.DONE ||
             a.status == JobAnswer.CANCELLED
         ) {
-            finals.put(a.ref, a)
+            finals.put(a.jobId, a)
         }
     }
 
     fun own(): JobShard? = shards[settings.host]?.takeIf { it.mine }
 
-    fun job(ref: String): Job? {
+    fun job(jobId: String): Job? {
         var unstored: Job? = null
         for (l in shards.values) {
             if (l.mine) {
-                l.jobs[ref]?.let {
+                l.jobs[jobId]?.let {
                     if (it.durableState !=
                         JobState.NEW
                     ) {
@@ -90,16 +90,16 @@
 
     /** A job that is not stored yet may turn out to be another owner's, whose tasks are then no strays: it was submitted there
      * before, and repeated here. */
-    override fun mine(ref: String) =
+    override fun mine(jobId: String) =
         shards.values.any { l ->
             l.state == ShardState.ACTIVE &&
-                l.jobs[ref]?.let { it.durableState != JobState.NEW } == true
+                l.jobs[jobId]?.let { it.durableState != JobState.NEW } == true
         }
 
     override fun attempt(
-        ref: String,
+        jobId: String,
         taskIndex: Int,
-    ) = job(ref)?.attempts?.get(taskIndex)
+    ) = job(jobId)?.attempts?.get(taskIndex)
 
     /** Whether all jobs of this node's shards are known here. */
     val settled get() = own() != null && shards.values.all { it.state == ShardState.ACTIVE }
@@ -144,7 +144,7 @@
             for (a in j.attempts.values) {
                 a.machine.detach(a, nowMs())
                 // Its new owner has yet to load it; to all that see this node's summary the room would look free meanwhile.
-                j.spec?.let { a.machine.promise(j.ref, a.taskIndex, it.resources, nowMs() + settings.handOverMs) }
+                j.spec?.let { a.machine.promise(j.jobId, a.taskIndex, it.resources, nowMs() + settings.handOverMs) }
             }
             store.drop(j)
         }
@@ -175,7 +175,7 @@
         job.gang?.tried(taskIndex, m.name)
         job.attempts[taskIndex] = a
         attach(a)
-        log.info("task {}/{} attempt {} intended for {}", job.ref, taskIndex, a.number, m.name)
+        log.info("task {}/{} attempt {} intended for {}", job.jobId, taskIndex, a.number, m.name)
         return a
     }
 
@@ -198,7 +198,7 @@
                 val l = job.shard
                 scope.launch {
                     delay(settings.leaseMs * 2)
-                    if (job.attempts.isEmpty()) l.jobs.remove(job.ref, job)
+                    if (job.attempts.isEmpty()) l.jobs.remove(job.jobId, job)
                 }
             }
         }
@@ -214,8 +214,8 @@
         job.attemptLimit = job.attempts.size
     }
 
-    override fun isSuspended(ref: String): Boolean {
-        val team = job(ref)?.spec?.team ?: return false
+    override fun isSuspended(jobId: String): Boolean {
+        val team = job(jobId)?.spec?.team ?: return false
         return quota.isSuspended(team)
     }
 
@@ -297,7 +297,7 @@
         if (job.gang != null) for (other in 0 until job.taskCount) job.markDone(other)
         if (job.doneCount == job.taskCount && job.state == JobState.OPEN) {
             job.transitionTo(JobState.DONE)
-            log.info("job {} done", job.ref)
+            log.info("job {} done", job.jobId)
         }
         return true
     }
@@ -332,7 +332,7 @@
     ) {
         var requestSync = false
         for (t in m.tasks) {
-            val job = job(t.ref) ?: continue
+            val job = job(t.jobId) ?: continue
             val a = job.attempts[t.taskIndex]
             if (a != null && a.number == t.attempt && a.machine === m && a.incarnation == m.incarnation) {
                 requestSync = listedAttempt(a, t, own) || requestSync
@@ -345,7 +345,7 @@
         if (!own &&
             m.attempts.any {
                 it.state >= AttemptState.PULLING && it.incarnation == m.incarnation &&
-                    m.tasks.none { t -> t.ref == it.job.ref && t.taskIndex == it.taskIndex && t.attempt == it.number }
+                    m.tasks.none { t -> t.jobId == it.job.jobId && t.taskIndex == it.taskIndex && t.attempt == it.number }
             }
         ) {
             m.needsStatus = true
@@ -431,12 +431,12 @@
         spec: JobSpec,
         shard: JobShard,
     ): Job {
-        val job = Job(spec.ref, spec, shard, spec.taskCount, wallMs(), JobState.NEW)
-        shard.jobs[spec.ref] = job
+        val job = Job(spec.jobId, spec, shard, spec.taskCount, wallMs(), JobState.NEW)
+        shard.jobs[spec.jobId] = job
         if (spec.isService) arrivals.add(spec)
         log.info(
             "job {} of {} class {}: {} tasks of {} cores {} GPUs",
-            spec.ref,
+            spec.jobId,
             spec.team,
             spec.jobClass,
             spec.taskCount,
@@ -449,13 +449,13 @@
     /** The job is not this node's after all. None of its tasks was ever sent: that takes a record that is durable. */
     fun forget(job: Job) {
         for (a in job.attempts.values.toList()) terminate(a, AttemptTermination(TerminationEvidence.NEVER_SENT, "job not accepted"))
-        job.shard.jobs.remove(job.ref, job)
+        job.shard.jobs.remove(job.jobId, job)
     }
 
     fun cancel(job: Job) {
         if (job.state != JobState.OPEN && job.state != JobState.NEW) return
         job.transitionTo(JobState.CANCELLED)
-        log.info("job {} cancelled with {} tasks", job.ref, job.attempts.size)
+        log.info("job {} cancelled with {} tasks", job.jobId, job.attempts.size)
         cancellations.begin(job)
         val now = nowMs()
         val touched = LinkedHashSet<Machine>()
@@ -482,7 +482,7 @@
             }
         }
         for (m in machines.byName.values) {
-            if (m.deleted || m.attempts.isEmpty() && m.tasks.none { it.ended && mine(it.ref) }) continue
+            if (m.deleted || m.attempts.isEmpty() && m.tasks.none { it.ended && mine(it.jobId) }) continue
             if (m.isSyncing) continue
             if (m.attempts.any {
                     it.stop != null || it.state == AttemptState.RECORDED ||
@@ -490,7 +490,7 @@
                         m.confirmedToken < it.job.shard.leader.fencingToken
                 } ||
                 m.needsStatus ||
-                m.tasks.any { it.ended && mine(it.ref) }
+                m.tasks.any { it.ended && mine(it.jobId) }
             ) {
                 dispatcher.requestSync(m)
             }
--- a/src/main/kotlin/micatally/job/JobRecord.kt
+++ b/src/main/kotlin/micatally/job/JobRecord.kt
@@ -166,14 +166,14 @@
 
     /** The job without its attempts, which need machines. */
     fun decode(
-        ref: String,
+        jobId: String,
         o: JsonObject,
         shard: JobShard,
         modRevision: Long,
     ): Job {
         val spec = o.child("s")?.let { JobSpec.parse(it) }
         val state = state(o)
-        val job = Job(ref, spec, shard, o.long("k").toInt(), o.longOrNull("t") ?: 0L, state)
+        val job = Job(jobId, spec, shard, o.long("k").toInt(), o.longOrNull("t") ?: 0L, state)
         val d = o.listOrNull("d") ?: emptyList()
         for (i in d.indices step 2) {
             for (taskIndex in d[i].asLong().toInt() until d[i + 1].asLong().toInt()) {
--- a/src/main/kotlin/micatally/job/JobStore.kt
+++ b/src/main/kotlin/micatally/job/JobStore.kt
@@ -158,8 +158,8 @@
     private fun conditions(job: Job) =
         listOfNotNull(
             Compare(Keys.shard(job.shard.name), job.shard.leader.modRevision),
-            Compare(Keys.job(job.ref), job.modRevision),
-            if (job.modRevision == 0L && mayBeArchived()) Compare(Keys.final(job.ref), 0L) else null,
+            Compare(Keys.job(job.jobId), job.modRevision),
+            if (job.modRevision == 0L && mayBeArchived()) Compare(Keys.final(job.jobId), 0L) else null,
         )
 
     /** Attempts for which the record has no room are given up again before anything of them is sent. */
@@ -172,7 +172,7 @@
                 continue
             }
             if (fit is RecordFit.Fits) return Snapshot(job, fit.write)
-            log.warn("job {} does not fit in the state service with {} attempts", job.ref, job.attempts.size)
+            log.warn("job {} does not fit in the state service with {} attempts", job.jobId, job.attempts.size)
             return null
         }
     }
@@ -218,7 +218,7 @@
      * another node has accepted it. */
     private suspend fun reread(job: Job): Boolean {
         while (job.shard.mine && job.state != JobState.DROPPED) {
-            when (val read = lookup.read(job.ref, Urgency.INTENT)) {
+            when (val read = lookup.read(job.jobId, Urgency.INTENT)) {
                 is ReadResult.Unavailable -> delay(pauseMs)
                 is ReadResult.Missing -> {
                     job.modRevision = 0L
@@ -226,15 +226,15 @@
                 }
                 is ReadResult.Found -> {
                     val o = read.item.value
-                    if (read.item.key == Keys.final(job.ref)) {
-                        log.info("job {} is over and was archived", job.ref)
+                    if (read.item.key == Keys.final(job.jobId)) {
+                        log.info("job {} is over and was archived", job.jobId)
                         drop(job)
                         return false
                     }
                     if (JobRecord.shardOf(o) != job.shard.name ||
                         (job.modRevision == 0L && JobRecord.termOf(o) != job.shard.term)
                     ) {
-                        log.info("job {} was accepted elsewhere", job.ref)
+                        log.info("job {} was accepted elsewhere", job.jobId)
                         drop(job)
                         return false
                     }
--- a/src/main/kotlin/micatally/job/RecordWrite.kt
+++ b/src/main/kotlin/micatally/job/RecordWrite.kt
@@ -71,14 +71,14 @@
         cancelledTasks: PackedValue?,
     ): RecordWrite {
         val changes = ArrayList<Write>()
-        changes += Put(Keys.job(job.ref), main.main)
-        changes += overflowChanges(main, job.storedOverflow) { Keys.jobPart(job.ref, it) }
+        changes += Put(Keys.job(job.jobId), main.main)
+        changes += overflowChanges(main, job.storedOverflow) { Keys.jobPart(job.jobId, it) }
         if (cancelledTasks != null) {
-            changes += Put(Keys.cancelledTasks(job.ref), cancelledTasks.main)
-            changes += overflowChanges(cancelledTasks, job.storedCancelledTasksOverflow) { Keys.cancelledTasksPart(job.ref, it) }
+            changes += Put(Keys.cancelledTasks(job.jobId), cancelledTasks.main)
+            changes += overflowChanges(cancelledTasks, job.storedCancelledTasksOverflow) { Keys.cancelledTasksPart(job.jobId, it) }
         } else if (job.publishedAt != null) {
-            changes += Delete(Keys.cancelledTasks(job.ref))
-            changes += (0 until job.storedCancelledTasksOverflow).map { Delete(Keys.cancelledTasksPart(job.ref, it)) }
+            changes += Delete(Keys.cancelledTasks(job.jobId))
+            changes += (0 until job.storedCancelledTasksOverflow).map { Delete(Keys.cancelledTasksPart(job.jobId, it)) }
         }
         return RecordWrite(changes, main.overflow.size, cancelledTasks?.overflow?.size ?: 0, cancelledTasks != null)
     }
--- a/src/main/kotlin/micatally/job/ShardLoader.kt
+++ b/src/main/kotlin/micatally/job/ShardLoader.kt
@@ -34,9 +34,9 @@
     /** False if the records can't be had, or can't be read: then nothing of the shard moves, and the log names the record. */
     private suspend fun tryLoad(l: JobShard): Boolean {
         try {
-            val records = records.of(l) { ref, record -> settled(l, ref, record) } ?: return false
+            val records = records.of(l) { jobId, record -> settled(l, jobId, record) } ?: return false
             if (!l.mine) return true
-            for (record in records) readable(record.ref) { adopt(l, record) }
+            for (record in records) readable(record.jobId) { adopt(l, record) }
         } catch (e: UnreadableRecord) {
             if (!l.isUnreadable) log.error("shard {} can't be loaded: {}", l.name, e.message)
             l.isUnreadable = true
@@ -54,25 +54,25 @@
         l: JobShard,
         record: ShardRecord,
     ) {
-        val ref = record.ref
+        val jobId = record.jobId
         // Whoever's job it is: a node that has just started must stop its tasks where it hears them.
         if (record.plain != null && JobRecord.state(record.stored) == JobState.CANCELLED) {
             jobManager.cancellations.cancelledTasks.take(
                 JobRecord.placed(record.plain).map {
-                    CancelledTask(it.machine, ref, it.taskIndex, it.number)
+                    CancelledTask(it.machine, jobId, it.taskIndex, it.number)
                 },
             )
         }
         if (JobRecord.shardOf(record.stored) != l.name) return
-        if (isKnown(l, ref, record.stored)) return
+        if (isKnown(l, jobId, record.stored)) return
         val plain = record.plain ?: return
-        val job = JobRecord.decode(ref, plain, l, record.modRevision)
+        val job = JobRecord.decode(jobId, plain, l, record.modRevision)
         if (JobRecord.isSettled(plain)) {
             jobManager.rememberFinal(job.answer())
             return
         }
         job.storedOverflow = RecordPacking.overflowCount(record.stored)
-        l.jobs[ref] = job
+        l.jobs[jobId] = job
         for (placed in JobRecord.placed(plain)) adoptAttempt(job, placed)
         jobManager.gangs.adopted(job)
         if (job.state == JobState.CANCELLED) {
@@ -84,10 +84,10 @@
      * repeated here what was accepted before is given up: then the record counts, or nobody would own the job. */
     private fun isKnown(
         l: JobShard,
-        ref: String,
+        jobId: String,
         record: JsonObject,
     ): Boolean {
-        val present = l.jobs[ref] ?: return false
+        val present = l.jobs[jobId] ?: return false
         if (present.durableState != JobState.NEW || JobRecord.termOf(record) == l.term) return true
         store.drop(present)
         return false
@@ -96,11 +96,11 @@
     /** A job of the shard that is over, with nothing left to do. */
     private fun settled(
         l: JobShard,
-        ref: String,
+        jobId: String,
         record: JsonObject,
     ) {
-        if (!l.mine || isKnown(l, ref, record)) return
-        jobManager.rememberFinal(JobRecord.decode(ref, record, l, 0L).answer())
+        if (!l.mine || isKnown(l, jobId, record)) return
+        jobManager.rememberFinal(JobRecord.decode(jobId, record, l, 0L).answer())
     }
 
     private fun adoptAttempt(
--- a/src/main/kotlin/micatally/job/ShardRecords.kt
+++ b/src/main/kotlin/micatally/job/ShardRecords.kt
@@ -16,7 +16,7 @@
  * @property plain its unpacked form; null for open and done jobs of other shards, which nobody asks for here
  */
 class ShardRecord(
-    val ref: String,
+    val jobId: String,
     val stored: JsonObject,
     val plain: JsonObject?,
     val modRevision: Long,
@@ -24,15 +24,15 @@
 
 /** The record of a job can't be understood: it is damaged, or of a form that this program does not know. */
 class UnreadableRecord(
-    ref: String,
+    jobId: String,
     cause: Exception,
-) : Exception("the record of job $ref can't be read: $cause", cause)
+) : Exception("the record of job $jobId can't be read: $cause", cause)
 
 /** What [read] makes of a job's record.
  *
  * @throws UnreadableRecord if nothing can be made of it */
 inline fun <T> readable(
-    ref: String,
+    jobId: String,
     read: () -> T,
 ): T =
     try {
@@ -40,12 +40,12 @@
     } catch (e: CancellationException) {
         throw e
     } catch (e: MalformedMessage) {
-        throw UnreadableRecord(ref, e)
+        throw UnreadableRecord(jobId, e)
     } catch (e: IllegalArgumentException) {
         // Also what the decoders of JSON and of Base64 throw.
-        throw UnreadableRecord(ref, e)
+        throw UnreadableRecord(jobId, e)
     } catch (e: IOException) {
-        throw UnreadableRecord(ref, e)
+        throw UnreadableRecord(jobId, e)
     }
 
 /** Reads the records of jobs for a shard that has just been acquired. */
@@ -64,7 +64,7 @@
      */
     suspend fun of(
         shard: JobShard,
-        onSettled: (ref: String, record: JsonObject) -> Unit,
+        onSettled: (jobId: String, record: JsonObject) -> Unit,
     ): List<ShardRecord>? {
         val open = ArrayList<KeyValue>()
         state.eachPage(Keys.JOB, Urgency.LEASE) { page ->
@@ -78,7 +78,7 @@
         item: KeyValue,
         shard: JobShard,
         open: MutableList<KeyValue>,
-        onSettled: (ref: String, record: JsonObject) -> Unit,
+        onSettled: (jobId: String, record: JsonObject) -> Unit,
     ) {
         try {
             readable(refOf(item)) { sort(item, shard, open, onSettled) }
@@ -92,7 +92,7 @@
         item: KeyValue,
         shard: JobShard,
         open: MutableList<KeyValue>,
-        onSettled: (ref: String, record: JsonObject) -> Unit,
+        onSettled: (jobId: String, record: JsonObject) -> Unit,
     ) {
         val isOwn = JobRecord.shardOf(item.value) == shard.name
         if (!JobRecord.isSettled(item.value)) {
@@ -116,14 +116,14 @@
         val parts = if (isSplit) state.list(Keys.JOB_PART, Urgency.LEASE) ?: return null else null
         val partOf = parts?.items?.associateBy { it.key } ?: emptyMap()
         return items.map { item ->
-            val ref = refOf(item)
+            val jobId = refOf(item)
             val isOwn = JobRecord.shardOf(item.value) == shard.name
-            val overflow = (0 until RecordPacking.overflowCount(item.value)).map { partOf[Keys.jobPart(ref, it)] }
+            val overflow = (0 until RecordPacking.overflowCount(item.value)).map { partOf[Keys.jobPart(jobId, it)] }
             val isWhole = overflow.all { it != null && it.modRevision == item.modRevision }
-            if (!isWhole && isOwn && ref !in shard.jobs) return null
+            if (!isWhole && isOwn && jobId !in shard.jobs) return null
             val plain =
-                if (isWhole) readable(ref) { RecordPacking.unpack(item.value, overflow.map { it!!.value }) } else null
-            ShardRecord(ref, item.value, plain, item.modRevision)
+                if (isWhole) readable(jobId) { RecordPacking.unpack(item.value, overflow.map { it!!.value }) } else null
+            ShardRecord(jobId, item.value, plain, item.modRevision)
         }
     }
 }
--- a/src/main/kotlin/micatally/membership/SharedKeyCache.kt
+++ b/src/main/kotlin/micatally/membership/SharedKeyCache.kt
@@ -52,27 +52,27 @@
     /** Prefix of the values that hold the teams of a large change. */
     fun configPart(stage: String) = "config/part/$stage/"
 
-    fun job(ref: String) = JOB + ref
+    fun job(jobId: String) = JOB + jobId
 
-    fun final(ref: String) = FINAL + ref
+    fun final(jobId: String) = FINAL + jobId
 
     fun archive(host: String) = ARCHIVE + host
 
     fun jobPart(
-        ref: String,
+        jobId: String,
         index: Int,
-    ) = "$JOB_PART$ref/$index"
+    ) = "$JOB_PART$jobId/$index"
 
     fun cancelledTasksPart(
-        ref: String,
+        jobId: String,
         index: Int,
-    ) = "$CANCELLED_TASKS$ref/$index"
+    ) = "$CANCELLED_TASKS$jobId/$index"
 
     fun shard(name: String) = SHARD + name
 
     fun live(host: String) = LIVE + host
 
-    fun cancelledTasks(ref: String) = CANCELLED_TASKS + ref
+    fun cancelledTasks(jobId: String) = CANCELLED_TASKS + jobId
 
     fun team(name: String) = TEAM + name
 
--- a/src/main/kotlin/micatally/peer/Peers.kt
+++ b/src/main/kotlin/micatally/peer/Peers.kt
@@ -349,11 +349,11 @@
     suspend fun ask(
         host: String,
         what: String,
-        ref: String,
+        jobId: String,
         timeoutMs: Long,
     ): PeerJobResponse? {
         val peer = settings.peers.find { it.host == host } ?: return null
-        val out = http.call(peer.addr, "POST", what, ProtoBuf.encodeToByteArray(PeerJobRequest(ref)), timeoutMs)
+        val out = http.call(peer.addr, "POST", what, ProtoBuf.encodeToByteArray(PeerJobRequest(jobId)), timeoutMs)
         if (out !is Outcome.Answer || out.status != 200) return null
         return ProtoBuf.decodeFromByteArray<PeerJobResponse>(out.body).takeIf { it.known }
     }
--- a/src/main/kotlin/micatally/scale/JobPlan.kt
+++ b/src/main/kotlin/micatally/scale/JobPlan.kt
@@ -25,7 +25,7 @@
     /** How long a task runs, the same each time it is asked; null: until it is stopped. */
     fun runMs(taskIndex: Int): Long? {
         val average = runMs ?: return null
-        val random = Random(spec.ref.hashCode() * TASKS_APART + taskIndex)
+        val random = Random(spec.jobId.hashCode() * TASKS_APART + taskIndex)
         return (average * (1 + runSpread * random.nextDouble(-1.0, 1.0))).toLong()
     }
 
--- a/src/main/kotlin/micatally/scale/ScaleRun.kt
+++ b/src/main/kotlin/micatally/scale/ScaleRun.kt
@@ -174,7 +174,7 @@
                         JobState.DONE,
                     )
                 for (task in 0 until taskCount) job.markDone(task)
-                (if (scenario.archive) Keys.final(job.ref) else Keys.job(job.ref)) to JobRecord.encode(job)
+                (if (scenario.archive) Keys.final(job.jobId) else Keys.job(job.jobId)) to JobRecord.encode(job)
             }
         fleet.state.preload(records)
     }
--- a/src/main/kotlin/micatally/scale/Users.kt
+++ b/src/main/kotlin/micatally/scale/Users.kt
@@ -53,11 +53,11 @@
 
     /** Whether the job was accepted; repeated for a minute, as the protocol says. */
     private suspend fun submit(job: PlannedJob): Boolean {
-        val ref = job.spec.ref
+        val jobId = job.spec.jobId
         val firstMs = nowMs()
         while (nowMs() - firstMs < SUBMIT_MS) {
             val answer = ask("POST", "/work", job.spec.source.bytes(), SUBMIT_TIMEOUT_MS)
-            history.answeredSubmission(ref, answer.status, answer.word, answer.sentAtMs)
+            history.answeredSubmission(jobId, answer.status, answer.word, answer.sentAtMs)
             if (answer.status == 200 || answer.status == 201) {
                 latencies.record(LatencyKind.SUBMISSION, nowMs() - firstMs)
                 return true
@@ -72,49 +72,49 @@
         job: PlannedJob,
         submittedAtMs: Long,
     ) {
-        val ref = job.spec.ref
+        val jobId = job.spec.jobId
         val pollMs = (plan.pollSeconds * 1000).toLong()
         var nextPollMs = nowMs() + random.nextLong(pollMs)
         var isCompletionSeen = false
         val spreadMs = random.nextLong(END_SPREAD_MS)
         var endingSinceMs: Long? = null
-        while (!history.isFinal(ref)) {
+        while (!history.isFinal(jobId)) {
             delay(STEP_MS + random.nextLong(STEP_MS))
             if (isEnding && endingSinceMs == null) endingSinceMs = nowMs()
             val isDueByPlan = job.cancelAfterMs?.let { nowMs() - submittedAtMs >= it } ?: false
             val isDueByEnd = job.spec.isService && endingSinceMs != null && nowMs() - endingSinceMs >= spreadMs
             when {
-                isDueByPlan || isDueByEnd -> cancel(ref)
+                isDueByPlan || isDueByEnd -> cancel(jobId)
                 // Asked at once, so that the time to `done` is seen, then once a second: more would be a load of its own.
-                !isCompletionSeen && history.completedAtMs(ref) != null -> {
+                !isCompletionSeen && history.completedAtMs(jobId) != null -> {
                     isCompletionSeen = true
-                    poll(ref)
+                    poll(jobId)
                     nextPollMs = nowMs() + COMPLETED_POLL_MS
                 }
                 nowMs() >= nextPollMs -> {
-                    poll(ref)
+                    poll(jobId)
                     nextPollMs = nowMs() + if (isCompletionSeen) COMPLETED_POLL_MS else pollMs
                 }
             }
         }
     }
 
-    private suspend fun poll(ref: String) {
-        val answer = ask("GET", "/work/$ref", null, POLL_TIMEOUT_MS)
-        history.answeredPoll(ref, answer.status, answer.word, answer.sentAtMs)
+    private suspend fun poll(jobId: String) {
+        val answer = ask("GET", "/work/$jobId", null, POLL_TIMEOUT_MS)
+        history.answeredPoll(jobId, answer.status, answer.word, answer.sentAtMs)
         if (answer.status == 200) latencies.record(LatencyKind.POLL, nowMs() - answer.sentAtMs)
         if (answer.word != JobAnswer.DONE) return
-        history.completedAtMs(ref)?.let { latencies.record(LatencyKind.FINISH_TO_DONE, nowMs() - it) }
+        history.completedAtMs(jobId)?.let { latencies.record(LatencyKind.FINISH_TO_DONE, nowMs() - it) }
     }
 
-    private suspend fun cancel(ref: String) {
+    private suspend fun cancel(jobId: String) {
         val firstMs = nowMs()
-        history.asksToCancel(ref)
-        while (!history.isFinal(ref)) {
-            val answer = ask("POST", "/work/$ref/cancel", null, SUBMIT_TIMEOUT_MS)
-            history.answeredCancel(ref, answer.status, answer.word, answer.sentAtMs)
+        history.asksToCancel(jobId)
+        while (!history.isFinal(jobId)) {
+            val answer = ask("POST", "/work/$jobId/cancel", null, SUBMIT_TIMEOUT_MS)
+            history.answeredCancel(jobId, answer.status, answer.word, answer.sentAtMs)
             if (answer.status == 200) latencies.record(LatencyKind.CANCEL, nowMs() - firstMs)
-            if (!history.isFinal(ref)) delay(RETRY_MS)
+            if (!history.isFinal(jobId)) delay(RETRY_MS)
         }
     }
 
--- a/src/main/kotlin/micatally/scheduling/Preemption.kt
+++ b/src/main/kotlin/micatally/scheduling/Preemption.kt
@@ -29,7 +29,7 @@
             spec.resources,
             spec.priority.ordinal,
             queue,
-            spec.ref,
+            spec.jobId,
             { m -> Placement.kindAllowed(spec, m) && rule.allows(m.zone) },
             { m, f, free -> Placement.score(spec, m, f, free) + Placement.zoneScore(spec, rule.used[m.zone] ?: 0) },
         )
--- a/src/main/kotlin/micatally/scheduling/ReplicaMigration.kt
+++ b/src/main/kotlin/micatally/scheduling/ReplicaMigration.kt
@@ -39,7 +39,7 @@
         val each = moved.entries.iterator()
         while (each.hasNext()) {
             val (task, to) = each.next()
-            if (task.first != job.ref || task.second in job.attempts) continue
+            if (task.first != job.jobId || task.second in job.attempts) continue
             each.remove()
             if (!to.release(task.first, task.second) || job.done[task.second] || !quota.allows(job)) continue
             if (!view.isUsable(to, now) || !spec.resources.fitsIn((view.machines.total(to) ?: continue) - to.used) ||
@@ -63,7 +63,7 @@
             }
         if (draining.isEmpty() || checking) return
         val most = maxOf(1, draining.size / MACHINES_A_MOVE)
-        moving.removeIf { !it.a.live || it.a.stop != null || !it.to.promised(it.a.job.ref, it.a.taskIndex) }
+        moving.removeIf { !it.a.live || it.a.stop != null || !it.to.promised(it.a.job.jobId, it.a.taskIndex) }
         // The peers have heard of a promise after a while; whoever was faster has the room.
         val due = moving.filter { now - it.at >= settings.heartbeatIntervalMs / 2 }
         if (due.isNotEmpty()) {
@@ -102,7 +102,7 @@
                 }
                 // It is gone before it starts elsewhere, so its own place does not count against its zone.
                 val to = MachineSelector(view, a.job, spec, now, withImage = true, moving = a).next() ?: continue
-                to.promise(a.job.ref, a.taskIndex, spec.resources, now + settings.leaseMs)
+                to.promise(a.job.jobId, a.taskIndex, spec.resources, now + settings.leaseMs)
                 moving.add(Move(a, to, now))
                 under++
             }
@@ -116,19 +116,19 @@
         stateAnswered: Boolean,
     ) {
         val now = nowMs()
-        val ref = move.a.job.ref
+        val jobId = move.a.job.jobId
         val total = view.machines.total(move.to)
         val ready =
             move.a.live && move.a.stop == null && move.a.job.pendingCount == 0 &&
-                move.to.promised(ref, move.a.taskIndex)
+                move.to.promised(jobId, move.a.taskIndex)
         if (!stateAnswered || !ready || total == null || !view.isUsable(move.to, now) ||
             !move.to.used.fitsIn(total)
         ) {
-            move.to.release(ref, move.a.taskIndex)
+            move.to.release(jobId, move.a.taskIndex)
             return
         }
         move.a.stop(StopReason.DRAIN, now)
-        moved[ref to move.a.taskIndex] = move.to
+        moved[jobId to move.a.taskIndex] = move.to
         log.info("task {} moves to {}", move.a, move.to.name)
         dispatcher.requestSync(move.a.machine)
     }
--- a/src/main/kotlin/micatally/scheduling/Scheduler.kt
+++ b/src/main/kotlin/micatally/scheduling/Scheduler.kt
@@ -46,7 +46,7 @@
     private val moves = ReplicaMigration(scope, settings, view, jobManager, store, quota, dispatcher, nowMs)
     private val whole =
         AllOrNothingPlacement(settings, view, jobManager, store, quota) { job, demand ->
-            finding[job.ref] = demand
+            finding[job.jobId] = demand
             if (demand.isGang) view.gangWaits(demand)
         }
 
@@ -110,7 +110,7 @@
             .openJobs()
             .filter { it.pendingCount > 0 }
             .sortedWith(
-                compareBy<Job>({ queues.current(it) }, { it.spec?.priority?.ordinal ?: 9 }, { rank(it) }, { it.ref }),
+                compareBy<Job>({ queues.current(it) }, { it.spec?.priority?.ordinal ?: 9 }, { rank(it) }, { it.jobId }),
             )
 
     /** Within a queue the earlier job comes first, and of jobs that came together the one with fewer tasks left: it is over
@@ -132,7 +132,7 @@
         noRoom.clear()
         noStop.clear()
         val jobs = ordered()
-        var from = resumeAfter?.let { r -> jobs.indexOfFirst { it.ref == r } + 1 } ?: 0
+        var from = resumeAfter?.let { r -> jobs.indexOfFirst { it.jobId == r } + 1 } ?: 0
         if (from >= jobs.size) from = 0
         if (from == 0) {
             finding.clear()
@@ -145,7 +145,7 @@
             if (i == from || !alike(jobs[i - 1], jobs[i])) placeWhereImagesAre(jobs, i, now)
             placeJob(jobs[i], now)
             if (nowMs() - now > budgetMs && i + 1 < jobs.size) {
-                resumeAfter = jobs[i].ref
+                resumeAfter = jobs[i].jobId
                 break
             }
         }
@@ -203,7 +203,7 @@
         val room = most - job.attempts.size
         if (room <= 0 && job.pendingCount > 0 && !job.isBoundLogged) {
             job.isBoundLogged = true
-            log.warn("job {}: {} of {} tasks at once, as many as its record holds", job.ref, most, job.taskCount)
+            log.warn("job {}: {} of {} tasks at once, as many as its record holds", job.jobId, most, job.taskCount)
         }
         return room
     }
@@ -294,7 +294,7 @@
         spec: JobSpec,
         count: Int,
     ) {
-        finding[job.ref] = Placement.demand(spec, Placement.zones(job, spec), settings.zones, count)
+        finding[job.jobId] = Placement.demand(spec, Placement.zones(job, spec), settings.zones, count)
     }
 
     private companion object {
--- a/src/main/kotlin/micatally/wire/JobMessages.kt
+++ b/src/main/kotlin/micatally/wire/JobMessages.kt
@@ -61,7 +61,7 @@
 
 /** A job as its user submitted it. Parsed once, checked field by field. */
 class JobSpec(
-    val ref: String,
+    val jobId: String,
     val jobClass: String,
     val team: String,
     val format: Format,
@@ -114,11 +114,11 @@
                 "flag_s",
             )
 
-        fun validRef(ref: String) = REF.matches(ref)
+        fun isValidId(jobId: String) = REF.matches(jobId)
 
         fun parse(o: JsonObject): JobSpec {
-            val ref = o.text("ref")
-            if (!validRef(ref)) throw MalformedMessage("ref must look like j-000412")
+            val jobId = o.text("ref")
+            if (!isValidId(jobId)) throw MalformedMessage("ref must look like j-000412")
             val taskCount = o.long("laps")
             if (taskCount !in 1..MAX_TASKS) throw MalformedMessage("laps must be from 1 to $MAX_TASKS")
             val types =
@@ -134,7 +134,7 @@
             if (types != null && types.isEmpty()) throw MalformedMessage("chassis must not be empty")
             val image = word(o, "livery")
             return JobSpec(
-                ref,
+                jobId,
                 word(o, "lane"),
                 word(o, "crew"),
                 Format.entries.find { it.word == o.text("format") }
@@ -176,14 +176,14 @@
 
 /** What users are told of a job. */
 data class JobAnswer(
-    val ref: String,
+    val jobId: String,
     val status: String,
     val done: Int,
     val running: Int,
 ) {
     fun json() =
         buildJsonObject {
-            put("ref", ref)
+            put("ref", jobId)
             put("status", status)
             put("done", done)
             put("running", running)
@@ -191,7 +191,7 @@
 
     fun brief() =
         buildJsonObject {
-            put("ref", ref)
+            put("ref", jobId)
             put("status", status)
         }
 
--- a/src/main/kotlin/micatally/wire/PeerMessages.kt
+++ b/src/main/kotlin/micatally/wire/PeerMessages.kt
@@ -6,7 +6,7 @@
 /** A task line of a report, handed on to other controllers. */
 @Serializable
 class TaskStatus(
-    @ProtoNumber(1) val ref: String,
+    @ProtoNumber(1) val jobId: String,
     @ProtoNumber(2) val taskIndex: Int,
     @ProtoNumber(3) val attempt: Long,
     @ProtoNumber(4) val status: String,
@@ -94,7 +94,7 @@
 @Serializable
 class CancelledTask(
     @ProtoNumber(1) val machine: String,
-    @ProtoNumber(2) val ref: String,
+    @ProtoNumber(2) val jobId: String,
     @ProtoNumber(3) val taskIndex: Int,
     @ProtoNumber(4) val attempt: Long,
 )
@@ -126,7 +126,7 @@
 
 @Serializable
 class PeerJobRequest(
-    @ProtoNumber(1) val ref: String,
+    @ProtoNumber(1) val jobId: String,
 )
 
 @Serializable
--- a/src/main/kotlin/micatally/wire/WorkerMessages.kt
+++ b/src/main/kotlin/micatally/wire/WorkerMessages.kt
@@ -9,7 +9,7 @@
 
 /** One task on one machine under one attempt, as a worker lists it. */
 data class ListedTask(
-    val ref: String,
+    val jobId: String,
     val taskIndex: Int,
     val attempt: Long,
     val status: String,
@@ -111,7 +111,7 @@
 
 class Command(
     val type: CommandType,
-    val ref: String,
+    val jobId: String,
     val taskIndex: Int,
     val attempt: Long,
     val graceS: Double? = null,
@@ -119,7 +119,7 @@
     fun json() =
         buildJsonObject {
             put("call", type.word)
-            put("lap", "$ref/$taskIndex")
+            put("lap", "$jobId/$taskIndex")
             put("start", attempt)
             if (graceS != null) put("cooldown_s", graceS)
         }
--- a/src/main/kotlin/micatally/worker/CancelledTasks.kt
+++ b/src/main/kotlin/micatally/worker/CancelledTasks.kt
@@ -12,7 +12,7 @@
 
     fun take(notes: List<CancelledTask>) {
         val until = nowMs() + keepMs
-        for (k in notes) byMachine.getOrPut(k.machine) { HashMap() }[AttemptId(k.ref, k.taskIndex, k.attempt)] = until
+        for (k in notes) byMachine.getOrPut(k.machine) { HashMap() }[AttemptId(k.jobId, k.taskIndex, k.attempt)] = until
     }
 
     fun has(
@@ -24,7 +24,7 @@
     fun prune(listed: (String) -> Boolean) {
         val now = nowMs()
         byMachine.values.removeIf { ids ->
-            ids.entries.removeIf { (id, until) -> until < now && !listed(id.ref) }
+            ids.entries.removeIf { (id, until) -> until < now && !listed(id.jobId) }
             ids.isEmpty()
         }
     }
--- a/src/main/kotlin/micatally/worker/CommandDispatcher.kt
+++ b/src/main/kotlin/micatally/worker/CommandDispatcher.kt
@@ -24,15 +24,15 @@
 /** What the order channel needs to know of the jobs of this node. */
 interface AttemptDirectory {
     /** The job's live attempt at this task, or null; [mine] tells whether the job is in an active shard of this node. */
-    fun mine(ref: String): Boolean
+    fun mine(jobId: String): Boolean
 
     fun attempt(
-        ref: String,
+        jobId: String,
         taskIndex: Int,
     ): Attempt?
 
     /** Whether nothing of the job may be started now, not even again, since its team's limit was lowered. */
-    fun isSuspended(ref: String): Boolean
+    fun isSuspended(jobId: String): Boolean
 
     fun terminate(
         attempt: Attempt,
@@ -87,11 +87,11 @@
         val commands = ArrayList<Command>()
         var ask = m.needsStatus
         val covered = ArrayList<Attempt>()
-        val listed = m.tasks.associateBy { AttemptId(it.ref, it.taskIndex, it.attempt) }
+        val listed = m.tasks.associateBy { AttemptId(it.jobId, it.taskIndex, it.attempt) }
         for (a in m.attempts.toList()) {
             if (!a.maySend || a.job.shard.state != ShardState.ACTIVE) continue
             if (a.incarnation != m.incarnation) continue
-            val id = AttemptId(a.job.ref, a.taskIndex, a.number)
+            val id = AttemptId(a.job.jobId, a.taskIndex, a.number)
             val entry = listed[id]
             // Another node holds the shard by now, and this one has confirmed the cancellation to it.
             if (a.stop == null && cancelledTasks.has(m.name, id)) a.stop(StopReason.CANCELLED, now)
@@ -113,7 +113,7 @@
                 if (last == null ||
                     now - last >= killEveryMs
                 ) {
-                    commands.add(Command(CommandType.KILL, a.job.ref, a.taskIndex, a.number, graceS(a, stop)))
+                    commands.add(Command(CommandType.KILL, a.job.jobId, a.taskIndex, a.number, graceS(a, stop)))
                 }
             } else if (a.state == AttemptState.RECORDED) {
                 if (!membership.mayStart) continue
@@ -121,15 +121,15 @@
                     ask = true
                     continue
                 }
-                commands.add(Command(CommandType.RUN, a.job.ref, a.taskIndex, a.number))
+                commands.add(Command(CommandType.RUN, a.job.jobId, a.taskIndex, a.number))
                 covered.add(a)
             } else if (a.state == AttemptState.DISPATCHED && entry == null) {
                 covered.add(a)
                 // Taken over: whether it ever left is not known, so the machine is asked before anything else.
-                if (a.sentAt == null || attemptDirectory.isSuspended(a.job.ref)) {
+                if (a.sentAt == null || attemptDirectory.isSuspended(a.job.jobId)) {
                     ask = true
                 } else if (membership.mayStart) {
-                    commands.add(Command(CommandType.RUN, a.job.ref, a.taskIndex, a.number))
+                    commands.add(Command(CommandType.RUN, a.job.jobId, a.taskIndex, a.number))
                 }
             } else {
                 covered.add(a)
@@ -137,20 +137,20 @@
             }
         }
         for (t in m.tasks) {
-            if (!attemptDirectory.mine(t.ref)) continue
-            val a = attemptDirectory.attempt(t.ref, t.taskIndex)
+            if (!attemptDirectory.mine(t.jobId)) continue
+            val a = attemptDirectory.attempt(t.jobId, t.taskIndex)
             if (a != null && a.number == t.attempt && a.machine === m) continue
             if (!t.ended) {
-                commands.add(Command(CommandType.KILL, t.ref, t.taskIndex, t.attempt, 0.0))
+                commands.add(Command(CommandType.KILL, t.jobId, t.taskIndex, t.attempt, 0.0))
                 continue
             }
             // A clear makes the worker forget, and a copy of the run that comes after it would start the task again.
-            val unansweredRuns = m.unansweredRuns[AttemptId(t.ref, t.taskIndex, t.attempt)]
+            val unansweredRuns = m.unansweredRuns[AttemptId(t.jobId, t.taskIndex, t.attempt)]
             if (unansweredRuns == null || unansweredRuns < m.confirmedToken) {
                 if (m.confirmedToken >=
                     1
                 ) {
-                    commands.add(Command(CommandType.CLEAR, t.ref, t.taskIndex, t.attempt))
+                    commands.add(Command(CommandType.CLEAR, t.jobId, t.taskIndex, t.attempt))
                 } else {
                     ask = true
                 }
@@ -168,7 +168,7 @@
                 covered.filter { a ->
                     a.state != AttemptState.RECORDED ||
                         sent.any {
-                            it.type == CommandType.RUN && it.ref == a.job.ref && it.taskIndex == a.taskIndex &&
+                            it.type == CommandType.RUN && it.jobId == a.job.jobId && it.taskIndex == a.taskIndex &&
                                 it.attempt == a.number
                         }
                 },
@@ -187,7 +187,7 @@
     private fun attemptOf(
         m: Machine,
         c: Command,
-    ) = attemptDirectory.attempt(c.ref, c.taskIndex)?.takeIf {
+    ) = attemptDirectory.attempt(c.jobId, c.taskIndex)?.takeIf {
         it.number == c.attempt &&
             it.machine === m
     }
@@ -247,7 +247,7 @@
         }
         if (out is Outcome.Silence || out is Outcome.TooLarge) {
             for (c in b.commands.filter { it.type == CommandType.RUN }) {
-                m.unansweredRuns[AttemptId(c.ref, c.taskIndex, c.attempt)] = b.token
+                m.unansweredRuns[AttemptId(c.jobId, c.taskIndex, c.attempt)] = b.token
             }
         }
         return false
@@ -294,10 +294,10 @@
         m.confirmedToken = maxOf(m.confirmedToken, b.token)
         m.unansweredRuns.values.removeIf { it < m.confirmedToken }
         machines.apply(r, true)
-        val listed = r.tasks.associateBy { AttemptId(it.ref, it.taskIndex, it.attempt) }
+        val listed = r.tasks.associateBy { AttemptId(it.jobId, it.taskIndex, it.attempt) }
         for (a in b.covered) {
             if (!a.live || a.state < AttemptState.DISPATCHED || a.incarnation != incarnation) continue
-            val id = AttemptId(a.job.ref, a.taskIndex, a.number)
+            val id = AttemptId(a.job.jobId, a.taskIndex, a.number)
             val e = listed[id]
             // Its place in the list is known from our own request, made after the intent. A run whose answer was lost
             // may still come, though, until the machine has seen a higher token than it carries.
@@ -325,7 +325,7 @@
                 m.isSyncRequested = true
             }
         }
-        if (m.tasks.any { it.ended && attemptDirectory.mine(it.ref) }) m.isSyncRequested = true
+        if (m.tasks.any { it.ended && attemptDirectory.mine(it.jobId) }) m.isSyncRequested = true
         if (m.isSyncRequested && build(m) == null) m.isSyncRequested = false
     }
 
--- a/src/main/kotlin/micatally/worker/Machine.kt
+++ b/src/main/kotlin/micatally/worker/Machine.kt
@@ -6,7 +6,7 @@
 
 /** One attempt's name on a machine. */
 data class AttemptId(
-    val ref: String,
+    val jobId: String,
     val taskIndex: Int,
     val attempt: Long,
 )
@@ -143,12 +143,12 @@
     private val promises = HashMap<Pair<String, Int>, Promise>()
 
     fun promise(
-        ref: String,
+        jobId: String,
         taskIndex: Int,
         resources: Resources,
         until: Long,
     ) {
-        if (promises.put(ref to taskIndex, Promise(resources, until)) == null) {
+        if (promises.put(jobId to taskIndex, Promise(resources, until)) == null) {
             ownUsed = ownUsed + resources
             sum()
         }
@@ -156,10 +156,10 @@
 
     /** Takes a promise back, whether it is kept or has run out; false if there is none. */
     fun release(
-        ref: String,
+        jobId: String,
         taskIndex: Int,
     ): Boolean {
-        val p = promises.remove(ref to taskIndex) ?: return false
+        val p = promises.remove(jobId to taskIndex) ?: return false
         ownUsed = if (attempts.isEmpty() && promises.isEmpty()) Resources.NONE else ownUsed - p.resources
         sum()
         return true
@@ -178,9 +178,9 @@
     }
 
     fun promised(
-        ref: String,
+        jobId: String,
         taskIndex: Int,
-    ) = ref to taskIndex in promises
+    ) = jobId to taskIndex in promises
 
     val isPromised get() = promises.isNotEmpty()
 
--- a/src/main/kotlin/micatally/worker/MachineRegistry.kt
+++ b/src/main/kotlin/micatally/worker/MachineRegistry.kt
@@ -70,7 +70,7 @@
         val tasks =
             n.tasks.map {
                 ListedTask(
-                    it.ref,
+                    it.jobId,
                     it.taskIndex,
                     it.attempt,
                     it.status,
@@ -134,7 +134,7 @@
         m.spotNoticeAt?.let { maxOf(0L, it - nowMs()) / 1000.0 } ?: -1.0,
         if (withTasks) {
             m.tasks.map {
-                TaskStatus(it.ref, it.taskIndex, it.attempt, it.status, it.why ?: "", it.saved)
+                TaskStatus(it.jobId, it.taskIndex, it.attempt, it.status, it.why ?: "", it.saved)
             }
         } else {
             emptyList()
--- a/src/test/kotlin/micatally/api/RecordReadsTest.kt
+++ b/src/test/kotlin/micatally/api/RecordReadsTest.kt
@@ -6,9 +6,9 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.test.TestScope
 import kotlinx.coroutines.test.runTest
+import micatally.archive.RecordLookup
 import micatally.http.HttpCaller
 import micatally.http.Outcome
-import micatally.archive.RecordLookup
 import micatally.state.RateBudget
 import micatally.state.ReadResult
 import micatally.state.StateStoreClient
