--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -3,9 +3,6 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import kotlinx.serialization.decodeFromByteArray
-import kotlinx.serialization.encodeToByteArray
-import kotlinx.serialization.protobuf.ProtoBuf
 import micatally.api.RecordReads
 import micatally.api.UserApi
 import micatally.api.WorkerApi
@@ -21,7 +18,6 @@
 import micatally.http.HttpCaller
 import micatally.http.HttpRequest
 import micatally.http.HttpResponse
-import micatally.http.errorResponse
 import micatally.job.AttemptState
 import micatally.job.JobManager
 import micatally.job.JobStore
@@ -43,12 +39,10 @@
 import micatally.state.Urgency
 import micatally.upgrade.FormatVersion
 import micatally.upgrade.Upgrade
-import micatally.wire.PeerJobRequest
 import micatally.worker.CommandDispatcher
 import micatally.worker.Machine
 import micatally.worker.MachineRegistry
 import micatally.worker.WorkerReach
-import org.slf4j.LoggerFactory
 import kotlin.random.Random
 
 /** One controller: all parts, put together. Requests leave through [http], time and randomness come from outside, so
@@ -67,7 +61,6 @@
     },
 ) {
     private val cpuUsage = CpuUsage(nowNs)
-    private val log = LoggerFactory.getLogger("micatally.controller")
     private val share = 0.95 / settings.controllers
     private val requestBudget = RateBudget(scope, settings.stateLimits.rps * share, nowMs)
     private val writeBudget =
@@ -181,6 +174,8 @@
         )
     private val workers =
         WorkerApi(settings, membership, machines, peers, jobManager.cancellations.cancelledTasks, nowMs)
+    private val userWorkerRouter = UserWorkerRouter(users, workers, cpuUsage)
+    private val peerRouter = PeerRouter(peers, users, configuration, cpuUsage)
 
     private fun loadedShards() =
         object : LoadedShards {
@@ -365,68 +360,11 @@
         }
     }
 
-    /** Requests on the address for users and workers. */
-    suspend fun handle(r: HttpRequest): HttpResponse {
-        val path = r.path
-        return when {
-            path == "/v1/report" ->
-                if (r.method ==
-                    "POST"
-                ) {
-                    cpuUsage.of(CpuUsage.Kind.REPORT) { workers.report(r) }
-                } else {
-                    errorResponse(405, "use POST")
-                }
-            path == "/healthz" -> users.health()
-            path == "/work" -> if (r.method == "POST") users.submit(r) else errorResponse(405, "use POST")
-            path.startsWith("/work/") -> {
-                val rest = path.removePrefix("/work/")
-                if (rest.endsWith("/cancel")) {
-                    if (r.method ==
-                        "POST"
-                    ) {
-                        users.cancel(rest.removeSuffix("/cancel"))
-                    } else {
-                        errorResponse(405, "use POST")
-                    }
-                } else if (r.method == "GET") {
-                    users.query(rest)
-                } else {
-                    errorResponse(405, "use GET")
-                }
-            }
-            else -> errorResponse(404, "no such resource")
-        }
-    }
+    /** Handles a request on the address for users and workers. */
+    suspend fun handle(request: HttpRequest): HttpResponse = userWorkerRouter.route(request)
 
-    /** Requests on the address for other controllers. */
-    @OptIn(kotlinx.serialization.ExperimentalSerializationApi::class)
-    suspend fun handlePeer(r: HttpRequest): HttpResponse {
-        if (r.method != "POST") return errorResponse(405, "use POST")
-        val bytes =
-            try {
-                when (r.path) {
-                    Peers.NEWS ->
-                        cpuUsage.of(CpuUsage.Kind.NEWS) { peers.takeNews(r.body) }.also {
-                            cpuUsage.newsTaken(r.body.size, it.size)
-                        }
-                    Peers.CANCELLED_TASKS -> peers.takeCancelledTasks(r.body)
-                    Peers.QUERY ->
-                        ProtoBuf.encodeToByteArray(
-                            users.peerQuery(ProtoBuf.decodeFromByteArray<PeerJobRequest>(r.body).jobId),
-                        )
-                    Peers.CANCEL ->
-                        ProtoBuf.encodeToByteArray(
-                            users.peerCancel(ProtoBuf.decodeFromByteArray<PeerJobRequest>(r.body).jobId),
-                        )
-                    else ->
-                        configuration.handle(r.path, r.body) ?: return errorResponse(404, "no such resource")
-                }
-            } catch (e: kotlinx.serialization.SerializationException) {
-                return errorResponse(400, "malformed message")
-            }
-        return HttpResponse(200, bytes, HttpResponse.BINARY)
-    }
+    /** Handles a request on the address for other controllers. */
+    suspend fun handlePeer(request: HttpRequest): HttpResponse = peerRouter.route(request)
 
     private companion object {
         /** The share of this node's requests to the state service that users' questions may take. */
--- /dev/null
+++ b/src/main/kotlin/micatally/controller/PeerRouter.kt
@@ -0,0 +1,61 @@
+package micatally.controller
+
+import kotlinx.serialization.ExperimentalSerializationApi
+import kotlinx.serialization.SerializationException
+import kotlinx.serialization.decodeFromByteArray
+import kotlinx.serialization.encodeToByteArray
+import kotlinx.serialization.protobuf.ProtoBuf
+import micatally.api.UserApi
+import micatally.config.ConfigurationService
+import micatally.http.HttpRequest
+import micatally.http.HttpResponse
+import micatally.http.errorResponse
+import micatally.peer.Peers
+import micatally.wire.PeerJobRequest
+
+/** Routes the requests that arrive on the address for other controllers and for operators' configuration commands. */
+class PeerRouter(
+    private val peers: Peers,
+    private val users: UserApi,
+    private val configuration: ConfigurationService,
+    private val cpuUsage: CpuUsage,
+) {
+    /**
+     * Returns the response of the resource that [request] names; 405 if it is not a POST, 404 if there is no such
+     * resource, 400 if its body can't be decoded.
+     */
+    suspend fun route(request: HttpRequest): HttpResponse {
+        if (request.method != "POST") return errorResponse(405, "use POST")
+        val body =
+            try {
+                respond(request.path, request.body)
+            } catch (_: SerializationException) {
+                return errorResponse(400, "malformed message")
+            }
+        if (body == null) return errorResponse(404, "no such resource")
+        return HttpResponse(200, body, HttpResponse.BINARY)
+    }
+
+    /** Null if there is no such resource. */
+    @OptIn(ExperimentalSerializationApi::class)
+    private suspend fun respond(
+        path: String,
+        body: ByteArray,
+    ): ByteArray? =
+        when (path) {
+            Peers.NEWS -> applyDelta(body)
+            Peers.CANCELLED_TASKS -> peers.takeCancelledTasks(body)
+            Peers.QUERY -> ProtoBuf.encodeToByteArray(users.peerQuery(decodeJobId(body)))
+            Peers.CANCEL -> ProtoBuf.encodeToByteArray(users.peerCancel(decodeJobId(body)))
+            else -> configuration.handle(path, body)
+        }
+
+    private fun applyDelta(body: ByteArray): ByteArray {
+        val answer = cpuUsage.of(CpuUsage.Kind.NEWS) { peers.takeNews(body) }
+        cpuUsage.newsTaken(body.size, answer.size)
+        return answer
+    }
+
+    @OptIn(ExperimentalSerializationApi::class)
+    private fun decodeJobId(body: ByteArray): String = ProtoBuf.decodeFromByteArray<PeerJobRequest>(body).jobId
+}
--- /dev/null
+++ b/src/main/kotlin/micatally/controller/UserWorkerRouter.kt
@@ -0,0 +1,49 @@
+package micatally.controller
+
+import micatally.api.UserApi
+import micatally.api.WorkerApi
+import micatally.http.HttpRequest
+import micatally.http.HttpResponse
+import micatally.http.errorResponse
+
+/** Routes the requests that arrive on the address for users and workers. */
+class UserWorkerRouter(
+    private val users: UserApi,
+    private val workers: WorkerApi,
+    private val cpuUsage: CpuUsage,
+) {
+    /** Returns the response of the resource that [request] names, 404 if there is none, 405 if it has another method. */
+    suspend fun route(request: HttpRequest): HttpResponse {
+        val path = request.path
+        return when {
+            path == HEARTBEAT ->
+                withMethod("POST", request) { cpuUsage.of(CpuUsage.Kind.REPORT) { workers.report(request) } }
+            path == HEALTH -> users.health()
+            path == JOBS -> withMethod("POST", request) { users.submit(request) }
+            path.startsWith(JOB_PREFIX) -> routeJob(path.removePrefix(JOB_PREFIX), request)
+            else -> errorResponse(404, "no such resource")
+        }
+    }
+
+    private suspend fun routeJob(
+        resource: String,
+        request: HttpRequest,
+    ): HttpResponse {
+        if (!resource.endsWith(CANCEL_SUFFIX)) return withMethod("GET", request) { users.query(resource) }
+        return withMethod("POST", request) { users.cancel(resource.removeSuffix(CANCEL_SUFFIX)) }
+    }
+
+    private inline fun withMethod(
+        method: String,
+        request: HttpRequest,
+        respond: () -> HttpResponse,
+    ): HttpResponse = if (request.method == method) respond() else errorResponse(405, "use $method")
+
+    private companion object {
+        const val HEARTBEAT = "/v1/report"
+        const val HEALTH = "/healthz"
+        const val JOBS = "/work"
+        const val JOB_PREFIX = "/work/"
+        const val CANCEL_SUFFIX = "/cancel"
+    }
+}
