--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -1,11 +1,7 @@
 package micatally.controller
 
 import kotlinx.coroutines.CoroutineScope
-import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import kotlinx.serialization.decodeFromByteArray
-import kotlinx.serialization.encodeToByteArray
-import kotlinx.serialization.protobuf.ProtoBuf
 import micatally.api.RecordReads
 import micatally.api.UserApi
 import micatally.api.WorkerApi
@@ -21,13 +17,10 @@
 import micatally.http.HttpCaller
 import micatally.http.HttpRequest
 import micatally.http.HttpResponse
-import micatally.http.errorResponse
-import micatally.job.AttemptState
 import micatally.job.JobManager
 import micatally.job.JobStore
 import micatally.job.RecordForms
 import micatally.job.ShardState
-import micatally.job.StopReason
 import micatally.membership.Keys
 import micatally.membership.Membership
 import micatally.membership.SharedKeyCache
@@ -43,12 +36,9 @@
 import micatally.state.Urgency
 import micatally.upgrade.FormatVersion
 import micatally.upgrade.Upgrade
-import micatally.wire.PeerJobRequest
 import micatally.worker.CommandDispatcher
-import micatally.worker.Machine
 import micatally.worker.MachineRegistry
 import micatally.worker.WorkerReach
-import org.slf4j.LoggerFactory
 import kotlin.random.Random
 
 /** One controller: all parts, put together. Requests leave through [http], time and randomness come from outside, so
@@ -67,7 +57,6 @@
     },
 ) {
     private val cpuUsage = CpuUsage(nowNs)
-    private val log = LoggerFactory.getLogger("micatally.controller")
     private val share = 0.95 / settings.controllers
     private val requestBudget = RateBudget(scope, settings.stateLimits.rps * share, nowMs)
     private val writeBudget =
@@ -181,6 +170,9 @@
         )
     private val workers =
         WorkerApi(settings, membership, machines, peers, jobManager.cancellations.cancelledTasks, nowMs)
+    private val sharedKeyEvents = SharedKeyEvents(membership.sharedKeys, machines, jobManager, quota)
+    private val userWorkerRouter = UserWorkerRouter(users, workers, cpuUsage)
+    private val peerRouter = PeerRouter(peers, users, configuration, cpuUsage)
 
     private fun loadedShards() =
         object : LoadedShards {
@@ -231,7 +223,7 @@
         fleetManager.onMachineTypes = { scheduler.requestCycle() }
         peers.onRetire = { fleetManager.retire(it) }
         peers.onNews = { scheduler.requestCycle() }
-        membership.onChange = { keys -> cpuUsage.of(CpuUsage.Kind.SHARED) { sharedChanged(keys) } }
+        membership.onChange = { keys -> cpuUsage.of(CpuUsage.Kind.SHARED) { sharedKeysChanged(keys) } }
         membership.onSummaries =
             { keys ->
                 cpuUsage.of(CpuUsage.Kind.SHARED) { peers.summariesChanged(keys) }
@@ -241,7 +233,7 @@
         fleetManager.start()
         peers.start()
         archive.start()
-        scope.launch { housekeeping() }
+        scope.launch { periodicTasks().runForever() }
     }
 
     /** The form of the records changes, and with it how many attempts they have room for. */
@@ -260,175 +252,63 @@
         scheduler.requestCycle()
     }
 
-    private fun sharedChanged(keys: Set<String>) {
+    private fun sharedKeysChanged(keys: Set<String>) {
         upgrade.sharedChanged()
         configuration.sharedChanged()
         jobManager.checkShards()
-        for (k in keys) {
-            if (k.startsWith(Keys.DELETED_MACHINE)) {
-                val name = k.removePrefix(Keys.DELETED_MACHINE)
-                if (membership.sharedKeys.has(k)) {
-                    machines.deletedNames.add(name)
-                    machines.of(name)?.let { jobManager.deleted(it) }
-                }
-            }
-            if (k.startsWith(Keys.CANCELLED_TASKS)) jobManager.cancellations.published(k)
-            if (k.startsWith(Keys.TEAM)) quota.teamChanged(k.removePrefix(Keys.TEAM))
-            if (k.startsWith(Keys.DRAIN)) {
-                machines.of(k.removePrefix(Keys.DRAIN))?.draining = membership.sharedKeys.has(k)
-            }
-        }
+        sharedKeyEvents.handleChanges(keys)
         peers.sharedChanged()
         scheduler.requestCycle()
     }
 
-    private fun isReachable(
-        m: Machine,
-        now: Long,
-    ) = !m.deleted && m.failuresInRow == 0 && now >= m.unreachableUntil &&
-        now - m.heardAt < settings.heartbeatIntervalMs * 2
-
-    private suspend fun housekeeping() {
-        var round = 0
-        var bumpedAt = nowMs()
-        var effortAt = bumpedAt
-        while (true) {
-            delay(settings.heartbeatIntervalMs / 4)
-            val now = nowMs()
-            cpuUsage.of(CpuUsage.Kind.HOUSE) {
-                membership.checkLeadership()
-                reach.review()
-                jobManager.sweep()
-                for (job in jobManager.openJobs()) if (job.gang != null) jobManager.gangs.review(job, now)
-                jobManager.faults.review(jobManager.openJobs(), now)
-                scheduler.requestCycle()
-                scheduler.migrateReplicas(now)
-                for (m in machines.byName.values) m.releaseOld(now)
-            }
-            for (m in machines.byName.values) {
-                if (m.hasSpotNotice && !m.deleted) {
-                    var touched = false
-                    for (a in m.attempts.toList()) {
-                        if (a.stop != null || a.state < AttemptState.DISPATCHED) continue
-                        if (a.job.gang !=
-                            null
-                        ) {
-                            jobManager.gangs.stopOrderly(a.job, "${m.name} is taken back") { isReachable(it, now) }
-                        } else if (a.stop(StopReason.DRAIN, now)) {
-                            touched = true
-                        }
-                    }
-                    if (touched) dispatcher.requestSync(m)
-                }
-            }
-            if (dispatcher.needsHigherFencingToken && now - bumpedAt > settings.leaseMs / 2) {
-                dispatcher.needsHigherFencingToken = false
-                bumpedAt = now
-                membership.raiseFencingToken("a run without an answer must not come late")
-            }
-            if (++round % 20 == 0) {
-                quota.handBack()
-                scope.launch { fleetManager.prune() }
-            }
-            if (round % 4 == 0) jobManager.cancellations.follow(now)
-            if (now - effortAt >
-                settings.leaseMs
-            ) {
-                effortAt = now
-                cpuUsage.tell(
-                    " machines=${machines.byName.size} waiting=${scheduler.unplaced.size} ${cpuUsage.news()} " +
-                        "allotmentOveruse=${quota.audit.overuseCount} writes=${writeBudget.tell()} requests=${requestBudget.tell()}",
-                )
-            }
-            if (round % 8 == 0) askForEnds(now)
-            if (round % 100 ==
-                0
-            ) {
-                machines.byName.values.removeIf {
-                    it.deleted && it.attempts.isEmpty() &&
-                        now - it.heardAt > settings.leaseMs * 6
-                }
-            }
-        }
+    private fun periodicTasks(): PeriodicTasks {
+        val startedAtMs = nowMs()
+        val review = StateReview(membership, reach, jobManager, scheduler, machines)
+        val spotEvacuation = SpotEvacuation(machines, jobManager, dispatcher, settings.heartbeatIntervalMs)
+        val fencingTokenRaise = FencingTokenRaise(membership, dispatcher, settings.leaseMs / 2, startedAtMs)
+        val usageReport = CpuUsageReport(cpuUsage, settings.leaseMs, startedAtMs) { usageDetails() }
+        val unreachableMachineSearch = UnreachableMachineSearch(machines, fleetManager, peers, settings)
+        return PeriodicTasks(
+            tickMs = settings.heartbeatIntervalMs / TICKS_PER_HEARTBEAT,
+            nowMs,
+            listOf(
+                PeriodicTask("state review", 1) { now -> cpuUsage.of(CpuUsage.Kind.HOUSE) { review.run(now) } },
+                PeriodicTask("spot evacuation", 1) { now -> spotEvacuation.run(now) },
+                PeriodicTask("fencing token raise", 1) { now -> fencingTokenRaise.run(now) },
+                PeriodicTask("allotment release", 20) { quota.handBack() },
+                PeriodicTask("deletion record removal", 20) { scope.launch { fleetManager.prune() } },
+                PeriodicTask("cancellation confirmation", 4) { now -> jobManager.cancellations.follow(now) },
+                PeriodicTask("CPU usage report", 1) { now -> usageReport.run(now) },
+                PeriodicTask("unreachable machine search", 8) { now -> unreachableMachineSearch.run(now) },
+                PeriodicTask("deleted machine removal", 100) { now -> removeDeletedMachines(now) },
+            ),
+        )
     }
 
-    /** Machines that hold attempts of this node but that nobody hears: their end must be proven before the tasks move. */
-    private fun askForEnds(now: Long) {
-        for (m in machines.byName.values) {
-            if (m.deleted || m.attempts.isEmpty()) continue
-            if (now - m.heardAt > settings.leaseMs * 2 && m.heardAt == 0L ||
-                now - m.heardAt > settings.leaseMs + settings.leadershipMs + settings.leaseMs
-            ) {
-                fleetManager.retire(listOf(m.name))
-                peers.retire(m.name)
-            }
-        }
-    }
+    private fun usageDetails() =
+        " machines=${machines.byName.size} waiting=${scheduler.unplaced.size} ${cpuUsage.news()} " +
+            "allotmentOveruse=${quota.audit.overuseCount} writes=${writeBudget.tell()} requests=${requestBudget.tell()}"
 
-    /** Requests on the address for users and workers. */
-    suspend fun handle(r: HttpRequest): HttpResponse {
-        val path = r.path
-        return when {
-            path == "/v1/report" ->
-                if (r.method ==
-                    "POST"
-                ) {
-                    cpuUsage.of(CpuUsage.Kind.REPORT) { workers.report(r) }
-                } else {
-                    errorResponse(405, "use POST")
-                }
-            path == "/healthz" -> users.health()
-            path == "/work" -> if (r.method == "POST") users.submit(r) else errorResponse(405, "use POST")
-            path.startsWith("/work/") -> {
-                val rest = path.removePrefix("/work/")
-                if (rest.endsWith("/cancel")) {
-                    if (r.method ==
-                        "POST"
-                    ) {
-                        users.cancel(rest.removeSuffix("/cancel"))
-                    } else {
-                        errorResponse(405, "use POST")
-                    }
-                } else if (r.method == "GET") {
-                    users.query(rest)
-                } else {
-                    errorResponse(405, "use GET")
-                }
-            }
-            else -> errorResponse(404, "no such resource")
+    private fun removeDeletedMachines(nowMs: Long) {
+        machines.byName.values.removeIf { machine ->
+            val isSilent = nowMs - machine.heardAt > settings.leaseMs * DELETED_MACHINE_LEASES
+            machine.deleted && machine.attempts.isEmpty() && isSilent
         }
     }
 
-    /** Requests on the address for other controllers. */
-    @OptIn(kotlinx.serialization.ExperimentalSerializationApi::class)
-    suspend fun handlePeer(r: HttpRequest): HttpResponse {
-        if (r.method != "POST") return errorResponse(405, "use POST")
-        val bytes =
-            try {
-                when (r.path) {
-                    Peers.NEWS ->
-                        cpuUsage.of(CpuUsage.Kind.NEWS) { peers.takeNews(r.body) }.also {
-                            cpuUsage.newsTaken(r.body.size, it.size)
-                        }
-                    Peers.CANCELLED_TASKS -> peers.takeCancelledTasks(r.body)
-                    Peers.QUERY ->
-                        ProtoBuf.encodeToByteArray(
-                            users.peerQuery(ProtoBuf.decodeFromByteArray<PeerJobRequest>(r.body).jobId),
-                        )
-                    Peers.CANCEL ->
-                        ProtoBuf.encodeToByteArray(
-                            users.peerCancel(ProtoBuf.decodeFromByteArray<PeerJobRequest>(r.body).jobId),
-                        )
-                    else ->
-                        configuration.handle(r.path, r.body) ?: return errorResponse(404, "no such resource")
-                }
-            } catch (e: kotlinx.serialization.SerializationException) {
-                return errorResponse(400, "malformed message")
-            }
-        return HttpResponse(200, bytes, HttpResponse.BINARY)
-    }
+    /** Handles a request on the address for users and workers. */
+    suspend fun handle(request: HttpRequest): HttpResponse = userWorkerRouter.route(request)
+
+    /** Handles a request on the address for other controllers. */
+    suspend fun handlePeer(request: HttpRequest): HttpResponse = peerRouter.route(request)
 
     private companion object {
+        /** Periodic tasks run in ticks; so many of them fit in the interval of workers' heartbeats. */
+        const val TICKS_PER_HEARTBEAT = 4
+
+        /** A deleted machine is forgotten so many leases after its last heartbeat. */
+        const val DELETED_MACHINE_LEASES = 6
+
         /** The share of this node's requests to the state service that users' questions may take. */
         const val QUESTION_SHARE = 0.5
     }
