--- /dev/null
+++ b/src/test/kotlin/micatally/sim/CapacityPressureTest.kt
@@ -0,0 +1,213 @@
+package micatally.sim
+
+import kotlinx.coroutines.delay
+import kotlinx.coroutines.launch
+import kotlinx.serialization.json.JsonObject
+import kotlinx.serialization.json.JsonPrimitive
+import micatally.emulator.Rehearsal
+import micatally.wire.JobSpec
+import micatally.wire.bytes
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+
+/**
+ * Quotas, priorities and admission hold while there is more work than capacity, also across a failover: an attempt counts
+ * against its team until there is evidence of its termination.
+ */
+class CapacityPressureTest {
+    /** Guard: attempts that are not proven gone count ([micatally.quota.Quota]), also under the shard's next holder, and what an
+     * attempt of a lost shard gives back counts nowhere. */
+    @Test
+    fun `every team is at its limit while jobs are cancelled whose machines hang or are cut off, and the leader changes`() =
+        each(big) {
+            val old =
+                (0..2).flatMap { n ->
+                    listOf(
+                        longArray(n, 20, "loaners" to false),
+                        longArray(
+                            n,
+                            8,
+                            "crew" to "text",
+                            "loaners" to false,
+                        ),
+                    )
+                }
+            runUntil(f.lease * 8, "the teams are at their limits") { f.rules.running.size == 60 + 24 }
+            val more =
+                (0..2).flatMap { n ->
+                    listOf(
+                        longArray(n, 20, "loaners" to false),
+                        longArray(
+                            n,
+                            8,
+                            "crew" to "text",
+                            "loaners" to false,
+                        ),
+                    )
+                }
+            f.runFor(2000)
+            val ends = old.filter { r -> tasks(r).isNotEmpty() }
+            val machines =
+                f.rules.running
+                    .mapTo(HashSet()) { it.machine }
+                    .toList()
+                    .sorted()
+            for (m in machines.filterIndexed { i, _ -> i % 2 == 0 }) worker(m).hung = true
+            val c = cut(CutMode.HOLD) { a, b -> machines.indexOf(a.name) % 4 == 1 && b.name.startsWith("n") }
+            for (r in ends) cancel(r, listOf(0, 1, 2))
+            f.runFor(300)
+            f.crash(0)
+            runUntil(f.lease * 2, "another node takes the ledger") { others.any { holdsOf(it, 0) } }
+            f.runFor(f.lease / 2)
+            f.startNode(0)
+            f.runFor(f.lease / 2)
+            heal(c)
+            for (m in machines) {
+                f.cloud.workers
+                    .firstOrNull { it.name == m }
+                    ?.hung = false
+            }
+            f.runFor(f.lease * 6)
+            afterwards(old)
+            assertEquals(84, more.sumOf { tasks(it).size }, "what was cancelled makes room for the rest")
+        }
+
+    /** Guard: submissions beyond a second's writes are refused at once; a cancellation and its tasks are one transaction. */
+    @Test
+    fun `one-task jobs come four a second, a quarter of them cancelled`() =
+        each {
+            val all =
+                (1..240).map { i ->
+                    spec(
+                        "sweep",
+                        1,
+                        "crew" to
+                            if (i % 2 ==
+                                0
+                            ) {
+                                "vision"
+                            } else {
+                                "text"
+                            },
+                    ).also { f.runs[it.jobId] = 1000 + f.random.nextLong(4000) }
+                }
+            for ((i, s) in all.withIndex()) {
+                f.scope.launch {
+                    delay(i * 250L)
+                    f.user(
+                        s,
+                        if (i % 4 ==
+                            0
+                        ) {
+                            f.random.nextLong(2500)
+                        } else {
+                            null
+                        },
+                        nosy = i % 8 == 0,
+                    )
+                }
+            }
+            f.runFor(60_000 + 60_000)
+            assertTrue(all.all { f.rules.isAccepted(it.jobId) })
+            assertTrue(
+                all.all { f.rules.isFinal(it.jobId) },
+                "all ended: ${all.filter { !f.rules.isFinal(it.jobId) }.map { it.jobId }}",
+            )
+            assertTrue(all.count { f.rules.isCancelled(it.jobId) } > 20)
+        }
+
+    /** Guard: as for every team's limit; a cancellation frees room only with a proof. */
+    @Test
+    fun `a team is at its limit when the leader changes, some machines can't be asked, and a cancellation falls into that`() =
+        each(big) {
+            val old = (0..2).map { longArray(it, 20) }
+            runUntil(f.lease * 8, "the team is at its limit") { f.rules.running.size == 60 }
+            val next = (0..2).map { longArray(it, 20) }
+            val machines =
+                f.rules.running
+                    .map { it.machine }
+                    .distinct()
+                    .sorted()
+            for (m in machines.filterIndexed { i, _ -> i % 2 == 0 }) {
+                f.net.deaf.add(m)
+            }
+            f.crash(0)
+            cancel(old[0], others)
+            cancel(old[1], others)
+            runUntil(f.lease * 2, "the leader changes") { others.any { holdsOf(it, 0) } }
+            f.runFor(f.lease / 3)
+            f.net.deaf.clear()
+            f.startNode(0)
+            f.runFor(f.lease * 6)
+            assertTrue(f.rules.isCancelled(old[0]) && f.rules.isCancelled(old[1]))
+            assertEquals(60, (old + next).sumOf { tasks(it).size }, "the rest gets the room")
+            afterwards(old)
+        }
+
+    /** Guard: placement from the top queue down, by priority; requests that wait too long are refused with `Retry-After`. */
+    @Test
+    fun `there is more work than room, urgent and not, over slow links`() =
+        each {
+            for (i in 0..2) f.net.slowMs["n$i"] = 80
+            f.net.slowMs["state"] = 60
+            val low = (0..2).map { longArray(it, 30, "grid" to "low", "crew" to "text") }
+            f.runFor(30_000)
+            assertEquals(24, f.rules.running.size, "no room is left to the team")
+            val urgent = (0..2).map { submit(it, "daemon", 2, "grid" to "production", "crew" to "vision") }
+            allRun(urgent)
+            cancel(low[0], listOf(0, 1, 2))
+            f.runFor(30_000)
+            f.net.slowMs.clear()
+            f.runFor(20_000)
+            assertEquals(24, low.sumOf { tasks(it).size })
+            afterwards(urgent)
+        }
+
+    /** Found at size: a team limited in cards only never gave an allotment back, because the cores that its tasks used had none;
+     * the jobs of the controllers that came last waited to the end of the day. */
+    @Test
+    fun `what one ledger no longer uses of a team's limit another one gets`() =
+        fleet(6) { f ->
+            fun submit(
+                node: Int,
+                n: Int,
+                format: String,
+                taskCount: Int,
+            ): String {
+                val spec =
+                    JobSpec.parse(
+                        JsonObject(
+                            Rehearsal.job(n, format, taskCount) +
+                                mapOf("crew" to JsonPrimitive("cards"), "cards" to JsonPrimitive(1.0)),
+                        ),
+                    )
+                f.rules.submitted(spec)
+                assertEquals(201, f.asked(node, "POST", "/work", spec.source.bytes()).first)
+                return spec.jobId
+            }
+            submit(0, 1, "daemon", 1)
+            for ((node, n) in listOf(0 to 2, 1 to 3)) {
+                val jobId = submit(node, n, "sweep", 7)
+                f.runFor(120_000)
+                assertEquals(7, f.rules.completed[jobId]?.size, jobId)
+            }
+        }
+
+    /** An answer that came after the shard was lost gave back its task's share once more: with the shard taken back the team
+     * seemed to use less than it did, and more was placed than its limit. */
+    @Test
+    fun `what an attempt of a lost ledger gives back counts nowhere`() =
+        scenario(3, big) {
+            val jobId = submit(0, "sweep", 4, "loaners" to false, runMs = 3_600_000)
+            allRun(listOf(jobId))
+            for (m in tasks(jobId).map { it.machine }) f.net.heldAnswersMs[m] = 6000
+            cancel(jobId, listOf(0))
+            f.runFor(1000)
+            val jobManager = f.live[0]!!.jobManager
+            jobManager.loseShard(jobManager.shards.getValue("pitbox-0"))
+            jobManager.checkShards()
+            f.runFor(f.lease)
+            assertEquals(0.0, jobManager.quota.used("pitbox-0", "vision").cores)
+        }
+}
--- /dev/null
+++ b/src/test/kotlin/micatally/sim/RequestLoadTest.kt
@@ -0,0 +1,75 @@
+package micatally.sim
+
+import kotlinx.coroutines.delay
+import kotlinx.coroutines.launch
+import micatally.emulator.RuleViolation
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+
+/** Many requests or many tasks at once: submissions and starts keep their time, and writes stay few. */
+class RequestLoadTest {
+    /** Guard: reads for users' questions keep to a share of a node's requests ([micatally.api.RecordReads]); else submissions and starts
+     * wait behind thousands of questions about jobs that nobody submitted. */
+    @Test
+    fun `submissions and starts keep their time in a storm of questions`() =
+        each {
+            allRun((0..2).map { submit(it, "daemon", 1, "loaners" to false) })
+            var refused = 0
+            var answered = 0
+            for (node in 0 until f.nodes) {
+                repeat(STORM_QUESTIONS_PER_S * 20) { i ->
+                    f.scope.launch {
+                        delay(i * 1000L / STORM_QUESTIONS_PER_S)
+                        when (f.askNode(node, "GET", "/work/j-9%05d".format(i), null, 2000).first) {
+                            404 -> answered++
+                            503 -> refused++
+                            else -> throw RuleViolation(
+                                "invented",
+                                "a question about a job that nobody submitted got neither 404 nor 503 in time",
+                            )
+                        }
+                    }
+                }
+            }
+            f.runFor(3000)
+            for (node in 0 until f.nodes) {
+                val asked = f.now
+                val jobId = submit(node, "sweep", 2, "loaners" to false, runMs = 500)
+                assertTrue(f.now - asked < 1000, "accepted in ${f.now - asked} ms")
+                runUntil(f.lease * 2, "its tasks are done") { f.rules.completed[jobId]?.size == 2 }
+            }
+            f.runFor(20_000)
+            assertTrue(answered > 0 && refused > 0, "$answered answered, $refused refused")
+        }
+
+    /** Guard: counts of finished tasks are written together ([micatally.job.JobStore]), and done tasks stand in the record, so that an end of
+     * the owner repeats only what was done in the last moments. */
+    @Test
+    fun `a huge array takes few writes, and its owner's end repeats little of it`() =
+        each {
+            f.cloud.bootMs = { 1000L }
+            var writes = 0
+            val jobId = submit(0, "sweep", HUGE, "cores" to 0.25, "loaners" to false, runMs = 1500)
+            f.holdWriteOf = { _, body ->
+                if (jobId in body) writes++
+                null
+            }
+            runUntil(f.lease * 10, "a third is done") { (f.rules.completed[jobId]?.size ?: 0) > HUGE / 3 }
+            val starts = f.rules.starts
+            val done = f.rules.completed[jobId]!!.size
+            f.crash(0)
+            runUntil(f.lease * 3, "another owner goes on") { (f.rules.completed[jobId]?.size ?: 0) > HUGE / 2 }
+            f.startNode(0)
+            runUntil(f.lease * 20, "all is done") { f.rules.completed[jobId]?.size == HUGE }
+            assertTrue(writes < HUGE / 2, "$writes writes for $HUGE tasks")
+            assertTrue(
+                f.rules.starts < HUGE * 11 / 10 + 500,
+                "${f.rules.starts} starts, $starts of them for the first $done",
+            )
+        }
+
+    private companion object {
+        const val STORM_QUESTIONS_PER_S = 150
+        const val HUGE = 2000
+    }
+}
--- a/src/test/kotlin/micatally/sim/Scenario.kt
+++ b/src/test/kotlin/micatally/sim/Scenario.kt
@@ -211,3 +211,56 @@
         }
     }
 }
+
+/** Seeds with which each scenario is played; more with `-Dmeeting.seeds=1-8`. */
+internal val seeds =
+    (System.getProperty("meeting.seeds") ?: "1-2").split('-').map { it.toInt() }.let { (a, b) ->
+        a..b
+    }
+
+/** Plays the scenario once with each of the [seeds]. */
+internal fun each(
+    timing: Timing = Timing.PLAIN,
+    nodes: Int = timing.nodes,
+    before: SimFleet.() -> Unit = {},
+    test: Scenario.() -> Unit,
+) {
+    for (s in seeds) scenario(s, timing, nodes, before = before, test = test)
+}
+
+/** The times of a large deployment. */
+internal val big = Timing.DEPLOYMENTS.getValue("addis at size")
+
+/** A job array whose tasks outlive the test. */
+internal fun Scenario.longArray(
+    node: Int,
+    taskCount: Int,
+    vararg more: Pair<String, Any>,
+) = submit(node, "sweep", taskCount, *more, runMs = 3_600_000)
+
+/** Plays a test on a fleet that has run for three seconds. */
+internal fun fleet(
+    seed: Int,
+    test: (SimFleet) -> Unit,
+) {
+    val f = SimFleet(seed)
+    try {
+        for (i in 0..2) f.startNode(i)
+        f.runFor(3000)
+        test(f)
+    } finally {
+        f.close()
+    }
+}
+
+internal fun SimFleet.submit(
+    node: Int,
+    n: Int,
+    format: String,
+    taskCount: Int,
+): String {
+    val spec = JobSpec.parse(Rehearsal.job(n, format, taskCount))
+    rules.submitted(spec)
+    assertEquals(201, asked(node, "POST", "/work", spec.source.bytes()).first)
+    return spec.jobId
+}
