--- /dev/null
+++ b/src/test/kotlin/micatally/sim/SimWorkers.kt
@@ -0,0 +1,141 @@
+package micatally.sim
+
+import micatally.emulator.CloudEmulator
+import micatally.emulator.GangTable
+import micatally.emulator.GangTimes
+import micatally.emulator.OnMachine
+import micatally.emulator.RuleChecker
+import micatally.emulator.WorkerEmulator
+import micatally.emulator.WorkerWorld
+import micatally.settings.Settings
+import micatally.wire.MachineType
+import micatally.wire.Resources
+import kotlin.random.Random
+
+/** The cloud and its machines: each becomes a worker when it is up. Starts and ends of tasks are reported to [rules]. */
+class SimWorkers(
+    private val time: SimTime,
+    private val net: SimNet,
+    private val random: Random,
+    private val gangRandom: Random,
+    private val rules: RuleChecker,
+    private val settings: Settings,
+    nodes: Int,
+) : WorkerWorld {
+    private val controllers = (0 until nodes).associate { "pitbox-$it" to "n$it:80" }
+    private val zones = settings.zones
+    private val machineTypes =
+        listOf(
+            MachineType("small", Resources(8.0, 0.0, 32.0), 40.0, 1.0, 1.0, 0.3, 6.0, zones),
+            MachineType("g8", Resources(96.0, 8.0, 768.0), 400.0, 10.0, 30.0, 8.0, 6.0, zones),
+        )
+    val cloud = CloudEmulator(time.scope, machineTypes, capacity(), LIST_LAG_MS, { time.now }, ::boot)
+
+    /** How long the tasks of a job run, where a test says so; in milliseconds. */
+    val fixedRunMs = HashMap<String, Long>()
+    private val randomRunMs = HashMap<Pair<String, Int>, Long>()
+
+    /** Jobs that were submitted with a mistake: their tasks fail on every machine. */
+    val faultyJobs = HashSet<String>()
+
+    override val gangs by lazy {
+        GangTable(time.scope, GangTimes(settings.gangWaitMs, settings.gangPeerMs), gangRandom) { time.now }
+    }
+
+    /** Machines of each type and zone that the cloud has, as spot instances and on demand. */
+    private fun capacity(): HashMap<Triple<String, String, Boolean>, Int> {
+        val capacity = HashMap<Triple<String, String, Boolean>, Int>()
+        for (zone in zones) {
+            for (type in machineTypes) {
+                for (isSpot in listOf(true, false)) capacity[Triple(type.label, zone, isSpot)] = MACHINES_PER_KIND
+            }
+        }
+        return capacity
+    }
+
+    private fun boot(
+        name: String,
+        type: MachineType,
+        zone: String,
+        isSpot: Boolean,
+    ): WorkerEmulator {
+        val host = SimNet.Host(name, zone)
+        net.hosts[name] = host
+        val worker =
+            WorkerEmulator(
+                time.scope,
+                net.callerOf(host),
+                this,
+                Random(random.nextLong()),
+                name,
+                "$name:9",
+                type.label,
+                zone,
+                isSpot,
+                type.resources,
+                type.pullGbPerS,
+                settings.heartbeatIntervalMs,
+                settings.leaseMs,
+                controllers,
+            ) { time.now }
+        host.scope = time.scope
+        host.handler = { _, request -> worker.handle(request) }
+        return worker
+    }
+
+    /** Whether this machine stands still now. */
+    fun hangs(name: String) = cloud.workers.any { it.name == name && it.hung }
+
+    /** A machine stops with all that is on it: connections to it hang from now on. */
+    fun loseMachine(worker: WorkerEmulator) {
+        cloud.take(worker.name)
+        net.hosts[worker.name]?.dark = true
+    }
+
+    override fun spec(jobId: String) = rules.specs[jobId]
+
+    override fun runMs(
+        jobId: String,
+        taskIndex: Int,
+    ): Long? {
+        if (rules.specs[jobId]?.isService == true) return null
+        return fixedRunMs[jobId] ?: randomRunMs.getOrPut(jobId to taskIndex) { random.nextLong(500, 12_000) }
+    }
+
+    override fun isBroken(jobId: String) = jobId in faultyJobs
+
+    override fun completed(
+        jobId: String,
+        taskIndex: Int,
+    ) = rules.completed[jobId]?.contains(taskIndex) == true
+
+    override fun started(
+        machine: WorkerEmulator,
+        jobId: String,
+        taskIndex: Int,
+    ) {
+        time.note("start $jobId/$taskIndex on ${machine.name}")
+        rules.started(onMachine(machine, jobId, taskIndex), time.now)
+    }
+
+    override fun left(
+        machine: WorkerEmulator,
+        jobId: String,
+        taskIndex: Int,
+        done: Boolean,
+    ) {
+        time.note("left $jobId/$taskIndex on ${machine.name} done=$done")
+        rules.left(onMachine(machine, jobId, taskIndex), done)
+    }
+
+    private fun onMachine(
+        machine: WorkerEmulator,
+        jobId: String,
+        taskIndex: Int,
+    ) = OnMachine(jobId, taskIndex, machine.name, machine.type, machine.zone, machine.spot)
+
+    private companion object {
+        const val MACHINES_PER_KIND = 8
+        const val LIST_LAG_MS = 3000L
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/micatally/sim/StarvationCheck.kt
@@ -0,0 +1,97 @@
+package micatally.sim
+
+import micatally.emulator.CloudEmulator
+import micatally.emulator.RuleChecker
+import micatally.emulator.RuleViolation
+import micatally.emulator.WorkerEmulator
+import micatally.scheduling.Placement
+import micatally.wire.JobSpec
+
+/** Checks that no job waits for long while a machine that it may run on has free capacity and its team is under its quota. */
+class StarvationCheck(
+    private val rules: RuleChecker,
+    private val cloud: CloudEmulator,
+    private val net: SimNet,
+) {
+    private val waitingSince = HashMap<String, Long>()
+
+    /**
+     * Throws a [RuleViolation] if a job could have started for more than [maxMs] milliseconds. To be called once a
+     * second after all troubles are over; the answer holds for jobs whose tasks may go anywhere that their types and
+     * zone allow.
+     */
+    fun check(
+        now: Long,
+        maxMs: Long = 90_000,
+    ) {
+        val workers = cloud.workers.filter { isUsable(it) }
+        for (jobId in rules.acceptedJobs) {
+            if (!couldStart(jobId, workers)) {
+                waitingSince.remove(jobId)
+                continue
+            }
+            val waitedMs = now - waitingSince.getOrPut(jobId) { now }
+            if (waitedMs > maxMs) {
+                throw RuleViolation("waiting", "$jobId waits $waitedMs ms beside a machine that has room")
+            }
+        }
+    }
+
+    private fun isUsable(worker: WorkerEmulator): Boolean {
+        val isReachable = worker.name !in net.deaf && worker.name !in net.mute
+        return isReachable && !worker.hung && !worker.sick && worker.spotNoticeS == null
+    }
+
+    private fun couldStart(
+        jobId: String,
+        workers: List<WorkerEmulator>,
+    ): Boolean {
+        if (rules.isFinal(jobId) || rules.isAskedToCancel(jobId)) return false
+        val spec = rules.specs.getValue(jobId)
+        val running = rules.running.filter { it.jobId == jobId }
+        val completed = rules.completed[jobId].orEmpty()
+        val missing = spec.taskCount - running.size - completed.count { task -> running.none { it.taskIndex == task } }
+        if (missing <= 0) return false
+        if (spec.isGang) return running.isEmpty() && rules.underLimit(spec, spec.taskCount) && fitsWhole(spec, workers)
+        val zones = running.map { it.zone }
+        return rules.underLimit(spec) &&
+            workers.any { mayRunOn(spec, it) && mayAddTask(spec, it.zone, zones) && spec.resources.fitsIn(it.free) }
+    }
+
+    /** Whether a machine's type, zone and price allow the job's tasks there. */
+    private fun mayRunOn(
+        spec: JobSpec,
+        worker: WorkerEmulator,
+    ): Boolean {
+        val isTypeAllowed = spec.types?.contains(worker.type) != false
+        val isZoneAllowed = spec.zone == null || spec.zone == worker.zone
+        return isTypeAllowed && isZoneAllowed && (!worker.spot || spec.spot)
+    }
+
+    /** Whether one more task may start in this zone beside those that run in [zones]. */
+    private fun mayAddTask(
+        spec: JobSpec,
+        zone: String,
+        zones: List<String>,
+    ): Boolean {
+        val keepsTogether = !spec.together || zones.all { it == zone }
+        val keepsScattered = !spec.scatter || zones.count { it == zone } < Placement.zoneCap(spec)
+        return keepsTogether && keepsScattered
+    }
+
+    /** Whether there is free capacity for all tasks of a gang at once, in one zone where they have to be together. */
+    private fun fitsWhole(
+        spec: JobSpec,
+        workers: List<WorkerEmulator>,
+    ): Boolean {
+        val tasksByZone =
+            workers.filter { mayRunOn(spec, it) }.groupBy { it.zone }.mapValues { (_, inZone) ->
+                minOf(inZone.sumOf { spec.resources.countIn(it.free).toLong() }, Placement.zoneCap(spec).toLong())
+            }
+        return if (spec.together) {
+            tasksByZone.values.any { it >= spec.taskCount }
+        } else {
+            tasksByZone.values.sum() >= spec.taskCount
+        }
+    }
+}
