--- a/src/test/kotlin/micatally/sim/SimFleet.kt
+++ b/src/test/kotlin/micatally/sim/SimFleet.kt
@@ -62,6 +62,7 @@
     private val nodeScopes = arrayOfNulls<CoroutineScope>(nodes)
     private val threads = arrayOfNulls<Stoppable>(nodes)
     private val sentRuns = HashSet<String>()
+    private val sentMessages = SentMessageDigest.ofFleet(seed)
 
     init {
         rules.hangs = { workers.hangs(it) }
@@ -114,7 +115,9 @@
             )
         host.scope = nodeScope
         host.handler = { address, request ->
-            if (address.endsWith(":81")) controller.handlePeer(request) else controller.handle(request)
+            val response = if (address.endsWith(":81")) controller.handlePeer(request) else controller.handle(request)
+            sentMessages?.response(now, "n$node", "${request.method} ${request.target}", response)
+            response
         }
         threads[node] = thread
         nodeScopes[node] = nodeScope
@@ -128,6 +131,7 @@
     ): HttpCaller {
         val caller = stateFaults.callerOf(node, host, net.callerOf(host))
         return HttpCaller { address, method, target, body, timeoutMs ->
+            sentMessages?.request(now, "n$node", address, method, target, body)
             if (target == "/orders") noteRuns(body)
             caller.call(address, method, target, body, timeoutMs)
         }
@@ -210,5 +214,6 @@
     fun close() {
         nodeScopes.forEach { it?.cancel() }
         time.close()
+        sentMessages?.write()
     }
 }
