--- a/src/main/kotlin/micatally/fleet/BootTimes.kt
+++ b/src/main/kotlin/micatally/fleet/BootTimes.kt
@@ -1,24 +1,25 @@
 package micatally.fleet
 
-/** An instance that is not up yet, and how long ago it was provisioned. */
+/** A machine that is still booting, and the time in milliseconds since it was provisioned. */
 class BootingInstance(
     val offer: Offer,
     val ageMs: Long,
 )
 
 /**
- * Estimates how long machines take to boot, by type and zone, from recent boots and from the ages of those still booting. Decisions
- * only: no I/O.
+ * Estimates how long machines take to boot, by type and zone, from recent boots and from the ages of machines that are
+ * still booting. It only computes and does no I/O.
  *
- * A booting machine counts as capacity to come for as long as that is plausible. After that the capacity is provisioned elsewhere,
- * but only once: when most machines of a type and zone are late, all of them are waited for longer, or the same capacity would be
- * provisioned again and again.
+ * A booting machine counts as pending capacity for as long as it can reasonably be expected to come up. After that, its
+ * capacity is provisioned a second time elsewhere. When most machines of a type and zone are late, the expected boot
+ * time of all of them is extended instead; otherwise the same capacity would be provisioned over and over.
  *
  * @param nominalMs the boot time that the cloud states for a machine type, in milliseconds
  */
 class BootTimes(
     private val nominalMs: (String) -> Long,
 ) {
+    /** One observed boot: its duration, and the time at which the machine came up. */
     private class Boot(
         val bootMs: Long,
         val atMs: Long,
@@ -27,7 +28,7 @@
     private val recentBoots = HashMap<TypeInZone, ArrayDeque<Boot>>()
     private var bootingAges: Map<TypeInZone, List<Long>> = emptyMap()
 
-    /** Records that a machine came up at [nowMs], [bootMs] after it was provisioned. */
+    /** Records that a machine came up at [nowMs], [bootMs] milliseconds after it was provisioned. */
     fun recordBoot(
         offer: Offer,
         bootMs: Long,
@@ -38,7 +39,7 @@
         if (recent.size > BOOTS_KEPT) recent.removeFirst()
     }
 
-    /** Replaces the set of machines that are still booting, and forgets boots that are long past. */
+    /** Replaces the machines that are still booting, and drops boots that were observed too long ago to count. */
     fun updateBooting(
         booting: List<BootingInstance>,
         nowMs: Long,
@@ -49,27 +50,33 @@
         }
     }
 
-    /** Up to which age, in milliseconds, a machine that is not up counts as capacity to come. */
+    /** The age, in milliseconds, up to which a machine that is not up counts as pending capacity. */
     fun expectedWithinMs(offer: Offer): Long {
         val nominal = nominalMs(offer.type)
         val longestWaitMs = maxOf(nominal * TIMEOUT_NOMINALS, longestBootMs(offer) * LONGEST_MARGIN)
         return (typicalBootMs(offer) * TYPICAL_MARGIN).toLong().coerceIn(nominal * USUAL_NOMINALS, longestWaitMs)
     }
 
-    /** At which age, in milliseconds, a machine that is not up is to be deleted. While most are late, all may still come up. */
+    /**
+     * The age, in milliseconds, at which a machine that is not up is deleted. The timeout is longer while most machines
+     * of the type and zone are late, since all of them may still come up.
+     */
     fun bootTimeoutMs(offer: Offer): Long {
         val nominal = nominalMs(offer.type)
         val timeoutNominals = if (slowness(offer) > 1.0) SLOW_TIMEOUT_NOMINALS else TIMEOUT_NOMINALS
         return maxOf(nominal * timeoutNominals, longestBootMs(offer) * LONGEST_MARGIN)
     }
 
-    /** How many times slower than nominal the offer's machines boot now; 1 within what is usual. */
+    /**
+     * How many times slower than nominal machines of this type and zone boot at present; 1 if they boot in the usual
+     * time.
+     */
     fun slowness(offer: Offer): Double {
         val ratio = typicalBootMs(offer).toDouble() / nominalMs(offer.type)
         return if (ratio > USUAL_NOMINALS) ratio else 1.0
     }
 
-    /** The median of recent boots and of the ages of machines whose boot takes longer than usual by now. */
+    /** The median of the recent boot times and of the ages of machines that are already late, in milliseconds. */
     private fun typicalBootMs(offer: Offer): Long {
         val nominal = nominalMs(offer.type)
         val lateAges = bootingAges[offer.typeInZone]?.filter { it > nominal * USUAL_NOMINALS } ?: emptyList()
@@ -77,22 +84,35 @@
         return if (bootTimes.isEmpty()) nominal else bootTimes.sorted()[bootTimes.size / 2]
     }
 
+    /** The longest of the recent boot times, in milliseconds; 0 if there are none. */
     private fun longestBootMs(offer: Offer) = recentBoots[offer.typeInZone]?.maxOfOrNull { it.bootMs } ?: 0L
 
     private companion object {
-        /** Boots remembered for each type and zone, and for how many nominal boot times: a period of slow boots ends. */
+        /** The number of recent boots that are kept for each type and zone. */
         const val BOOTS_KEPT = 8
+
+        /**
+         * A boot is forgotten after this many nominal boot times, so that a period of slow boots stops counting once it
+         * is over.
+         */
         const val RETENTION_NOMINALS = 10L
 
-        /** Nominal boot times that a machine may take without being late. The cloud usually takes up to 1.5 of them. */
+        /** A boot is late after this many nominal boot times. A boot in the cloud usually takes up to 1.5 of them. */
         const val USUAL_NOMINALS = 2L
 
-        /** Nominal boot times after which a machine is not waited for any more. The cloud says that some take several of them. */
+        /**
+         * A machine that is not up is given up after this many nominal boot times. By the cloud's description, some
+         * boots take several.
+         */
         const val TIMEOUT_NOMINALS = 4L
+
+        /** Replaces [TIMEOUT_NOMINALS] while most machines of the type and zone are late. */
         const val SLOW_TIMEOUT_NOMINALS = 10L
 
-        /** Safety factors on the typical and on the longest boot time observed. */
+        /** Safety factor on the typical boot time. */
         const val TYPICAL_MARGIN = 1.5
+
+        /** Safety factor on the longest boot time observed. */
         const val LONGEST_MARGIN = 2L
     }
 }
--- a/src/main/kotlin/micatally/fleet/CloudClient.kt
+++ b/src/main/kotlin/micatally/fleet/CloudClient.kt
@@ -12,28 +12,29 @@
 import micatally.wire.bytes
 import micatally.wire.parseObject
 
-/** What became of a request for machines. */
+/** The outcome of a provisioning request. */
 sealed interface ProvisioningResult {
-    /** The cloud answered. There may be fewer machines than were asked for, or none. */
+    /** The cloud carried out the request. It may have provisioned fewer machines than were asked for, or none. */
     class Provisioned(
         val names: List<String>,
     ) : ProvisioningResult
 
-    /** Not carried out: the cloud has no free machine of this kind. */
+    /** The request was not carried out: the cloud has no free machine of this type and zone. */
     data object NoCapacity : ProvisioningResult
 
-    /** Not carried out: an outage, a rate limit or a request that was turned down. */
+    /** The request was not carried out because of an outage or a rate limit, or because the cloud rejected it. */
     data object Refused : ProvisioningResult
 
-    /** Perhaps carried out; the same request must be sent again, under the same name. */
+    /** The request may have been carried out. It has to be repeated under the same name to find out. */
     data object Unknown : ProvisioningResult
 }
 
 /**
- * Client of the cloud's HTTP interface. Each call suspends until the rate limit allows its request; none is retried here.
+ * Client of the cloud's HTTP API. Each call suspends until the rate limit allows its request. No call retries a failed
+ * request.
  *
  * @param budget this process's share of the cloud's rate limit
- * @param timeoutMs how long to wait for an answer
+ * @param timeoutMs how long to wait for a response, in milliseconds
  */
 class CloudClient(
     private val http: HttpCaller,
@@ -53,15 +54,18 @@
         return outcome
     }
 
-    /** The machine types as the cloud describes them, to be read by [micatally.wire.MachineType]; null when it can't be asked. */
+    /**
+     * The machine types as the cloud describes them, in the form that [micatally.wire.MachineType] parses; null if the
+     * cloud does not respond with status 200.
+     */
     suspend fun machineTypes(): JsonObject? {
         val outcome = send("GET", CloudRequests.MACHINE_TYPES, null, Urgency.ACCEPTANCE)
         return if (outcome is Outcome.Answer && outcome.status == OK) parseObject(outcome.body) else null
     }
 
     /**
-     * Asks for machines. Repeating a request provisions nothing twice: the cloud answers as it did before. Its name must never have
-     * been used for another request.
+     * Requests machines. Requests are idempotent by name: if one is repeated, the cloud responds as it did before and
+     * provisions nothing. A name must therefore never be used for a different request.
      */
     suspend fun provision(request: ProvisioningRequest): ProvisioningResult {
         val offer = request.offer
@@ -89,13 +93,19 @@
             else -> ProvisioningResult.Unknown
         }
 
-    /** Deletes machines. True when they and all that ran on them are gone; false when that is not known. */
+    /**
+     * Deletes machines. True if the cloud has confirmed that they and all tasks on them are gone; false if that is not
+     * known.
+     */
     suspend fun delete(names: List<String>): Boolean {
         val outcome = send("POST", CloudRequests.DELETE_MACHINES, CloudRequests.delete(names), Urgency.LEASE)
         return outcome is Outcome.Answer && outcome.status == OK
     }
 
-    /** All machines that the cloud lists, read in pages; null when a page could not be read. The list may lag behind. */
+    /**
+     * All machines in the cloud's list, read page by page; null if a page can't be read. The list may lag behind the
+     * present state.
+     */
     suspend fun list(): List<ListedMachine>? {
         val machines = ArrayList<ListedMachine>()
         var lastName: String? = null
--- a/src/main/kotlin/micatally/fleet/CloudInventory.kt
+++ b/src/main/kotlin/micatally/fleet/CloudInventory.kt
@@ -9,8 +9,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Takes in the cloud's list of machines while this process is the fleet manager: it shows machines that nobody has heard from, and
- * those that failed to start.
+ * Reads the cloud's list of machines while this process is the fleet manager. The list contains machines from which no
+ * controller has received a heartbeat, and machines that failed to start.
  */
 class CloudInventory(
     private val settings: Settings,
@@ -23,9 +23,11 @@
     private val nowMs: () -> Long,
 ) {
     private val log = LoggerFactory.getLogger("micatally.fleet")
+
+    /** Unknown machine statuses that were logged already. */
     private val unknownStatuses = HashSet<String>()
 
-    /** Reads the list again and again; never returns. */
+    /** Reads the list at regular intervals; never returns. */
     suspend fun follow() {
         val listingMs = (REQUESTS_PER_LISTING * MS_PER_SECOND / settings.cloudRps).toLong()
         val pauseMs = maxOf(settings.listLagMs / 2, listingMs)
@@ -39,6 +41,7 @@
         }
     }
 
+    /** Requests the deletion of a machine that failed to start; records any other one that is not deleted. */
     private fun apply(
         listed: ListedMachine,
         now: Long,
@@ -64,7 +67,7 @@
     private companion object {
         const val MS_PER_SECOND = 1000
 
-        /** Between two lists the cloud takes at least so many other requests. */
+        /** The pause between two lists leaves room for at least this many requests at the cloud's rate limit. */
         const val REQUESTS_PER_LISTING = 3
     }
 }
--- a/src/main/kotlin/micatally/fleet/ConsolidationPlan.kt
+++ b/src/main/kotlin/micatally/fleet/ConsolidationPlan.kt
@@ -6,13 +6,13 @@
 import micatally.worker.Machine
 
 /**
- * Which machines to evict so that they can be deleted, because the tasks on them fit on others. Decisions only: no I/O. Each
- * instance selects once.
+ * Selects machines to evict and then delete, because their tasks fit on other machines. It only computes and does no
+ * I/O. Each instance is used for one selection.
  *
  * @param inService machines in service that are not being evicted
  * @param evicting machines that are being evicted
- * @param recentServices services that were submitted lately: as many may come while a machine boots
- * @param headroomShare share of what is used that stays free
+ * @param recentServices services that were submitted recently; as many more may be submitted while a machine boots
+ * @param headroomShare the free capacity to keep, as a share of the used capacity
  */
 class ConsolidationPlan(
     private val inService: List<Machine>,
@@ -21,7 +21,7 @@
     private val recentServices: List<ResourceRequest>,
     private val headroomShare: Double,
 ) {
-    /** A machine to evict, and why, for the log. */
+    /** A machine to evict, and the reason for the log. */
     class Selection(
         val machine: Machine,
         val reason: String,
@@ -30,11 +30,15 @@
     private val selected = LinkedHashSet<Machine>()
 
     /**
-     * The least used machines, most expensive types first, as long as the others have free capacity for their tasks and a reserve
-     * besides: the headroom, and never less than a machine or than the recent services. Capacity for tasks that still have to
-     * leave machines being evicted is taken into account. Tasks without GPUs may go to any type, but stay in their zone.
+     * Selects the least used machines of each type, most expensive types first. A machine is selected only if the
+     * remaining machines have enough free capacity for its tasks and for a reserve. The reserve of a machine type is
+     * the largest of the headroom, the capacity of one machine and the recent services.
      *
-     * @param limit how many machines to select at the most
+     * Free capacity that is needed for the tasks of machines being evicted does not count. A machine with GPUs of which
+     * none is used may move its tasks to any machine type in its own zone, and keeps only the headroom of cores in
+     * reserve. All others need free capacity on their own type.
+     *
+     * @param limit the largest number of machines to select
      * @param mayEvict whether a machine may be selected at all
      */
     fun select(
@@ -53,6 +57,7 @@
         return selections
     }
 
+    /** Machines of the type that may be evicted, least used first. */
     private fun candidates(
         type: MachineType,
         mayEvict: (Machine) -> Boolean,
@@ -75,7 +80,10 @@
         return maxOf(gpus, used.cores / type.resources.cores)
     }
 
-    /** What is free on the machines that may take this one's tasks; null if that is not enough, or this one is used too much. */
+    /**
+     * The free capacity of the machines that may take over this machine's tasks; null if it is not enough, or if this
+     * machine is used too much to be evicted.
+     */
     private fun freeCapacityElsewhere(
         type: MachineType,
         machine: Machine,
@@ -97,7 +105,7 @@
         return free.takeIf { it.cores >= displaced.cores + reserve.cores && it.gpus >= displaced.gpus + reserve.gpus }
     }
 
-    /** What has to stay free on machines of the type. */
+    /** The free capacity that has to remain on machines of the type. */
     private fun reserve(
         type: MachineType,
         used: Resources,
@@ -117,7 +125,7 @@
     }
 
     private companion object {
-        /** A machine that is used more than this is not worth evicting. */
+        /** Machines with a higher utilization are not evicted. */
         const val MAX_UTILIZATION = 0.8
     }
 }
--- a/src/main/kotlin/micatally/fleet/Eviction.kt
+++ b/src/main/kotlin/micatally/fleet/Eviction.kt
@@ -1,18 +1,18 @@
 package micatally.fleet
 
-/** How far the graceful eviction of a machine is. */
+/** The phase of a machine's graceful eviction. */
 enum class EvictionState {
-    /** The machine gets no new tasks, and the job owners move those that can be moved. */
+    /** The machine gets no new tasks, and the shard leaders move those of its tasks that can be moved. */
     EVICTING,
 
-    /** Nothing is on the machine; it is deleted once all controllers know of the eviction. */
+    /** No task is on the machine. It is deleted once all controllers know of the eviction. */
     EMPTY,
 }
 
 /**
- * The graceful eviction of one machine.
+ * The graceful eviction of one machine. Times are in milliseconds on this process's clock.
  *
- * @property beganAt when it began, or when this process became the fleet manager while it was under way
+ * @property beganAt when the eviction began, or when this process became the fleet manager if it was under way by then
  */
 class Eviction(
     val beganAt: Long,
@@ -20,10 +20,12 @@
 ) {
     var state = state
         private set
+
+    /** When the eviction entered its present state. */
     var stateSince = beganAt
         private set
 
-    /** The one place where an eviction changes its state. */
+    /** Enters the state [next]; does nothing if that is the present state. No other function changes the state. */
     fun transitionTo(
         next: EvictionState,
         now: Long,
--- a/src/main/kotlin/micatally/fleet/EvictionRecords.kt
+++ b/src/main/kotlin/micatally/fleet/EvictionRecords.kt
@@ -16,8 +16,8 @@
 import micatally.state.Write
 
 /**
- * The records in the state store that tell all controllers which machines are being evicted. Writes are started and not waited
- * for; [reconcile] repeats those that were lost.
+ * The records in the state store that tell all controllers which machines are being evicted. [put] and [delete] start a
+ * write and return at once. [reconcile] repeats writes that were lost.
  */
 class EvictionRecords(
     private val scope: CoroutineScope,
@@ -28,16 +28,19 @@
     private val reconcileIntervalMs = settings.leaseMs / 4
     private var lastReconciledAt = 0L
 
-    /** Keys whose records differed from what was decided when they were last compared. */
+    /** Keys whose stored records differed from the evictions in progress at the last comparison. */
     private var mismatchedKeys: Set<String> = emptySet()
 
-    /** Names of the machines with a record, in this process's copy of the shared keys. */
+    /** Names of the machines that have a record in this process's copy of the shared keys. */
     fun names(): List<String> = sharedKeys.under(Keys.DRAIN).map { it.key.removePrefix(Keys.DRAIN) }
 
+    /** Whether the machine has a record in this process's copy of the shared keys. */
     fun has(name: String): Boolean = sharedKeys.has(Keys.DRAIN + name)
 
+    /** Starts to store a record for the machine. */
     fun put(name: String) = launchTransaction { Transaction(emptyList(), listOf(record(name))) }
 
+    /** Starts to delete the record of the machine. */
     fun delete(name: String) = launchTransaction { Transaction(emptyList(), listOf(Delete(Keys.DRAIN + name))) }
 
     private fun record(name: String) = Put(Keys.DRAIN + name, buildJsonObject { put("by", settings.host) })
@@ -47,10 +50,12 @@
     }
 
     /**
-     * A write may have got no answer, and may be carried out late or never: the records are brought to what was decided last. A
-     * machine with a record that should not be there gets no tasks though jobs wait for it.
+     * Compares the stored records with the evictions in progress and corrects those that differ. This is needed because
+     * a write without a response may be carried out late or never. A record that is left over would keep tasks off its
+     * machine even while jobs wait for capacity.
      *
-     * @param evicting live view of the names of the machines that are being evicted; read again when a write leaves
+     * @param evicting live view of the names of the machines that are being evicted; read again just before a write is
+     * sent
      */
     fun reconcile(
         evicting: Set<String>,
@@ -62,7 +67,8 @@
         val storedNames = stored.mapTo(HashSet()) { it.key.removePrefix(Keys.DRAIN) }
         val unexpected = stored.filter { it.key.removePrefix(Keys.DRAIN) !in evicting }
         val missing = evicting.filter { it !in storedNames }
-        // Only those that differed at the last comparison too: otherwise the usual write may be under way.
+        // Only keys that also differed at the last comparison are corrected: for others, the regular write may be under
+        // way.
         for (item in unexpected) {
             if (item.key in mismatchedKeys) {
                 launchTransaction { conditional(item.key, item.modRevision, Delete(item.key)) }
--- a/src/main/kotlin/micatally/fleet/FleetLeadership.kt
+++ b/src/main/kotlin/micatally/fleet/FleetLeadership.kt
@@ -16,8 +16,9 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Which controller is the fleet manager: the one that holds the fleet key. A term is one hold on the key. The key is bound to the
- * controller's lease, so it is free again when the lease expires.
+ * Elects the fleet manager: the controller that holds the fleet key. A term is the time for which one controller holds
+ * the key without interruption. The key is bound to the controller's lease, so that it is deleted when the lease
+ * expires.
  *
  * @param onTermBegan called when this process has become the fleet manager
  */
@@ -31,13 +32,18 @@
     private val log = LoggerFactory.getLogger("micatally.fleet")
     private val sharedKeys = membership.sharedKeys
 
-    /** This process's last term: the revision at which it wrote the fleet key; 0 before the first one. */
+    /**
+     * The latest term of this process, identified by the revision at which it wrote the fleet key; 0 before its first
+     * term.
+     */
     var term = 0L
         private set
+
+    /** When the latest term began, in milliseconds on this process's clock. */
     var termBeganAt = 0L
         private set
 
-    /** Whether this process holds the fleet key, as far as it has heard. */
+    /** Whether this process holds the fleet key according to its copy of the shared keys. */
     val isLeader get() = term > 0 && sharedKeys.modRevision(Keys.FLEET) == term
 
     /** Tries to become the fleet manager whenever there is none; never returns. */
@@ -46,7 +52,8 @@
             delay(settings.liveMs / ATTEMPTS_PER_LEASE)
             val lease = membership.lease
             if (lease == null || isLeader || sharedKeys.revision < 0) continue
-            // The answer to the write of the key was lost: no other process can take the key while this one lives.
+            // This process wrote the key, but the response was lost. No other process can take the key while the lease
+            // lasts.
             val isHeldByThisProcess = sharedKeys.value(Keys.FLEET)?.textOrNull("process") == membership.process
             if (isHeldByThisProcess) {
                 beginTerm(sharedKeys.modRevision(Keys.FLEET))
@@ -56,6 +63,7 @@
         }
     }
 
+    /** Writes the fleet key, on condition that it is free and that this controller's live key is unchanged. */
     private suspend fun acquire(lease: Long) {
         val live = Keys.live(settings.host)
         val leader =
@@ -84,7 +92,7 @@
     }
 
     private companion object {
-        /** How often in a controller's lease the key is tried. */
+        /** How many times per lease of the controller it checks whether the fleet key is free. */
         const val ATTEMPTS_PER_LEASE = 16
     }
 }
--- a/src/main/kotlin/micatally/fleet/FleetManager.kt
+++ b/src/main/kotlin/micatally/fleet/FleetManager.kt
@@ -12,12 +12,12 @@
 import micatally.worker.MachineRegistry
 import org.slf4j.LoggerFactory
 
-/** The rest of the controller as the fleet manager sees it. */
+/** What the fleet manager needs to know of the rest of the controller. */
 interface FleetEnvironment {
-    /** Tasks of all job owners that find no free capacity at present. */
+    /** Resource requests of the tasks, on all controllers, that find no free capacity at present. */
     fun unplaced(): List<ResourceRequest>
 
-    /** Services that were submitted lately, to any job owner. */
+    /** Resource requests of the services that were submitted recently, to any controller. */
     fun recentServices(): List<ResourceRequest>
 
     /** Zones of controllers that can't be reached. */
@@ -27,7 +27,7 @@
     fun machineTypesKnown()
 }
 
-/** What the fleet manager calls over the network: the workers, the state store and the cloud. */
+/** The clients with which the fleet manager reaches the workers, the state store and the cloud. */
 class FleetClients(
     val http: HttpCaller,
     val state: StateStoreClient,
@@ -35,8 +35,8 @@
 )
 
 /**
- * Provisions, evicts and deletes machines for all job owners. One runs on every controller; only the one that holds the fleet key
- * acts ([FleetLeadership]).
+ * Provisions, evicts and deletes machines for all controllers. An instance runs on every controller, but only the one
+ * that holds the fleet key acts; see [FleetLeadership].
  */
 class FleetManager(
     private val scope: CoroutineScope,
@@ -53,7 +53,7 @@
     private val cloud = clients.cloud
     private val sharedKeys = membership.sharedKeys
 
-    /** When there were last tasks without free capacity. */
+    /** When tasks last lacked free capacity, in milliseconds. */
     private var lastUnplacedAt = Long.MIN_VALUE / 2
 
     private val leadership = FleetLeadership(settings, state, membership, nowMs) { beginTerm() }
@@ -85,15 +85,15 @@
     val isLeader get() = leadership.isLeader
 
     /**
-     * Requests the deletion of machines, as termination evidence for the tasks on them. They are kept until the next
-     * review of this controller as the fleet manager.
+     * Requests the deletion of machines; the deletion is the termination evidence for the tasks on them. The request is
+     * kept until this controller next reviews the fleet as the fleet manager.
      */
     fun requestDeletion(names: List<String>) = scaleIn.request(names)
 
-    /** Drops old deletion records from the state store; to be called from time to time. */
+    /** Removes old deletion records from the state store; to be called periodically. */
     suspend fun pruneDeletionRecords() = scaleIn.pruneDeletionRecords()
 
-    /** Starts the fleet manager's loops, which run until the scope ends. To be called once. */
+    /** Starts the loops, which run until the scope ends. To be called once. */
     fun start() {
         scope.launch { machineTypeCatalog.follow() }
         scope.launch { leadership.follow() }
@@ -115,6 +115,9 @@
         scaleOut.beginTerm(leadership.term)
     }
 
+    /**
+     * Decides on scale-in and scale-out, unless the lease does not hold or the copy of the shared keys is out of date.
+     */
     private fun review() {
         val now = nowMs()
         val isViewStale = membership.viewAgeMs > settings.leaseMs / 2
@@ -130,6 +133,7 @@
         if (resourceRequests.isNotEmpty()) scaleOut.provisionFor(resourceRequests, now)
     }
 
+    /** Records the machines that have sent a heartbeat as up, and drops deleted ones. */
     private fun updateInstances(now: Long) {
         for (machine in machines.byName.values) {
             val hasReported = machine.incarnation != 0L
@@ -141,6 +145,7 @@
         instances.updateBootTimes(now)
     }
 
+    /** Requests the deletion of machines that did not boot in time. */
     private fun deleteLateInstances(now: Long) {
         val isCapacityNeeded = now - lastUnplacedAt < settings.leaseMs
         for (instance in instances.timedOut(now, isCapacityNeeded)) {
--- a/src/main/kotlin/micatally/fleet/GracefulEviction.kt
+++ b/src/main/kotlin/micatally/fleet/GracefulEviction.kt
@@ -8,10 +8,10 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Takes machines out of service that are idle, or whose tasks fit on others. An eviction that takes too long, or whose machine is
- * needed again, is cancelled.
+ * Evicts machines that are idle, or whose tasks fit on other machines. An eviction is cancelled if it takes too long or
+ * if unplaced tasks may run on the machine.
  *
- * @param recentServices services that were submitted lately, to any job owner
+ * @param recentServices services that were submitted recently, to any controller
  */
 class GracefulEviction(
     private val settings: Settings,
@@ -24,23 +24,30 @@
 ) {
     private val log = LoggerFactory.getLogger("micatally.fleet")
 
-    /** Within so long after its record is stored, all controllers have heard of an eviction. */
+    /** The time within which all controllers learn of an eviction after its record is stored, in milliseconds. */
     private val propagationMs = settings.heartbeatIntervalMs + settings.leaseMs / 10
+
+    /** The evictions in progress, by the name of the machine. */
     private val evictions = HashMap<String, Eviction>()
 
-    /** Until when machines are exempt from eviction, after one of them was cancelled. */
+    /** Until when a machine is exempt from eviction because its last one was cancelled, by the name of the machine. */
     private val exemptUntil = HashMap<String, Long>()
     private var termBeganAt = 0L
     private var lastConsolidationAt = 0L
 
-    /** Starts as the fleet manager: goes on with the evictions of its predecessor. */
+    /** Begins a term as the fleet manager: continues the evictions of the previous fleet manager. */
     fun beginTerm(now: Long) {
         termBeganAt = now
         evictions.clear()
         for (name in records.names()) evictions[name] = Eviction(now, EvictionState.EVICTING)
     }
 
-    /** Looks at all machines, given the tasks that find no free capacity. */
+    /**
+     * Reviews all machines: cancels, finishes and begins evictions. Consolidation runs only while no task lacks free
+     * capacity, and no earlier than two leases after the term began.
+     *
+     * @param resourceRequests tasks that find no free capacity at present
+     */
     fun review(
         resourceRequests: List<ResourceRequest>,
         now: Long,
@@ -72,6 +79,10 @@
         }
     }
 
+    /**
+     * Reviews a machine that is in use. Its eviction is cancelled if unplaced tasks may run on it or if the eviction
+     * takes too long, unless the cloud is going to reclaim the machine.
+     */
     private fun reviewUsed(
         machine: Machine,
         eviction: Eviction?,
@@ -88,7 +99,10 @@
         }
     }
 
-    /** A controller that has not heard of the eviction may still start a task on the machine: it is deleted only after that. */
+    /**
+     * Requests the deletion of an empty machine once all controllers know of its eviction. A controller that does not
+     * know of it yet may still start a task on the machine.
+     */
     private fun deleteWhenKnown(
         machine: Machine,
         eviction: Eviction,
@@ -99,6 +113,7 @@
         if (isKnownToAll) scaleIn.request(machine.name)
     }
 
+    /** Evicts the machine if it has been idle for long enough; at once if the cloud is going to reclaim it. */
     private fun evictIfIdle(
         machine: Machine,
         now: Long,
@@ -108,6 +123,7 @@
         if (now - maxOf(machine.busyAt, termBeganAt) > idleMs) evict(machine, now, EvictionState.EMPTY, "idle")
     }
 
+    /** Whether no controller uses the machine: no unfinished task or attempt is on it, and no capacity is held. */
     private fun isEmpty(machine: Machine): Boolean {
         val used = machine.used
         val hasNoTasks = machine.tasks.all { it.isEnded } && machine.attempts.isEmpty()
@@ -123,7 +139,7 @@
         return isTypeAllowed && isZoneAllowed && (!machine.isSpot || request.isSpot)
     }
 
-    /** Evicts some machines whose tasks fit on others. */
+    /** Begins to evict machines whose tasks fit on other machines, up to the limit of concurrent evictions. */
     private fun consolidate(now: Long) {
         val inService = machines.byName.values.filter { isInService(it, now) }
         val evicting =
@@ -182,21 +198,28 @@
     }
 
     private companion object {
-        /** Below this, used resources are rounding errors of sums. */
+        /** Smaller amounts of used resources are rounding errors of sums. */
         const val EPSILON = 1e-6
 
-        /** The cloud charges for a machine for at least so long. */
+        /** The minimum time for which the cloud charges for a machine, in milliseconds. */
         const val MIN_CHARGE_MS = 60_000L
 
-        /** Machines that may be evicted at once: so many, or this share of those in service if that is more. */
+        /**
+         * The number of machines that may be evicted at the same time, or [MAX_EVICTING_SHARE] of the machines in
+         * service if that is more.
+         */
         const val MIN_CONCURRENT_EVICTIONS = 2
+
+        /** The share of the machines in service that may be evicted at the same time. */
         const val MAX_EVICTING_SHARE = 0.25
 
-        /** How often in a boot time machines to evict are looked for. */
+        /** How many times per boot time of the slowest machine type consolidation runs. */
         const val CONSOLIDATIONS_PER_BOOT = 6
 
-        /** After so many boot times an eviction is cancelled, and for so many the machine is exempt afterwards. */
+        /** An eviction is cancelled after this many boot times of the machine's type. */
         const val EVICTION_TIMEOUT_BOOTS = 4
+
+        /** After a cancelled eviction, the machine is exempt for this many boot times of its type. */
         const val EXEMPTION_BOOTS = 2
     }
 }
--- a/src/main/kotlin/micatally/fleet/MachineFailureDetector.kt
+++ b/src/main/kotlin/micatally/fleet/MachineFailureDetector.kt
@@ -6,10 +6,12 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Finds machines that have failed. Deleting one is the termination evidence for its tasks. While a whole zone is unreachable, a
- * network partition is likelier than so many failures, and waiting costs less than deleting.
+ * Finds failed machines. The deletion of such a machine is the termination evidence for its tasks. If a whole zone is
+ * unreachable, a network partition is likelier than the failure of all its machines. The detector then waits longer,
+ * since waiting costs less than deleting them.
  *
- * @param unreachableZones zones of controllers that can't be reached: these may hear their zone's workers and be unable to say so
+ * @param unreachableZones zones of the controllers that can't be reached; these may receive heartbeats from the workers
+ * of their zone without being able to forward them
  */
 class MachineFailureDetector(
     private val settings: Settings,
@@ -19,44 +21,62 @@
     private val unreachableZones: () -> Set<String>,
 ) {
     private val log = LoggerFactory.getLogger("micatally.fleet")
+
+    /** A machine is probed after this long without a heartbeat, in milliseconds. */
     private val probeAfterMs = maxOf(settings.heartbeatIntervalMs * 2, settings.leaseMs / 4)
 
-    /** After how long without a heartbeat a machine may be deleted: usually, when it hangs, when a controller was unreachable within
-     * [controllerMemoryMs], and when its zone is cut off by a network partition. */
+    /** After this long without a heartbeat a machine may be deleted in the usual case, in milliseconds. */
     private val unreachableMs = settings.leaseMs
+
+    /**
+     * The limit, in milliseconds, for a machine that accepts connections but does not respond, unless the usual one is
+     * longer.
+     */
     private val hungMs = settings.leaseMs * 2
+
+    /** The usual limit, in milliseconds, while a controller is unreachable and for [controllerMemoryMs] afterwards. */
     private val controllerLostMs = settings.leaseMs * 5 / 2
+
+    /** The limit, in milliseconds, for the machines of a zone that a network partition seems to have cut off. */
     private val partitionMs = settings.leadershipMs + settings.leaseMs * 2
+
+    /** For this long after a controller was last unreachable, [controllerLostMs] applies. In milliseconds. */
     private val controllerMemoryMs = settings.leaseMs * 3 / 2
 
-    /** When some controller was last unreachable. */
+    /** When a controller was last unreachable, in milliseconds. */
     private var controllerUnreachableAt = Long.MIN_VALUE / 2
 
-    /** The machines of a zone by how long they have not been heard from. */
+    /** The machines of a zone, classified by the time since their last heartbeat. */
     private class ZoneView {
+        /** The number of machines that have sent a heartbeat recently. */
         var responsive = 0
+
+        /** The number of machines that have been silent for long enough to be probed. */
         var unresponsive = 0
 
-        /** Those of the unresponsive ones that have not been heard from for so long that they may be deleted. */
+        /** The unresponsive machines that have been silent for long enough to be deleted. */
         val unreachable = ArrayList<Machine>()
     }
 
     /**
-     * Names of the machines to delete; some twice, if more than one reason holds. Starts probes of unresponsive machines.
+     * Returns the names of the machines to delete. A name occurs twice if two reasons hold. Also starts probes of
+     * unresponsive machines.
      *
-     * @param termBeganAt when this process became the fleet manager; earlier silence does not count
+     * @param termBeganAt when this process became the fleet manager; silence before that does not count
      */
     fun findFailed(
         now: Long,
         termBeganAt: Long,
     ): List<String> {
-        // While a controller can't be reached, its workers may be looking for another, or it may hear them and can't say so.
+        // While a controller is unreachable, its workers may be looking for another one, or it may receive their
+        // heartbeats without being able to forward them.
         val zonesOfUnreachable = unreachableZones()
         if (zonesOfUnreachable.isNotEmpty()) controllerUnreachableAt = now
         val zones = classifyByZone(now, termBeganAt)
         return findPoweredOff(zones, now) + findUnreachable(zones, zonesOfUnreachable, now, termBeganAt)
     }
 
+    /** Classifies the machines of each zone and starts probes of unresponsive ones. Booting machines are left out. */
     private fun classifyByZone(
         now: Long,
         termBeganAt: Long,
@@ -79,23 +99,24 @@
         return zones
     }
 
-    /** After how long without a heartbeat the machine may be deleted. */
+    /** After how long without a heartbeat the machine may be deleted, in milliseconds. */
     private fun unreachableAfterMs(
         machine: Machine,
         now: Long,
     ): Long {
         val wasControllerUnreachable = now - controllerUnreachableAt < controllerMemoryMs
         val usualMs = if (wasControllerUnreachable) controllerLostMs else unreachableMs
-        // A machine that accepts connections and does not answer hangs and may go on soon: its tasks are lost by then, but not
-        // its images, and fetching those takes longer than the wait.
+        // A machine that accepts connections but does not respond hangs, and may resume soon. Its tasks are lost by
+        // then, but its images are not, and pulling those again takes longer than the wait.
         val isHung = now - machine.connectedAt < settings.leaseMs / 2
         return if (isHung) maxOf(usualMs, hungMs) else usualMs
     }
 
     /**
-     * Machines of which not even the operating system accepts connections, while the rest of their zone is heard and reached from
-     * here. When two zones lose each other, the other zone's machines look just the same, but none of them is reached. Waiting for
-     * the lease to expire would only keep the replicas down for longer.
+     * Finds machines whose operating system accepts no connections, while the rest of their zone sends heartbeats and
+     * is reached from here. The second condition rules out a partition between two zones: the machines of the other
+     * zone look the same then, but none of them is reached. A powered-off machine is deleted before the lease expires,
+     * since waiting for that would only keep its replicas down for longer.
      */
     private fun findPoweredOff(
         zones: Map<String, ZoneView>,
@@ -124,7 +145,11 @@
         return machine.dark >= MIN_HUNG_CONNECTIONS && isZoneReached && isZoneResponsive && isUnresponsive
     }
 
-    /** With few workers here, none may have reported for a while: one that is responsive is probed, to see whether any is reached. */
+    /**
+     * Probes one responsive machine of the zone if no worker of the zone has contacted this controller lately. This
+     * shows whether the zone is reached from here: a controller with few workers may not have received a heartbeat from
+     * the zone for a while.
+     */
     private fun probeResponsiveMachine(
         zone: String,
         now: Long,
@@ -139,6 +164,10 @@
         now: Long,
     ) = !machine.deleted && machine.dark == 0 && now - machine.heardAt < probeAfterMs
 
+    /**
+     * Names of the machines that have been silent for too long. In a zone that looks partitioned, the limit is
+     * [partitionMs].
+     */
     private fun findUnreachable(
         zones: Map<String, ZoneView>,
         zonesOfUnreachable: Set<String>,
@@ -146,7 +175,8 @@
         termBeganAt: Long,
     ): List<String> =
         zones.flatMap { (name, zone) ->
-            // Few machines are weak evidence, but when the zone's controller is unreachable with them, that is a partition too.
+            // A few unreachable machines don't show a partition, unless a controller in their zone is unreachable as
+            // well.
             val isEvident = zone.unreachable.size >= MIN_PARTITIONED_MACHINES || name in zonesOfUnreachable
             val isPartitioned = isEvident && zone.unreachable.size >= zone.responsive
             zone.unreachable
@@ -155,10 +185,10 @@
         }
 
     private companion object {
-        /** Connections that have to hang in a row. */
+        /** A machine may count as powered off after this many hung connections in a row. */
         const val MIN_HUNG_CONNECTIONS = 3
 
-        /** So many unreachable machines of a zone look like a network partition. */
+        /** A zone may count as partitioned from this many unreachable machines on. */
         const val MIN_PARTITIONED_MACHINES = 3
     }
 }
--- a/src/main/kotlin/micatally/fleet/MachineProber.kt
+++ b/src/main/kotlin/micatally/fleet/MachineProber.kt
@@ -13,7 +13,10 @@
 import micatally.worker.StatusSource
 import org.slf4j.LoggerFactory
 
-/** Asks workers that are not heard from for a heartbeat, and records on their [Machine] what their system does with the connection. */
+/**
+ * Probes silent workers: requests a heartbeat, and records on their [Machine] whether the operating system accepts the
+ * connection and whether the worker responds.
+ */
 class MachineProber(
     private val scope: CoroutineScope,
     private val http: HttpCaller,
@@ -24,14 +27,18 @@
     private val log = LoggerFactory.getLogger("micatally.fleet")
     private val timeoutMs = settings.leaseMs / TIMEOUTS_PER_LEASE
 
-    /** A connection attempt that takes nearly the whole timeout to fail counts as hung. */
+    /**
+     * A connection attempt that fails after this long or later counts as hung, in milliseconds. It is nearly the whole
+     * timeout.
+     */
     private val hungAfterMs = timeoutMs * 9 / 10
 
-    /** Names of machines whose probe is not over. */
+    /** Names of the machines that are being probed. */
     private val inProgress = HashSet<String>()
 
     /**
-     * Starts a probe, unless one is running or the last one is too recent. An answer counts as a heartbeat. Returns at once.
+     * Starts a probe and returns at once. Does nothing if the machine is being probed already or was probed too
+     * recently, if its address is not known, or if too many probes are in progress. A response counts as a heartbeat.
      */
     fun probe(
         machine: Machine,
@@ -76,13 +83,17 @@
         machines.apply(Heartbeat.parse(parseObject(answer.body)), StatusSource.HEARTBEAT)
     }
 
+    /** The connection was accepted, but no usable response came. */
     private fun recordSilence(machine: Machine) {
         machine.dark = 0
-        // The first probe may have used a connection from before; the second has made a new one.
+        // The first probe may have reused an old connection. The second one has opened a new one.
         if (++machine.mute >= PROBES_TO_NEW_CONNECTION) machine.connectedAt = nowMs()
     }
 
-    /** A refused connection fails at once, and shows a running system; one that hangs takes the whole timeout. */
+    /**
+     * No connection was made. A refused connection fails at once and shows that the system runs; a hung one takes the
+     * whole timeout.
+     */
     private fun recordNoConnection(
         machine: Machine,
         tookMs: Long,
@@ -93,9 +104,11 @@
 
     private companion object {
         const val OK = 200
+
+        /** The timeout of a probe is this fraction of a lease. */
         const val TIMEOUTS_PER_LEASE = 16
 
-        /** Probes in a row without an answer after which one of them has made a connection of its own. */
+        /** After this many probes in a row without a response, one of them has opened a new connection. */
         const val PROBES_TO_NEW_CONNECTION = 2
     }
 }
--- a/src/main/kotlin/micatally/fleet/MachineTypeCatalog.kt
+++ b/src/main/kotlin/micatally/fleet/MachineTypeCatalog.kt
@@ -17,9 +17,11 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Keeps the machine types in [MachineRegistry] up to date: from the cloud, or from the state store while the cloud can't be asked.
+ * Keeps the machine types in [MachineRegistry] up to date. They come from the cloud, or from the state store while the
+ * cloud does not respond.
  *
- * @param isLeader whether this process is the fleet manager; only that one asks the cloud again once the types are known
+ * @param isLeader whether this process is the fleet manager; once the types are known, only the fleet manager requests
+ * them again
  * @param onFirstKnown called when the types become known
  */
 class MachineTypeCatalog(
@@ -32,11 +34,11 @@
 ) {
     private val log = LoggerFactory.getLogger("micatally.fleet")
 
-    /** The text of the value in the state store, as far as this process knows. */
+    /** The value that is in the state store, as text, as far as this process knows. */
     private var stored: String? = null
     private val isUnknown get() = machines.machineTypes.isEmpty()
 
-    /** Follows the machine types; never returns. */
+    /** Requests the machine types at regular intervals; never returns. */
     suspend fun follow() {
         while (true) {
             if (isUnknown) loadStored()
@@ -52,7 +54,10 @@
         applyTypes(read.item.value)
     }
 
-    /** Also stores the cloud's answer, for controllers that start while the cloud can't be asked. */
+    /**
+     * Reads the machine types from the cloud, and stores them for controllers that start while the cloud does not
+     * respond.
+     */
     private suspend fun refreshFromCloud() {
         val answer = cloud.machineTypes() ?: return
         applyTypes(answer)
@@ -79,10 +84,10 @@
     }
 
     private companion object {
-        /** How often in a lease to ask while the types are unknown. */
+        /** How many times per lease the types are requested while they are unknown. */
         const val ATTEMPTS_PER_LEASE = 20
 
-        /** After how many leases to ask again once they are known. */
+        /** Once the types are known, they are requested again after this many leases. */
         const val REFRESH_LEASES = 3
     }
 }
--- a/src/main/kotlin/micatally/fleet/Offer.kt
+++ b/src/main/kotlin/micatally/fleet/Offer.kt
@@ -1,6 +1,6 @@
 package micatally.fleet
 
-/** A machine type in a zone, spot or ordinary: what the cloud is asked for. */
+/** What a provisioning request asks the cloud for: a machine type in a zone, as a spot or an on-demand instance. */
 data class Offer(
     val type: String,
     val zone: String,
@@ -9,17 +9,17 @@
     val typeInZone get() = TypeInZone(type, zone)
 }
 
-/** A machine type in a zone, whether spot or ordinary. */
+/** A machine type in a zone, for spot and on-demand instances together. */
 data class TypeInZone(
     val type: String,
     val zone: String,
 )
 
 /**
- * What is known of offers besides their prices.
+ * What the fleet manager has observed about offers; prices come from the machine types.
  *
- * @property isRefused the cloud turned the offer down lately, so it is not asked for again yet
- * @property slowness how many times slower than nominal its machines boot now; 1 or more
+ * @property isRefused whether the cloud turned the offer down recently, so that it is not requested at present
+ * @property slowness how many times slower than nominal its machines boot at present; 1 or more
  */
 class Market(
     val isRefused: (Offer) -> Boolean,
--- a/src/main/kotlin/micatally/fleet/ProvisionedInstances.kt
+++ b/src/main/kotlin/micatally/fleet/ProvisionedInstances.kt
@@ -3,29 +3,30 @@
 import micatally.wire.ListedMachine
 
 /**
- * A machine that was provisioned and is not deleted, as far as the fleet manager knows.
+ * A machine that was provisioned and is not known to be deleted.
  *
- * @property provisionedAtMs when the cloud handed it out, on this process's clock; the earliest time known
+ * @property provisionedAtMs when the cloud provisioned it, on this process's clock: the earliest time that is known
  */
 class ProvisionedInstance(
     val name: String,
     val offer: Offer,
     var provisionedAtMs: Long,
 ) {
-    /** Whether its worker has reported, or the cloud has listed it as running. */
+    /** Whether its worker has sent a heartbeat or the cloud has listed it as running. */
     var isUp = false
         private set
 
+    /** Called when its worker has sent a heartbeat or the cloud lists it as running. */
     fun markUp() {
         isUp = true
     }
 
-    /** Time since it was provisioned, in milliseconds; never negative. */
+    /** The time since it was provisioned, in milliseconds; never negative. */
     fun ageMs(nowMs: Long) = maxOf(0L, nowMs - provisionedAtMs)
 }
 
 /**
- * All machines that are paid for: which are up, which are booting, and which have not come up in time.
+ * All machines that are paid for, with their state: up, booting, or not up in time.
  *
  * @param nominalBootMs the boot time that the cloud states for a machine type, in milliseconds
  */
@@ -36,6 +37,7 @@
     val bootTimes = BootTimes(nominalBootMs)
     val all: Collection<ProvisionedInstance> get() = byName.values
 
+    /** The instance of this name; null if it is not known. */
     fun of(name: String): ProvisionedInstance? = byName[name]
 
     fun clear() = byName.clear()
@@ -44,7 +46,7 @@
         byName.keys.removeIf { it in names }
     }
 
-    /** Adds machines that the cloud has just provisioned, or had provisioned for the previous fleet manager. */
+    /** Adds machines that the cloud has provisioned, on a request of this or of the previous fleet manager. */
     fun provisioned(
         names: List<String>,
         offer: Offer,
@@ -53,7 +55,10 @@
         for (name in names) byName.getOrPut(name) { ProvisionedInstance(name, offer, atMs) }
     }
 
-    /** Takes in an entry of the cloud's list, which knows the age also of machines that another controller has provisioned. */
+    /**
+     * Applies an entry of the cloud's list. The list also contains the age of machines that another controller has
+     * provisioned.
+     */
     fun listed(
         listedMachine: ListedMachine,
         nowMs: Long,
@@ -69,10 +74,10 @@
     }
 
     /**
-     * Takes note of a worker that reports. Boot times are learnt here, from machines seen while they boot, and not from the cloud's
-     * list, which lags behind.
+     * Records a machine whose worker has sent a heartbeat. If the machine was seen booting, its boot time is recorded
+     * too. Boot times are not taken from the cloud's list, because it lags behind.
      *
-     * @param firstHeardMs when the worker reported for the first time
+     * @param firstHeardMs when the first heartbeat of the worker arrived
      */
     fun heartbeatReceived(
         name: String,
@@ -85,17 +90,17 @@
         instance.markUp()
     }
 
-    /** Passes the machines that are still booting on to [bootTimes]. */
+    /** Updates [bootTimes] with the machines that are still booting. */
     fun updateBootTimes(nowMs: Long) {
         val booting = byName.values.filter { !it.isUp }.map { BootingInstance(it.offer, it.ageMs(nowMs)) }
         bootTimes.updateBooting(booting, nowMs)
     }
 
-    /** Machines that are booting and not late: they count as capacity to come. */
+    /** Machines that are booting and not late; they count as pending capacity. */
     fun pending(nowMs: Long): List<ProvisionedInstance> =
         byName.values.filter { !it.isUp && it.ageMs(nowMs) <= bootTimes.expectedWithinMs(it.offer) }
 
-    /** Machines that are not worth waiting for: those past the boot timeout, and late ones while no capacity is needed. */
+    /** Machines to give up on: those past the boot timeout, and late ones while no capacity is needed. */
     fun timedOut(
         nowMs: Long,
         isCapacityNeeded: Boolean,
--- a/src/main/kotlin/micatally/fleet/ProvisioningRequest.kt
+++ b/src/main/kotlin/micatally/fleet/ProvisioningRequest.kt
@@ -12,12 +12,12 @@
 import micatally.wire.text
 
 /**
- * A request for machines as it is stored in the state store, from before the cloud receives it until its machines are up.
+ * A request for machines. It is in the state store from before it is sent to the cloud until its machines are up.
  *
- * @property name never used again, since the cloud answers a repeated request as before
- * @property count how many machines were asked for
- * @property machines names of the machines that the cloud has provisioned; empty before it has answered. Versions that don't know
- * the field ask the cloud again.
+ * @property name identifies the request; never reused, since the cloud responds to a repeated name as it did before
+ * @property count how many machines were requested
+ * @property machines names of the machines that the cloud has provisioned; empty before it has responded. Controllers
+ * of a version that does not read this field repeat the request.
  */
 data class ProvisioningRequest(
     val name: String,
@@ -25,7 +25,7 @@
     val count: Int,
     val machines: List<String> = emptyList(),
 ) {
-    /** The request as answered by the cloud. */
+    /** A copy of the request with the machines that the cloud has provisioned for it. */
     fun withMachines(names: List<String>) = copy(machines = names)
 
     /** The stored form. */
--- a/src/main/kotlin/micatally/fleet/ProvisioningRequestStore.kt
+++ b/src/main/kotlin/micatally/fleet/ProvisioningRequestStore.kt
@@ -11,8 +11,9 @@
 import micatally.state.Urgency
 
 /**
- * The provisioning requests in the state store, and which of them the cloud has answered while their machines are not all up.
- * Functions that suspend do so until the state store has answered, or its client has given up.
+ * Reads and writes the provisioning requests in the state store, and keeps the answered ones: those to which the cloud
+ * has responded and whose machines are not all up. A function that suspends returns when the state store has responded
+ * or its client has given up.
  */
 class ProvisioningRequestStore(
     private val state: StateStoreClient,
@@ -20,10 +21,10 @@
 ) {
     private val answeredByName = HashMap<String, ProvisioningRequest>()
 
-    /** Requests that the cloud has answered and whose machines are not all up yet. */
+    /** Requests to which the cloud has responded and whose machines are not all up yet. */
     val answered: Collection<ProvisioningRequest> get() = answeredByName.values
 
-    /** Shows [visit] all requests that are stored, one by one. None counts as answered before [addAnswered]. */
+    /** Calls [visit] for each stored request. A request counts as answered only after [addAnswered]. */
     fun load(visit: (ProvisioningRequest) -> Unit) {
         answeredByName.clear()
         for (item in sharedKeys.under(Keys.PROVISIONING)) {
@@ -31,6 +32,7 @@
         }
     }
 
+    /** Adds the request to [answered], which it leaves with [removeAnswered]. */
     fun addAnswered(request: ProvisioningRequest) {
         answeredByName[request.name] = request
     }
@@ -40,9 +42,10 @@
     }
 
     /**
-     * Stores a new request. False if that is not certain, or this process is not the fleet manager any more.
+     * Stores a new request. False if it is not certain that it was stored, or if this process is not the fleet manager
+     * any more.
      *
-     * @param term the term of this fleet manager, read when the transaction leaves
+     * @param term the present term of this fleet manager; called just before the transaction is sent
      */
     suspend fun store(
         request: ProvisioningRequest,
@@ -59,8 +62,8 @@
     }
 
     /**
-     * Stores which machines the cloud has provisioned. Only while the request is stored: the next fleet manager may have deleted it
-     * meanwhile.
+     * Stores the names of the machines that the cloud has provisioned. Writes nothing if the request is not stored any
+     * more, as the next fleet manager may have deleted it.
      */
     suspend fun storeAnswer(request: ProvisioningRequest) {
         addAnswered(request)
@@ -78,6 +81,7 @@
         }
     }
 
+    /** Deletes the stored request. */
     suspend fun delete(name: String) {
         state.transact(1, Urgency.SUMMARY) { Transaction(emptyList(), listOf(Delete(Keys.PROVISIONING + name))) }
     }
--- a/src/main/kotlin/micatally/fleet/ScaleIn.kt
+++ b/src/main/kotlin/micatally/fleet/ScaleIn.kt
@@ -16,10 +16,11 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Deletes machines and stores a record of each deletion. The record is the termination evidence for the tasks that ran there, so it
- * is only written once the cloud has confirmed that the machine is gone.
+ * Deletes machines and stores a record of each deletion. The record is the termination evidence for the tasks that ran
+ * on the machine, so it is written only after the cloud has confirmed that the machine is gone.
  *
- * @param mayDelete whether this process is the fleet manager and its lease holds; asked again right before each deletion
+ * @param mayDelete whether this process is the fleet manager and its lease holds; checked again right before each
+ * deletion
  */
 class ScaleIn(
     private val scope: CoroutineScope,
@@ -32,21 +33,29 @@
 ) {
     private val log = LoggerFactory.getLogger("micatally.fleet")
 
-    /** Names of machines to delete with the next [submit]. */
+    /** Names of the machines to delete with the next [submit]. */
     private val requested = LinkedHashSet<String>()
+
+    /** Names of the machines whose deletion or its record is under way. */
     private val inProgress = HashSet<String>()
+
+    /** When the cloud confirmed the deletions of this process, in milliseconds, by the name of the machine. */
     private val deletedAt = HashMap<String, Long>()
 
+    /** Requests the deletion of the machines with the next [submit]. */
     fun request(names: Collection<String>) {
         requested.addAll(names)
     }
 
+    /** Requests the deletion of one machine with the next [submit]. */
     fun request(name: String) {
         requested.add(name)
     }
 
-    /** Starts to delete the requested machines. Those that exceed one request are dropped: the next review
-     * asks for them again if they are still to go. */
+    /**
+     * Starts to delete the requested machines and returns at once. If there are more than one request to the cloud may
+     * name, the rest is dropped, and the next review requests it again if it is still to be deleted.
+     */
     fun submit() {
         val names =
             requested
@@ -65,15 +74,18 @@
     }
 
     private suspend fun delete(names: List<String>) {
-        // The process may have been suspended since this was decided; another fleet manager uses the machines by then.
+        // The process may have been suspended since the decision, and another fleet manager may use the machines by
+        // now.
         if (!mayDelete() || !cloud.delete(names)) return
         log.info("machines deleted: {}", names)
         deletedAt.putAll(names.associateWith { nowMs() })
-        // Up to two changes for each machine.
+        // Each machine takes up to two operations: its deletion record is stored, and its eviction record is deleted.
         for (chunk in names.chunked(maxOf(1, settings.maxOperationsPerTransaction / 2))) store(chunk)
     }
 
-    /** The machines are gone and only this process knows it: the records are written however long it takes. */
+    /**
+     * Stores the deletion records, and retries until that succeeds: the machines are gone, and no other process knows.
+     */
     private suspend fun store(names: List<String>) {
         while (state.transact(names.size, Urgency.INTENT) { deletionRecords(names) } !is TransactionResult.Applied) {
             delay(settings.leaseMs / RETRIES_PER_LEASE)
@@ -86,7 +98,9 @@
         return Transaction(emptyList(), records + evicted.map { Delete(it) })
     }
 
-    /** Drops old deletion records. A machine whose record is missed later is simply deleted again. */
+    /**
+     * Deletes old deletion records. A controller that misses such a record later only has the machine deleted again.
+     */
     suspend fun pruneDeletionRecords() {
         val oldest = nowMs() - settings.leaseMs * RETENTION_LEASES
         val expired = deletedAt.filterValues { it < oldest }.keys.take(settings.maxOperationsPerTransaction / 2)
@@ -99,13 +113,13 @@
     }
 
     private companion object {
-        /** Half of the cloud's limit for one request. */
+        /** The number of machines in one deletion request: half of the cloud's limit. */
         const val MAX_MACHINES_PER_REQUEST = 50
 
-        /** For how many leases deletion records are stored. */
+        /** Deletion records are stored for this many leases. */
         const val RETENTION_LEASES = 60
 
-        /** How often in a lease storing the records is repeated. */
+        /** How many times per lease storing the records is retried. */
         const val RETRIES_PER_LEASE = 20
     }
 }
--- a/src/main/kotlin/micatally/fleet/ScaleOut.kt
+++ b/src/main/kotlin/micatally/fleet/ScaleOut.kt
@@ -9,8 +9,9 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Provisions machines for tasks that find no free capacity. Each request is stored under a name that is never used again before
- * the cloud receives it, so that a new fleet manager can repeat it without provisioning anything twice.
+ * Provisions machines for tasks that find no free capacity. Each request gets a name that is never reused, and is
+ * stored before it is sent to the cloud. A new fleet manager can therefore repeat it without provisioning anything
+ * twice.
  *
  * @param isLeader whether this process is the fleet manager
  */
@@ -27,12 +28,14 @@
     private val log = LoggerFactory.getLogger("micatally.fleet")
     private val backoff = OfferBackoff(settings, machines, nowMs)
     private var term = 0L
+
+    /** The number of requests created in this term; it is part of their names. */
     private var requestCount = 0
 
-    /** Names of requests that are being stored or sent to the cloud. */
+    /** Names of the requests that are being stored, sent to the cloud, or updated with its response. */
     private val inProgress = HashSet<String>()
 
-    /** Starts as the fleet manager: finishes the requests that its predecessor has stored. */
+    /** Begins a term as the fleet manager: completes the requests that the previous fleet manager has stored. */
     fun beginTerm(newTerm: Long) {
         term = newTerm
         requestCount = 0
@@ -40,8 +43,9 @@
     }
 
     /**
-     * Finishes a request of the previous fleet manager under its name: repeating it provisions nothing twice. Machines of answered
-     * requests are booting, and would be provisioned again if they were not counted.
+     * Completes a request of the previous fleet manager. If the cloud has not responded to it as far as is known, it is
+     * sent again under its name, which provisions nothing twice. Otherwise its machines are booting; they are added
+     * here, so that they are not provisioned again.
      */
     private fun resume(request: ProvisioningRequest) {
         if (request.machines.isEmpty()) {
@@ -52,7 +56,9 @@
         requests.addAnswered(request)
     }
 
-    /** Provisions machines for the resource requests, unless earlier provisioning requests are still in progress. */
+    /**
+     * Provisions machines for the resource requests; does nothing while earlier provisioning requests are in progress.
+     */
     fun provisionFor(
         resourceRequests: List<ResourceRequest>,
         now: Long,
@@ -65,6 +71,7 @@
         }
     }
 
+    /** The number of machines to provision by offer, given the machines that exist and those that are booting. */
     private fun plan(
         resourceRequests: List<ResourceRequest>,
         now: Long,
@@ -85,12 +92,16 @@
         count: Int,
     ) = ProvisioningRequest("b$term-${++requestCount}", offer, count)
 
-    /** The request is stored before the cloud receives it, so that its name is used for nothing else. */
+    /**
+     * Stores the request and sends it to the cloud. It is stored first so that its name is never used for another
+     * request.
+     */
     private fun submit(request: ProvisioningRequest) =
         launchFor(request) {
             if (requests.store(request) { term }) provision(request)
         }
 
+    /** Runs [action] in the background; the request counts as in progress until it ends. */
     private fun launchFor(
         request: ProvisioningRequest,
         action: suspend () -> Unit,
@@ -105,7 +116,11 @@
         }
     }
 
-    /** Sends the request to the cloud until it has certainly been answered or refused. */
+    /**
+     * Sends the request to the cloud, and repeats it while its outcome is unknown. Gives up when this process is no
+     * longer the fleet manager: the next one finds the request in the state store. Deletes the stored request if the
+     * cloud has not carried it out.
+     */
     private suspend fun provision(request: ProvisioningRequest) {
         val requestedAt = nowMs()
         var isOutcomeUnknown = false
@@ -130,6 +145,7 @@
         requests.delete(request.name)
     }
 
+    /** Records the machines that the cloud has provisioned for the request. */
     private suspend fun provisioned(
         request: ProvisioningRequest,
         names: List<String>,
@@ -168,8 +184,8 @@
     }
 
     /**
-     * Deletes stored requests whose machines are all up or deleted. Until then a new fleet manager learns from them, at once and
-     * completely, which machines are booting; the cloud's list lags behind.
+     * Deletes stored requests whose machines are all up or deleted. A new fleet manager needs them until then: they
+     * name all machines that are booting, while the cloud's list lags behind.
      */
     fun deleteSettledRequests() {
         val settled =
@@ -183,23 +199,27 @@
     }
 
     private companion object {
+        /** The largest number of machines that one scaling decision provisions. */
         const val MAX_MACHINES_PER_CYCLE = 100
 
-        /** The cloud's limit for one request. */
+        /** The largest number of machines in one request; the cloud's limit. */
         const val MAX_MACHINES_PER_REQUEST = 50
 
-        /** How often in a lease a request whose outcome is unknown is repeated. */
+        /** How many times per lease a request whose outcome is unknown is repeated. */
         const val RETRIES_PER_LEASE = 10
     }
 }
 
-/** Offers that the cloud turned down lately, and until when they are not asked for again. */
+/** The offers that the cloud turned down recently, and until when they are not requested again. */
 private class OfferBackoff(
     private val settings: Settings,
     private val machines: MachineRegistry,
     private val nowMs: () -> Long,
 ) {
+    /** The end of the backoff, in milliseconds on this process's clock. */
     private val until = HashMap<Offer, Long>()
+
+    /** How many times in a row the cloud had no capacity, or too little. */
     private val failuresInRow = HashMap<Offer, Int>()
 
     fun isActive(
@@ -207,27 +227,28 @@
         now: Long,
     ) = (until[offer] ?: 0L) > now
 
-    /** Backs off for up to a boot time, longer each time in a row. */
+    /** Starts a backoff that grows with each failure in a row, up to one boot time of the machine type. */
     fun noCapacity(offer: Offer) {
         val failures = (failuresInRow[offer] ?: 0) + 1
         failuresInRow[offer] = failures
         until[offer] = nowMs() + minOf(failures, BACKOFF_STEPS) * machines.bootMs(offer.type) / BACKOFF_STEPS
     }
 
-    /** An outage says nothing of the offer: it is tried again soon. */
+    /** Starts a short backoff after a refusal such as an outage, which says nothing about the offer. */
     fun refused(offer: Offer) {
         until[offer] = nowMs() + settings.leaseMs / REFUSAL_RETRIES_PER_LEASE
     }
 
+    /** Resets the backoff steps; called when the cloud has provisioned all machines that were requested. */
     fun succeeded(offer: Offer) {
         failuresInRow.remove(offer)
     }
 
     private companion object {
-        /** After so many failures in a row the back-off is a whole boot time. */
+        /** After this many failures in a row, the backoff is a whole boot time. */
         const val BACKOFF_STEPS = 6
 
-        /** How often in a lease an offer is tried again after an outage. */
+        /** How many times per lease an offer is tried again after a refusal. */
         const val REFUSAL_RETRIES_PER_LEASE = 5
     }
 }
--- a/src/main/kotlin/micatally/fleet/ScaleOutPlan.kt
+++ b/src/main/kotlin/micatally/fleet/ScaleOutPlan.kt
@@ -5,9 +5,9 @@
 import micatally.wire.Resources
 
 /**
- * A machine that tasks may be planned on: one that is booting, or one that the plan adds.
+ * A machine on which tasks are planned: either one that is booting, or one that the plan adds.
  *
- * @property free what planned tasks leave of it; planning lowers it
+ * @property free the resources that are left after the tasks planned so far
  */
 class PlannedMachine(
     val offer: Offer,
@@ -15,13 +15,15 @@
 )
 
 /**
- * Which machines to provision for tasks that find no free capacity. Decisions only: no I/O. Each instance plans once.
+ * Decides which machines to provision for tasks that find no free capacity. It only computes and does no I/O. Each
+ * instance is used for one plan.
  *
- * Tasks are put on the machines that are booting first, then on offers picked by the cost of what each would carry.
+ * Tasks are first placed on the machines that are booting. For the rest, the plan adds machines of the offer with the
+ * lowest cost per task.
  *
- * @param pending machines that are booting; planned machines are added to it
- * @param existing how many machines there are by type and zone, booting ones included
- * @param limit how many machines the plan may add
+ * @param pending machines that are booting; the plan appends the machines that it adds
+ * @param existing the number of machines by type and zone, including booting ones
+ * @param limit the largest number of machines that the plan adds
  */
 class ScaleOutPlan(
     private val machineTypes: Collection<MachineType>,
@@ -30,17 +32,19 @@
     existing: Map<TypeInZone, Int>,
     private val limit: Int,
 ) {
+    /** The number of machines that the plan adds, by offer. */
     private val planned = LinkedHashMap<Offer, Int>()
     private val machinesByTypeInZone = HashMap(existing)
     private val resourcesByType = machineTypes.associate { it.label to it.resources }
 
-    /** How many tasks of each shape are still to be planned, for all jobs together. */
+    /** The number of tasks of each shape, over all jobs, that are still to be planned. */
     private val remainingByShape = HashMap<TaskShape, Int>()
 
-    /** The number of machines to provision by offer, in the order in which they were decided. */
+    /** Returns the number of machines to provision by offer, in the order of the decisions. */
     fun plan(resourceRequests: List<ResourceRequest>): Map<Offer, Int> {
         for (request in resourceRequests) remainingByShape.merge(TaskShape(request), request.count, Int::plus)
-        // Tasks with GPUs come before others of their priority: what they leave of their machines serves those without.
+        // At the same priority, tasks with GPUs are planned first: tasks without GPUs can then use the cores left on
+        // their machines.
         for (request in resourceRequests.sortedWith(compareBy({ it.priority }, { -it.gpus }))) {
             planFor(Placement(request))
             remainingByShape.merge(TaskShape(request), -request.count, Int::plus)
@@ -48,6 +52,7 @@
         return planned
     }
 
+    /** Places the tasks of one resource request, first on booting and planned machines, then on new ones. */
     private fun planFor(placement: Placement) {
         for (machine in pending) {
             if (placement.isDone) break
@@ -59,6 +64,7 @@
         }
     }
 
+    /** Adds an empty machine of the offer to the plan. */
     private fun add(offer: Offer): PlannedMachine {
         val machine = PlannedMachine(offer, machineTypes.first { it.label == offer.type }.resources)
         planned.merge(offer, 1, Int::plus)
@@ -67,7 +73,10 @@
         return machine
     }
 
-    /** Of several offers at the same cost, the first in the order of the machine types, their zones, and spot before ordinary. */
+    /**
+     * The offer with the lowest cost per task; null if no offer is available. Among offers of the same cost, the first
+     * one wins in the order of the machine types, then of their zones, then spot before on-demand.
+     */
     private fun cheapestOffer(placement: Placement): Offer? {
         var cheapest: Offer? = null
         var lowestCost = Double.MAX_VALUE
@@ -85,6 +94,10 @@
         return cheapest
     }
 
+    /**
+     * The available offers of the machine type: allowed for the request, not turned down recently, in a zone that may
+     * take more tasks.
+     */
     private fun offersOf(
         type: MachineType,
         placement: Placement,
@@ -95,7 +108,10 @@
             .filter { placement.isAllowed(it) && !market.isRefused(it) && placement.hasZoneCapacity(it.zone) }
     }
 
-    /** Cost per task, with all tasks of the shape, of whichever job, sharing whole machines of the offer. */
+    /**
+     * The cost per task if all remaining tasks of this shape, over all jobs, shared whole machines of the offer.
+     * Weighted so that zones are balanced and slowly booting machines are avoided.
+     */
     private fun cost(
         offer: Offer,
         type: MachineType,
@@ -108,7 +124,10 @@
             (1 + (market.slowness(offer) - 1) * SLOWNESS_WEIGHT)
     }
 
-    /** Tasks of one shape, of whichever job: together they may fill a machine that would be too large for one job's. */
+    /**
+     * What a task needs from a machine. Tasks of the same shape from several jobs are counted together, since they may
+     * fill a machine that would be too large for the tasks of one job.
+     */
     private data class TaskShape(
         val task: Resources,
         val types: List<String>,
@@ -121,43 +140,47 @@
         )
     }
 
-    /** The tasks of one resource request while they are planned on machines. */
+    /** The tasks of one resource request while they are placed on machines. */
     private inner class Placement(
         val request: ResourceRequest,
     ) {
         val shape = TaskShape(request)
         private val task = shape.task
 
-        /** How many more of the tasks each zone may take; null: any number. */
+        /** How many more of the tasks each zone may take; null if there is no limit. */
         private val remainingByZone =
             if (request.zoneLimits.isEmpty()) null else request.zones.zip(request.zoneLimits).toMap(HashMap())
 
-        /** A task that is too large for what the GPUs' cores leave, on every type that it may use, would wait forever: it is
-         * planned as if no cores were reserved. */
+        /**
+         * Whether cores are reserved for free GPUs. They are not if, with the reservation, the task fits on no machine
+         * type that it may use; otherwise it would wait forever.
+         */
         private val reservesCores =
             machineTypes.any { type ->
                 val isTypeAllowed = request.types.isEmpty() || type.label in request.types
                 isTypeAllowed && task.countIn(withoutReservedCores(type.resources, type.resources)) > 0
             }
 
-        /** How many tasks are not on any machine yet. */
+        /** The number of tasks that are not placed yet. */
         var remaining = request.count
             private set
 
         val isDone get() = remaining <= 0
 
+        /** Whether the zone may take another of the tasks. */
         fun hasZoneCapacity(zone: String) = remainingByZone == null || (remainingByZone[zone] ?: 0) > 0
 
+        /** Whether the request allows the type and the zone of the offer, and spot instances if it is one. */
         fun isAllowed(offer: Offer): Boolean {
             val isTypeAllowed = request.types.isEmpty() || offer.type in request.types
             val isZoneAllowed = request.zones.isEmpty() || offer.zone in request.zones
             return isTypeAllowed && isZoneAllowed && (!offer.isSpot || request.isSpot)
         }
 
-        /** How many of the tasks an empty machine of the type takes. */
+        /** The number of the tasks that fit on an empty machine of the type. */
         fun tasksPerMachine(type: MachineType): Int = task.countIn(usable(type.resources, type.resources))
 
-        /** Puts as many of the tasks on the machine as it takes. */
+        /** Places as many of the tasks on the machine as fit. */
         fun fill(machine: PlannedMachine) {
             val offer = machine.offer
             if (!isAllowed(offer)) return
@@ -169,12 +192,16 @@
             }
         }
 
+        /** The part of the free resources that the tasks may use. */
         private fun usable(
             free: Resources,
             total: Resources,
         ) = if (reservesCores) withoutReservedCores(free, total) else free
 
-        /** What the tasks may use of a machine: without GPUs of their own, not the cores that its free GPUs will need. */
+        /**
+         * The free resources without the cores that the machine's free GPUs will need. Only tasks without GPUs have to
+         * leave those cores.
+         */
         private fun withoutReservedCores(
             free: Resources,
             total: Resources,
@@ -189,13 +216,21 @@
     }
 
     private companion object {
-        /** Ties between zones go to the one with fewer machines of the type. */
+        /**
+         * The added cost, as a share, for each existing machine of the type in the zone. It decides between zones of
+         * equal cost.
+         */
         const val ZONE_BALANCE_WEIGHT = 1e-3
 
-        /** An offer whose machines boot n times slower than nominal costs (n - 1) times this share more. */
+        /**
+         * An offer whose machines boot n times slower than nominal is rated (n - 1) times this share more expensive.
+         */
         const val SLOWNESS_WEIGHT = 0.25
 
-        /** How much of its even share of the cores is reserved for each GPU. */
+        /**
+         * The share of the cores that is reserved for each free GPU, relative to an even distribution of the cores over
+         * the GPUs.
+         */
         const val RESERVED_CORES_SHARE = 0.7
     }
 }
--- a/src/test/kotlin/micatally/fleet/BootTimesTest.kt
+++ b/src/test/kotlin/micatally/fleet/BootTimesTest.kt
@@ -18,8 +18,10 @@
         assertTrue(times.bootTimeoutMs(offer) <= nominal * 4)
     }
 
-    /** Guard: the ages of machines that are still booting count beside the boots observed ([BootTimes]); else they would be
-     * provisioned anew and deleted before any of them can come up. */
+    /**
+     * Guards against deleting and provisioning machines again while all of them boot slowly. That happens if
+     * [BootTimes] counts only completed boots and ignores the ages of machines that are still booting.
+     */
     @Test
     fun `when all machines of a type and zone are late they are waited for`() {
         repeat(2) { times.recordBoot(offer, 25_000, 0) }
--- a/src/test/kotlin/micatally/fleet/ScaleOutPlanTest.kt
+++ b/src/test/kotlin/micatally/fleet/ScaleOutPlanTest.kt
@@ -34,8 +34,10 @@
         return ScaleOutPlan(listOf(small, large, gpus), market, pending, emptyMap(), 100).plan(resourceRequests)
     }
 
-    /** Found at size: each job alone was too small for the larger and cheaper machine, and the tasks that its zone rule kept
-     * out of the one zone were only found to need another when the machines were up. */
+    /**
+     * Guards against two faults. Planned job by job, no job filled the larger and cheaper machine. And tasks that a
+     * zone limit kept out of one zone were found to need a machine in another only after the first machines were up.
+     */
     @Test
     fun `many small jobs share large machines and are spread from the start`() {
         val plan = plan(List(16) { gateway(4, listOf(2, 2, 2)) })
@@ -44,8 +46,10 @@
         assertEquals(4, plan.values.sum())
     }
 
-    /** Found in a test of stored teams: for a task of 40 cores without GPUs, which only a GPU machine has, nothing was ever
-     * provisioned, since the cores of all its GPUs were reserved. Its job was accepted and waited forever. */
+    /**
+     * Guards against a job that is accepted and waits forever. A task of 40 cores without GPUs fits only a GPU machine.
+     * With the cores of all its GPUs reserved, none was ever provisioned.
+     */
     @Test
     fun `a task without GPUs that fits no other machine gets one with GPUs`() {
         val plan = plan(listOf(ResourceRequest(40.0, 0.0, 8.0, count = 2)))
