--- a/src/main/kotlin/micatally/fleet/BootTimes.kt
+++ b/src/main/kotlin/micatally/fleet/BootTimes.kt
@@ -14,15 +14,15 @@
  * capacity is provisioned a second time elsewhere. When most machines of a type and zone are late, the expected boot
  * time of all of them is extended instead; otherwise the same capacity would be provisioned over and over.
  *
- * @param nominalMs the boot time that the cloud states for a machine type, in milliseconds
+ * @param nominalBootMs the boot time that the cloud states for a machine type, in milliseconds
  */
 class BootTimes(
-    private val nominalMs: (String) -> Long,
+    private val nominalBootMs: (String) -> Long,
 ) {
     /** One observed boot: its duration, and the time at which the machine came up. */
     private class Boot(
         val bootMs: Long,
-        val atMs: Long,
+        val upAtMs: Long,
     )
 
     private val recentBoots = HashMap<TypeInZone, ArrayDeque<Boot>>()
@@ -36,7 +36,7 @@
     ) {
         val recent = recentBoots.getOrPut(offer.typeInZone) { ArrayDeque() }
         recent.addLast(Boot(bootMs, nowMs))
-        if (recent.size > BOOTS_KEPT) recent.removeFirst()
+        if (recent.size > MAX_RECENT_BOOTS) recent.removeFirst()
     }
 
     /** Replaces the machines that are still booting, and drops boots that were observed too long ago to count. */
@@ -46,15 +46,15 @@
     ) {
         bootingAges = booting.groupBy({ it.offer.typeInZone }, { it.ageMs })
         for ((typeInZone, boots) in recentBoots) {
-            boots.removeIf { nowMs - it.atMs > nominalMs(typeInZone.type) * RETENTION_NOMINALS }
+            boots.removeIf { nowMs - it.upAtMs > nominalBootMs(typeInZone.type) * RETENTION_FACTOR }
         }
     }
 
     /** The age, in milliseconds, up to which a machine that is not up counts as pending capacity. */
     fun expectedWithinMs(offer: Offer): Long {
-        val nominal = nominalMs(offer.type)
-        val longestWaitMs = maxOf(nominal * TIMEOUT_NOMINALS, longestBootMs(offer) * LONGEST_MARGIN)
-        return (typicalBootMs(offer) * TYPICAL_MARGIN).toLong().coerceIn(nominal * USUAL_NOMINALS, longestWaitMs)
+        val nominalMs = nominalBootMs(offer.type)
+        val longestWaitMs = maxOf(nominalMs * TIMEOUT_FACTOR, longestBootMs(offer) * LONGEST_BOOT_MARGIN)
+        return (medianBootMs(offer) * TYPICAL_BOOT_MARGIN).toLong().coerceIn(nominalMs * LATE_FACTOR, longestWaitMs)
     }
 
     /**
@@ -62,9 +62,9 @@
      * of the type and zone are late, since all of them may still come up.
      */
     fun bootTimeoutMs(offer: Offer): Long {
-        val nominal = nominalMs(offer.type)
-        val timeoutNominals = if (slowness(offer) > 1.0) SLOW_TIMEOUT_NOMINALS else TIMEOUT_NOMINALS
-        return maxOf(nominal * timeoutNominals, longestBootMs(offer) * LONGEST_MARGIN)
+        val nominalMs = nominalBootMs(offer.type)
+        val timeoutFactor = if (slowness(offer) > 1.0) SLOW_TIMEOUT_FACTOR else TIMEOUT_FACTOR
+        return maxOf(nominalMs * timeoutFactor, longestBootMs(offer) * LONGEST_BOOT_MARGIN)
     }
 
     /**
@@ -72,16 +72,16 @@
      * time.
      */
     fun slowness(offer: Offer): Double {
-        val ratio = typicalBootMs(offer).toDouble() / nominalMs(offer.type)
-        return if (ratio > USUAL_NOMINALS) ratio else 1.0
+        val ratio = medianBootMs(offer).toDouble() / nominalBootMs(offer.type)
+        return if (ratio > LATE_FACTOR) ratio else 1.0
     }
 
     /** The median of the recent boot times and of the ages of machines that are already late, in milliseconds. */
-    private fun typicalBootMs(offer: Offer): Long {
-        val nominal = nominalMs(offer.type)
-        val lateAges = bootingAges[offer.typeInZone]?.filter { it > nominal * USUAL_NOMINALS } ?: emptyList()
+    private fun medianBootMs(offer: Offer): Long {
+        val nominalMs = nominalBootMs(offer.type)
+        val lateAges = bootingAges[offer.typeInZone]?.filter { it > nominalMs * LATE_FACTOR } ?: emptyList()
         val bootTimes = (recentBoots[offer.typeInZone]?.map { it.bootMs } ?: emptyList()) + lateAges
-        return if (bootTimes.isEmpty()) nominal else bootTimes.sorted()[bootTimes.size / 2]
+        return if (bootTimes.isEmpty()) nominalMs else bootTimes.sorted()[bootTimes.size / 2]
     }
 
     /** The longest of the recent boot times, in milliseconds; 0 if there are none. */
@@ -89,30 +89,30 @@
 
     private companion object {
         /** The number of recent boots that are kept for each type and zone. */
-        const val BOOTS_KEPT = 8
+        const val MAX_RECENT_BOOTS = 8
 
         /**
          * A boot is forgotten after this many nominal boot times, so that a period of slow boots stops counting once it
          * is over.
          */
-        const val RETENTION_NOMINALS = 10L
+        const val RETENTION_FACTOR = 10L
 
         /** A boot is late after this many nominal boot times. A boot in the cloud usually takes up to 1.5 of them. */
-        const val USUAL_NOMINALS = 2L
+        const val LATE_FACTOR = 2L
 
         /**
          * A machine that is not up is given up after this many nominal boot times. By the cloud's description, some
          * boots take several.
          */
-        const val TIMEOUT_NOMINALS = 4L
+        const val TIMEOUT_FACTOR = 4L
 
-        /** Replaces [TIMEOUT_NOMINALS] while most machines of the type and zone are late. */
-        const val SLOW_TIMEOUT_NOMINALS = 10L
+        /** Replaces [TIMEOUT_FACTOR] while most machines of the type and zone are late. */
+        const val SLOW_TIMEOUT_FACTOR = 10L
 
         /** Safety factor on the typical boot time. */
-        const val TYPICAL_MARGIN = 1.5
+        const val TYPICAL_BOOT_MARGIN = 1.5
 
         /** Safety factor on the longest boot time observed. */
-        const val LONGEST_MARGIN = 2L
+        const val LONGEST_BOOT_MARGIN = 2L
     }
 }
--- a/src/main/kotlin/micatally/fleet/CloudClient.kt
+++ b/src/main/kotlin/micatally/fleet/CloudClient.kt
@@ -110,7 +110,7 @@
         val machines = ArrayList<ListedMachine>()
         var lastName: String? = null
         while (true) {
-            val outcome = send("GET", pageTarget(lastName), null, Urgency.INTENT)
+            val outcome = send("GET", listPageTarget(lastName), null, Urgency.INTENT)
             if (outcome !is Outcome.Answer || outcome.status != OK) return null
             val page = MachinePage.parse(outcome.body)
             machines.addAll(page.machines)
@@ -119,9 +119,9 @@
         }
     }
 
-    private fun pageTarget(afterName: String?): String {
-        val from = if (afterName == null) "" else "since=${queryPart(afterName)}&"
-        return "${CloudRequests.MACHINES}?${from}page=$PAGE_SIZE"
+    private fun listPageTarget(afterName: String?): String {
+        val sinceParameter = if (afterName == null) "" else "since=${queryPart(afterName)}&"
+        return "${CloudRequests.MACHINES}?${sinceParameter}page=$PAGE_SIZE"
     }
 
     private companion object {
--- a/src/main/kotlin/micatally/fleet/CloudInventory.kt
+++ b/src/main/kotlin/micatally/fleet/CloudInventory.kt
@@ -28,9 +28,9 @@
     private val unknownStatuses = HashSet<String>()
 
     /** Reads the list at regular intervals; never returns. */
-    suspend fun follow() {
-        val listingMs = (REQUESTS_PER_LISTING * MS_PER_SECOND / settings.cloudRps).toLong()
-        val pauseMs = maxOf(settings.listLagMs / 2, listingMs)
+    suspend fun pollLoop() {
+        val minPauseMs = (REQUESTS_PER_LISTING * MS_PER_SECOND / settings.cloudRps).toLong()
+        val pauseMs = maxOf(settings.listLagMs / 2, minPauseMs)
         while (true) {
             delay(pauseMs)
             if (!leadership.isLeader) continue
@@ -50,16 +50,16 @@
         if (isDeleted) return
         when (listed.status) {
             ListedMachine.FAILED -> scaleIn.request(listed.name)
-            ListedMachine.STARTING -> instances.listed(listed, now)
+            ListedMachine.STARTING -> instances.applyListed(listed, now)
             ListedMachine.RUNNING -> {
-                instances.listed(listed, now)
+                instances.applyListed(listed, now)
                 machines.findOrAdd(listed.name, listed.addr, listed.type, listed.zone, listed.isSpot)
             }
-            else -> warnOnce(listed)
+            else -> warnOfUnknownStatus(listed)
         }
     }
 
-    private fun warnOnce(listed: ListedMachine) {
+    private fun warnOfUnknownStatus(listed: ListedMachine) {
         if (!unknownStatuses.add(listed.status)) return
         log.warn("machine {} has an unknown status in the cloud's list: {}", listed.name, listed.status)
     }
--- a/src/main/kotlin/micatally/fleet/Eviction.kt
+++ b/src/main/kotlin/micatally/fleet/Eviction.kt
@@ -12,17 +12,18 @@
 /**
  * The graceful eviction of one machine. Times are in milliseconds on this process's clock.
  *
- * @property beganAt when the eviction began, or when this process became the fleet manager if it was under way by then
+ * @property beganAtMs when the eviction began, or when this process became the fleet manager if it was under way by
+ * then
  */
 class Eviction(
-    val beganAt: Long,
+    val beganAtMs: Long,
     state: EvictionState,
 ) {
     var state = state
         private set
 
     /** When the eviction entered its present state. */
-    var stateSince = beganAt
+    var stateSinceMs = beganAtMs
         private set
 
     /** Enters the state [next]; does nothing if that is the present state. No other function changes the state. */
@@ -32,6 +33,6 @@
     ) {
         if (next == state) return
         state = next
-        stateSince = now
+        stateSinceMs = now
     }
 }
--- a/src/main/kotlin/micatally/fleet/EvictionRecords.kt
+++ b/src/main/kotlin/micatally/fleet/EvictionRecords.kt
@@ -26,7 +26,7 @@
     private val sharedKeys: SharedKeyCache,
 ) {
     private val reconcileIntervalMs = settings.leaseMs / 4
-    private var lastReconciledAt = 0L
+    private var lastReconciledAtMs = 0L
 
     /** Keys whose stored records differed from the evictions in progress at the last comparison. */
     private var mismatchedKeys: Set<String> = emptySet()
@@ -38,14 +38,14 @@
     fun has(name: String): Boolean = sharedKeys.has(Keys.DRAIN + name)
 
     /** Starts to store a record for the machine. */
-    fun put(name: String) = launchTransaction { Transaction(emptyList(), listOf(record(name))) }
+    fun put(name: String) = startTransaction { Transaction(emptyList(), listOf(recordOf(name))) }
 
     /** Starts to delete the record of the machine. */
-    fun delete(name: String) = launchTransaction { Transaction(emptyList(), listOf(Delete(Keys.DRAIN + name))) }
+    fun delete(name: String) = startTransaction { Transaction(emptyList(), listOf(Delete(Keys.DRAIN + name))) }
 
-    private fun record(name: String) = Put(Keys.DRAIN + name, buildJsonObject { put("by", settings.host) })
+    private fun recordOf(name: String) = Put(Keys.DRAIN + name, buildJsonObject { put("by", settings.host) })
 
-    private fun launchTransaction(build: () -> Transaction?) {
+    private fun startTransaction(build: () -> Transaction?) {
         scope.launch { state.transact(1, Urgency.SUMMARY, build) }
     }
 
@@ -61,8 +61,8 @@
         evicting: Set<String>,
         now: Long,
     ) {
-        if (now - lastReconciledAt < reconcileIntervalMs) return
-        lastReconciledAt = now
+        if (now - lastReconciledAtMs < reconcileIntervalMs) return
+        lastReconciledAtMs = now
         val stored = sharedKeys.under(Keys.DRAIN)
         val storedNames = stored.mapTo(HashSet()) { it.key.removePrefix(Keys.DRAIN) }
         val unexpected = stored.filter { it.key.removePrefix(Keys.DRAIN) !in evicting }
@@ -71,19 +71,19 @@
         // way.
         for (item in unexpected) {
             if (item.key in mismatchedKeys) {
-                launchTransaction { conditional(item.key, item.modRevision, Delete(item.key)) }
+                startTransaction { conditionalWrite(item.key, item.modRevision, Delete(item.key)) }
             }
         }
         for (name in missing) {
             val key = Keys.DRAIN + name
             if (key in mismatchedKeys) {
-                launchTransaction { if (name in evicting) conditional(key, 0, record(name)) else null }
+                startTransaction { if (name in evicting) conditionalWrite(key, 0, recordOf(name)) else null }
             }
         }
         mismatchedKeys = unexpected.mapTo(HashSet()) { it.key } + missing.map { Keys.DRAIN + it }
     }
 
-    private fun conditional(
+    private fun conditionalWrite(
         key: String,
         modRevision: Long,
         change: Write,
--- a/src/main/kotlin/micatally/fleet/FleetLeadership.kt
+++ b/src/main/kotlin/micatally/fleet/FleetLeadership.kt
@@ -40,14 +40,14 @@
         private set
 
     /** When the latest term began, in milliseconds on this process's clock. */
-    var termBeganAt = 0L
+    var termBeganAtMs = 0L
         private set
 
     /** Whether this process holds the fleet key according to its copy of the shared keys. */
     val isLeader get() = term > 0 && sharedKeys.modRevision(Keys.FLEET) == term
 
     /** Tries to become the fleet manager whenever there is none; never returns. */
-    suspend fun follow() {
+    suspend fun electionLoop() {
         while (true) {
             delay(settings.liveMs / ATTEMPTS_PER_LEASE)
             val lease = membership.lease
@@ -86,7 +86,7 @@
 
     private fun beginTerm(modRevision: Long) {
         term = modRevision
-        termBeganAt = nowMs()
+        termBeganAtMs = nowMs()
         log.info("fleet leadership acquired, term {}", term)
         onTermBegan()
     }
--- a/src/main/kotlin/micatally/fleet/FleetManager.kt
+++ b/src/main/kotlin/micatally/fleet/FleetManager.kt
@@ -54,7 +54,7 @@
     private val sharedKeys = membership.sharedKeys
 
     /** When tasks last lacked free capacity, in milliseconds. */
-    private var lastUnplacedAt = Long.MIN_VALUE / 2
+    private var lastUnplacedAtMs = Long.MIN_VALUE / 2
 
     private val leadership = FleetLeadership(settings, state, membership, nowMs) { beginTerm() }
     private val instances = ProvisionedInstances { machines.bootMs(it) }
@@ -95,9 +95,9 @@
 
     /** Starts the loops, which run until the scope ends. To be called once. */
     fun start() {
-        scope.launch { machineTypeCatalog.follow() }
-        scope.launch { leadership.follow() }
-        scope.launch { inventory.follow() }
+        scope.launch { machineTypeCatalog.refreshLoop() }
+        scope.launch { leadership.electionLoop() }
+        scope.launch { inventory.pollLoop() }
         scope.launch { reviewLoop() }
     }
 
@@ -109,9 +109,9 @@
     }
 
     private fun beginTerm() {
-        lastUnplacedAt = leadership.termBeganAt
+        lastUnplacedAtMs = leadership.termBeganAtMs
         instances.clear()
-        eviction.beginTerm(leadership.termBeganAt)
+        eviction.beginTerm(leadership.termBeganAtMs)
         scaleOut.beginTerm(leadership.term)
     }
 
@@ -123,9 +123,9 @@
         val isViewStale = membership.viewAgeMs > settings.leaseMs / 2
         if (!membership.leaseHolds() || isViewStale) return
         updateInstances(now)
-        scaleIn.request(failureDetector.findFailed(now, leadership.termBeganAt))
+        scaleIn.request(failureDetector.findFailed(now, leadership.termBeganAtMs))
         val resourceRequests = environment.unplaced()
-        if (resourceRequests.isNotEmpty()) lastUnplacedAt = now
+        if (resourceRequests.isNotEmpty()) lastUnplacedAtMs = now
         deleteLateInstances(now)
         eviction.review(resourceRequests, now)
         scaleIn.submit()
@@ -147,7 +147,7 @@
 
     /** Requests the deletion of machines that did not boot in time. */
     private fun deleteLateInstances(now: Long) {
-        val isCapacityNeeded = now - lastUnplacedAt < settings.leaseMs
+        val isCapacityNeeded = now - lastUnplacedAtMs < settings.leaseMs
         for (instance in instances.timedOut(now, isCapacityNeeded)) {
             log.info("machine {} did not boot within {} ms, deleting it", instance.name, instance.ageMs(now))
             scaleIn.request(instance.name)
--- a/src/main/kotlin/micatally/fleet/GracefulEviction.kt
+++ b/src/main/kotlin/micatally/fleet/GracefulEviction.kt
@@ -31,13 +31,13 @@
     private val evictions = HashMap<String, Eviction>()
 
     /** Until when a machine is exempt from eviction because its last one was cancelled, by the name of the machine. */
-    private val exemptUntil = HashMap<String, Long>()
-    private var termBeganAt = 0L
-    private var lastConsolidationAt = 0L
+    private val exemptUntilMs = HashMap<String, Long>()
+    private var termBeganAtMs = 0L
+    private var lastConsolidationAtMs = 0L
 
     /** Begins a term as the fleet manager: continues the evictions of the previous fleet manager. */
     fun beginTerm(now: Long) {
-        termBeganAt = now
+        termBeganAtMs = now
         evictions.clear()
         for (name in records.names()) evictions[name] = Eviction(now, EvictionState.EVICTING)
     }
@@ -58,10 +58,10 @@
         }
         evictions.keys.removeIf { it in machines.deletedNames }
         records.reconcile(evictions.keys, now)
-        val isSettled = now - termBeganAt > settings.leaseMs * 2
-        val isDue = now - lastConsolidationAt > machines.bootMs(null) / CONSOLIDATIONS_PER_BOOT
+        val isSettled = now - termBeganAtMs > settings.leaseMs * 2
+        val isDue = now - lastConsolidationAtMs > machines.bootMs(null) / CONSOLIDATIONS_PER_BOOT
         if (resourceRequests.isEmpty() && isSettled && isDue) {
-            lastConsolidationAt = now
+            lastConsolidationAtMs = now
             consolidate(now)
         }
     }
@@ -73,8 +73,8 @@
     ) {
         val eviction = evictions[machine.name]
         when {
-            !isEmpty(machine) -> reviewUsed(machine, eviction, resourceRequests, now)
-            eviction != null -> deleteWhenKnown(machine, eviction, now)
+            !isEmpty(machine) -> reviewInUse(machine, eviction, resourceRequests, now)
+            eviction != null -> deleteOnceKnownToAll(machine, eviction, now)
             else -> evictIfIdle(machine, now)
         }
     }
@@ -83,7 +83,7 @@
      * Reviews a machine that is in use. Its eviction is cancelled if unplaced tasks may run on it or if the eviction
      * takes too long, unless the cloud is going to reclaim the machine.
      */
-    private fun reviewUsed(
+    private fun reviewInUse(
         machine: Machine,
         eviction: Eviction?,
         resourceRequests: List<ResourceRequest>,
@@ -94,7 +94,7 @@
         eviction.transitionTo(EvictionState.EVICTING, now)
         if (resourceRequests.any { mayRunOn(it, machine) }) {
             cancel(machine, now, "unplaced tasks may run on it")
-        } else if (now - eviction.beganAt > machines.bootMs(machine.type) * EVICTION_TIMEOUT_BOOTS) {
+        } else if (now - eviction.beganAtMs > machines.bootMs(machine.type) * EVICTION_TIMEOUT_BOOTS) {
             cancel(machine, now, "its tasks did not leave in time")
         }
     }
@@ -103,13 +103,13 @@
      * Requests the deletion of an empty machine once all controllers know of its eviction. A controller that does not
      * know of it yet may still start a task on the machine.
      */
-    private fun deleteWhenKnown(
+    private fun deleteOnceKnownToAll(
         machine: Machine,
         eviction: Eviction,
         now: Long,
     ) {
         eviction.transitionTo(EvictionState.EMPTY, now)
-        val isKnownToAll = now - eviction.stateSince > propagationMs && records.has(machine.name)
+        val isKnownToAll = now - eviction.stateSinceMs > propagationMs && records.has(machine.name)
         if (isKnownToAll) scaleIn.request(machine.name)
     }
 
@@ -120,7 +120,7 @@
     ) {
         val idleMs =
             if (machine.hasSpotNotice) 0L else (machines.bootMs(machine.type) * operator.fleetIdleBoots).toLong()
-        if (now - maxOf(machine.busyAt, termBeganAt) > idleMs) evict(machine, now, EvictionState.EMPTY, "idle")
+        if (now - maxOf(machine.busyAt, termBeganAtMs) > idleMs) evict(machine, now, EvictionState.EMPTY, "idle")
     }
 
     /** Whether no controller uses the machine: no unfinished task or attempt is on it, and no capacity is held. */
@@ -148,8 +148,8 @@
                 .keys
                 .mapNotNull { machines.of(it) }
                 .filter { !it.deleted }
-        val concurrent = maxOf(MIN_CONCURRENT_EVICTIONS, (inService.size * MAX_EVICTING_SHARE).toInt())
-        val limit = concurrent - evicting.size
+        val maxConcurrent = maxOf(MIN_CONCURRENT_EVICTIONS, (inService.size * MAX_EVICTING_SHARE).toInt())
+        val limit = maxConcurrent - evicting.size
         if (limit <= 0) return
         val plan =
             ConsolidationPlan(inService, evicting, machines.machineTypes, recentServices(), operator.fleetHeadroom)
@@ -172,7 +172,7 @@
     ): Boolean {
         val provisionedAt = instances.of(machine.name)?.provisionedAtMs ?: 0L
         val isPastMinimumCharge = now - provisionedAt > MIN_CHARGE_MS
-        return isPastMinimumCharge && (exemptUntil[machine.name] ?: 0L) < now
+        return isPastMinimumCharge && (exemptUntilMs[machine.name] ?: 0L) < now
     }
 
     private fun evict(
@@ -192,7 +192,7 @@
         reason: String,
     ) {
         evictions.remove(machine.name)
-        exemptUntil[machine.name] = now + machines.bootMs(machine.type) * EXEMPTION_BOOTS
+        exemptUntilMs[machine.name] = now + machines.bootMs(machine.type) * EXEMPTION_BOOTS
         log.info("eviction of machine {} cancelled: {}", machine.name, reason)
         records.delete(machine.name)
     }
--- a/src/main/kotlin/micatally/fleet/MachineFailureDetector.kt
+++ b/src/main/kotlin/micatally/fleet/MachineFailureDetector.kt
@@ -26,25 +26,31 @@
     private val probeAfterMs = maxOf(settings.heartbeatIntervalMs * 2, settings.leaseMs / 4)
 
     /** After this long without a heartbeat a machine may be deleted in the usual case, in milliseconds. */
-    private val unreachableMs = settings.leaseMs
+    private val usualSilenceLimitMs = settings.leaseMs
 
     /**
      * The limit, in milliseconds, for a machine that accepts connections but does not respond, unless the usual one is
      * longer.
      */
-    private val hungMs = settings.leaseMs * 2
+    private val hungSilenceLimitMs = settings.leaseMs * 2
 
-    /** The usual limit, in milliseconds, while a controller is unreachable and for [controllerMemoryMs] afterwards. */
-    private val controllerLostMs = settings.leaseMs * 5 / 2
+    /**
+     * The usual limit, in milliseconds, while a controller is unreachable and for [controllerOutageMemoryMs]
+     * afterwards.
+     */
+    private val controllerOutageSilenceLimitMs = settings.leaseMs * 5 / 2
 
     /** The limit, in milliseconds, for the machines of a zone that a network partition seems to have cut off. */
-    private val partitionMs = settings.leadershipMs + settings.leaseMs * 2
+    private val partitionSilenceLimitMs = settings.leadershipMs + settings.leaseMs * 2
 
-    /** For this long after a controller was last unreachable, [controllerLostMs] applies. In milliseconds. */
-    private val controllerMemoryMs = settings.leaseMs * 3 / 2
+    /**
+     * [controllerOutageSilenceLimitMs] applies until this long after a controller was last unreachable, in
+     * milliseconds.
+     */
+    private val controllerOutageMemoryMs = settings.leaseMs * 3 / 2
 
     /** When a controller was last unreachable, in milliseconds. */
-    private var controllerUnreachableAt = Long.MIN_VALUE / 2
+    private var controllerUnreachableAtMs = Long.MIN_VALUE / 2
 
     /** The machines of a zone, classified by the time since their last heartbeat. */
     private class ZoneView {
@@ -62,24 +68,24 @@
      * Returns the names of the machines to delete. A name occurs twice if two reasons hold. Also starts probes of
      * unresponsive machines.
      *
-     * @param termBeganAt when this process became the fleet manager; silence before that does not count
+     * @param termBeganAtMs when this process became the fleet manager; silence before that does not count
      */
     fun findFailed(
         now: Long,
-        termBeganAt: Long,
+        termBeganAtMs: Long,
     ): List<String> {
         // While a controller is unreachable, its workers may be looking for another one, or it may receive their
         // heartbeats without being able to forward them.
-        val zonesOfUnreachable = unreachableZones()
-        if (zonesOfUnreachable.isNotEmpty()) controllerUnreachableAt = now
-        val zones = classifyByZone(now, termBeganAt)
-        return findPoweredOff(zones, now) + findUnreachable(zones, zonesOfUnreachable, now, termBeganAt)
+        val zonesOfUnreachableControllers = unreachableZones()
+        if (zonesOfUnreachableControllers.isNotEmpty()) controllerUnreachableAtMs = now
+        val zones = classifyByZone(now, termBeganAtMs)
+        return findPoweredOff(zones, now) + findUnreachable(zones, zonesOfUnreachableControllers, now, termBeganAtMs)
     }
 
     /** Classifies the machines of each zone and starts probes of unresponsive ones. Booting machines are left out. */
     private fun classifyByZone(
         now: Long,
-        termBeganAt: Long,
+        termBeganAtMs: Long,
     ): Map<String, ZoneView> {
         val zones = HashMap<String, ZoneView>()
         for (machine in machines.byName.values) {
@@ -87,29 +93,29 @@
             val isBooting = instance != null && !instance.isUp
             if (machine.deleted || isBooting) continue
             val zone = zones.getOrPut(machine.zone) { ZoneView() }
-            val silentForMs = now - maxOf(machine.heardAt, termBeganAt, instance?.provisionedAtMs ?: 0L)
+            val silentForMs = now - maxOf(machine.heardAt, termBeganAtMs, instance?.provisionedAtMs ?: 0L)
             if (silentForMs > probeAfterMs) {
                 prober.probe(machine, now)
                 zone.unresponsive++
             } else {
                 zone.responsive++
             }
-            if (silentForMs > unreachableAfterMs(machine, now)) zone.unreachable.add(machine)
+            if (silentForMs > silenceLimitMs(machine, now)) zone.unreachable.add(machine)
         }
         return zones
     }
 
     /** After how long without a heartbeat the machine may be deleted, in milliseconds. */
-    private fun unreachableAfterMs(
+    private fun silenceLimitMs(
         machine: Machine,
         now: Long,
     ): Long {
-        val wasControllerUnreachable = now - controllerUnreachableAt < controllerMemoryMs
-        val usualMs = if (wasControllerUnreachable) controllerLostMs else unreachableMs
+        val wasControllerUnreachable = now - controllerUnreachableAtMs < controllerOutageMemoryMs
+        val usualMs = if (wasControllerUnreachable) controllerOutageSilenceLimitMs else usualSilenceLimitMs
         // A machine that accepts connections but does not respond hangs, and may resume soon. Its tasks are lost by
         // then, but its images are not, and pulling those again takes longer than the wait.
         val isHung = now - machine.connectedAt < settings.leaseMs / 2
-        return if (isHung) maxOf(usualMs, hungMs) else usualMs
+        return if (isHung) maxOf(usualMs, hungSilenceLimitMs) else usualMs
     }
 
     /**
@@ -166,21 +172,22 @@
 
     /**
      * Names of the machines that have been silent for too long. In a zone that looks partitioned, the limit is
-     * [partitionMs].
+     * [partitionSilenceLimitMs].
      */
     private fun findUnreachable(
         zones: Map<String, ZoneView>,
-        zonesOfUnreachable: Set<String>,
+        zonesOfUnreachableControllers: Set<String>,
         now: Long,
-        termBeganAt: Long,
+        termBeganAtMs: Long,
     ): List<String> =
         zones.flatMap { (name, zone) ->
             // A few unreachable machines don't show a partition, unless a controller in their zone is unreachable as
             // well.
-            val isEvident = zone.unreachable.size >= MIN_PARTITIONED_MACHINES || name in zonesOfUnreachable
-            val isPartitioned = isEvident && zone.unreachable.size >= zone.responsive
+            val mayBePartition =
+                zone.unreachable.size >= MIN_PARTITIONED_MACHINES || name in zonesOfUnreachableControllers
+            val isPartitioned = mayBePartition && zone.unreachable.size >= zone.responsive
             zone.unreachable
-                .filter { !isPartitioned || now - maxOf(it.heardAt, termBeganAt) > partitionMs }
+                .filter { !isPartitioned || now - maxOf(it.heardAt, termBeganAtMs) > partitionSilenceLimitMs }
                 .map { it.name }
         }
 
--- a/src/main/kotlin/micatally/fleet/MachineProber.kt
+++ b/src/main/kotlin/micatally/fleet/MachineProber.kt
@@ -34,7 +34,7 @@
     private val hungAfterMs = timeoutMs * 9 / 10
 
     /** Names of the machines that are being probed. */
-    private val inProgress = HashSet<String>()
+    private val probesInProgress = HashSet<String>()
 
     /**
      * Starts a probe and returns at once. Does nothing if the machine is being probed already or was probed too
@@ -44,10 +44,10 @@
         machine: Machine,
         now: Long,
     ) {
-        val isBusy = inProgress.size >= settings.maxConcurrentProbes
+        val hasTooManyProbes = probesInProgress.size >= settings.maxConcurrentProbes
         val isTooSoon = now - machine.probedAt < timeoutMs
-        if (machine.addr.isEmpty() || isBusy || isTooSoon) return
-        if (!inProgress.add(machine.name)) return
+        if (machine.addr.isEmpty() || hasTooManyProbes || isTooSoon) return
+        if (!probesInProgress.add(machine.name)) return
         machine.probedAt = now
         scope.launch {
             try {
@@ -56,7 +56,7 @@
             } catch (malformed: MalformedMessage) {
                 log.info("machine {} answered a probe with a malformed heartbeat: {}", machine.name, malformed.message)
             } finally {
-                inProgress.remove(machine.name)
+                probesInProgress.remove(machine.name)
             }
         }
     }
--- a/src/main/kotlin/micatally/fleet/MachineTypeCatalog.kt
+++ b/src/main/kotlin/micatally/fleet/MachineTypeCatalog.kt
@@ -35,22 +35,22 @@
     private val log = LoggerFactory.getLogger("micatally.fleet")
 
     /** The value that is in the state store, as text, as far as this process knows. */
-    private var stored: String? = null
-    private val isUnknown get() = machines.machineTypes.isEmpty()
+    private var storedText: String? = null
+    private val areTypesUnknown get() = machines.machineTypes.isEmpty()
 
     /** Requests the machine types at regular intervals; never returns. */
-    suspend fun follow() {
+    suspend fun refreshLoop() {
         while (true) {
-            if (isUnknown) loadStored()
-            if (isUnknown || isLeader()) refreshFromCloud()
-            delay(if (isUnknown) settings.leaseMs / ATTEMPTS_PER_LEASE else settings.leaseMs * REFRESH_LEASES)
+            if (areTypesUnknown) loadStored()
+            if (areTypesUnknown || isLeader()) refreshFromCloud()
+            delay(if (areTypesUnknown) settings.leaseMs / ATTEMPTS_PER_LEASE else settings.leaseMs * REFRESH_LEASES)
         }
     }
 
     private suspend fun loadStored() {
         val read = state.get(Keys.MACHINE_TYPES, Urgency.ACCEPTANCE)
         if (read !is ReadResult.Found) return
-        stored = read.item.value.toString()
+        storedText = read.item.value.toString()
         applyTypes(read.item.value)
     }
 
@@ -62,12 +62,12 @@
         val answer = cloud.machineTypes() ?: return
         applyTypes(answer)
         val text = answer.toString()
-        if (text == stored || RecordPacking.size(answer) > settings.valueBytes) return
+        if (text == storedText || RecordPacking.size(answer) > settings.valueBytes) return
         val result =
             state.transact(1, Urgency.SUMMARY) {
                 Transaction(emptyList(), listOf(Put(Keys.MACHINE_TYPES, answer)))
             }
-        if (result is TransactionResult.Applied) stored = text
+        if (result is TransactionResult.Applied) storedText = text
     }
 
     private fun applyTypes(answer: JsonObject) {
@@ -78,7 +78,7 @@
                 log.error("machine types: {}", malformed.message)
                 return
             }
-        val isFirst = isUnknown
+        val isFirst = areTypesUnknown
         machines.machineTypes = types.associateBy { it.label }
         if (isFirst) onFirstKnown()
     }
--- a/src/main/kotlin/micatally/fleet/Offer.kt
+++ b/src/main/kotlin/micatally/fleet/Offer.kt
@@ -21,7 +21,7 @@
  * @property isRefused whether the cloud turned the offer down recently, so that it is not requested at present
  * @property slowness how many times slower than nominal its machines boot at present; 1 or more
  */
-class Market(
+class OfferConditions(
     val isRefused: (Offer) -> Boolean,
     val slowness: (Offer) -> Double,
 )
--- a/src/main/kotlin/micatally/fleet/ProvisionedInstances.kt
+++ b/src/main/kotlin/micatally/fleet/ProvisionedInstances.kt
@@ -47,7 +47,7 @@
     }
 
     /** Adds machines that the cloud has provisioned, on a request of this or of the previous fleet manager. */
-    fun provisioned(
+    fun addProvisioned(
         names: List<String>,
         offer: Offer,
         atMs: Long,
@@ -59,7 +59,7 @@
      * Applies an entry of the cloud's list. The list also contains the age of machines that another controller has
      * provisioned.
      */
-    fun listed(
+    fun applyListed(
         listedMachine: ListedMachine,
         nowMs: Long,
     ) {
--- a/src/main/kotlin/micatally/fleet/ScaleIn.kt
+++ b/src/main/kotlin/micatally/fleet/ScaleIn.kt
@@ -40,7 +40,7 @@
     private val inProgress = HashSet<String>()
 
     /** When the cloud confirmed the deletions of this process, in milliseconds, by the name of the machine. */
-    private val deletedAt = HashMap<String, Long>()
+    private val deletedAtMs = HashMap<String, Long>()
 
     /** Requests the deletion of the machines with the next [submit]. */
     fun request(names: Collection<String>) {
@@ -78,15 +78,15 @@
         // now.
         if (!mayDelete() || !cloud.delete(names)) return
         log.info("machines deleted: {}", names)
-        deletedAt.putAll(names.associateWith { nowMs() })
+        deletedAtMs.putAll(names.associateWith { nowMs() })
         // Each machine takes up to two operations: its deletion record is stored, and its eviction record is deleted.
-        for (chunk in names.chunked(maxOf(1, settings.maxOperationsPerTransaction / 2))) store(chunk)
+        for (chunk in names.chunked(maxOf(1, settings.maxOperationsPerTransaction / 2))) storeDeletionRecords(chunk)
     }
 
     /**
      * Stores the deletion records, and retries until that succeeds: the machines are gone, and no other process knows.
      */
-    private suspend fun store(names: List<String>) {
+    private suspend fun storeDeletionRecords(names: List<String>) {
         while (state.transact(names.size, Urgency.INTENT) { deletionRecords(names) } !is TransactionResult.Applied) {
             delay(settings.leaseMs / RETRIES_PER_LEASE)
         }
@@ -103,13 +103,13 @@
      */
     suspend fun pruneDeletionRecords() {
         val oldest = nowMs() - settings.leaseMs * RETENTION_LEASES
-        val expired = deletedAt.filterValues { it < oldest }.keys.take(settings.maxOperationsPerTransaction / 2)
+        val expired = deletedAtMs.filterValues { it < oldest }.keys.take(settings.maxOperationsPerTransaction / 2)
         if (expired.isEmpty() || !mayDelete()) return
         val result =
             state.transact(expired.size, Urgency.SUMMARY) {
                 Transaction(emptyList(), expired.map { Delete(Keys.DELETED_MACHINE + it) })
             }
-        if (result is TransactionResult.Applied) deletedAt.keys.removeAll(expired.toSet())
+        if (result is TransactionResult.Applied) deletedAtMs.keys.removeAll(expired.toSet())
     }
 
     private companion object {
--- a/src/main/kotlin/micatally/fleet/ScaleOut.kt
+++ b/src/main/kotlin/micatally/fleet/ScaleOut.kt
@@ -30,7 +30,7 @@
     private var term = 0L
 
     /** The number of requests created in this term; it is part of their names. */
-    private var requestCount = 0
+    private var requestsCreated = 0
 
     /** Names of the requests that are being stored, sent to the cloud, or updated with its response. */
     private val inProgress = HashSet<String>()
@@ -38,7 +38,7 @@
     /** Begins a term as the fleet manager: completes the requests that the previous fleet manager has stored. */
     fun beginTerm(newTerm: Long) {
         term = newTerm
-        requestCount = 0
+        requestsCreated = 0
         requests.load { resume(it) }
     }
 
@@ -65,8 +65,8 @@
     ) {
         if (machines.machineTypes.isEmpty() || inProgress.isNotEmpty()) return
         for ((offer, count) in plan(resourceRequests, now)) {
-            for (first in 0 until count step MAX_MACHINES_PER_REQUEST) {
-                submit(nextRequest(offer, minOf(MAX_MACHINES_PER_REQUEST, count - first)))
+            for (offset in 0 until count step MAX_MACHINES_PER_REQUEST) {
+                submit(nextRequest(offer, minOf(MAX_MACHINES_PER_REQUEST, count - offset)))
             }
         }
     }
@@ -82,15 +82,15 @@
             instances.pending(now).mapNotNullTo(ArrayList()) { instance ->
                 machines.machineTypes[instance.offer.type]?.let { PlannedMachine(instance.offer, it.resources) }
             }
-        val market = Market({ backoff.isActive(it, now) }, { instances.bootTimes.slowness(it) })
-        return ScaleOutPlan(machines.machineTypes.values, market, pending, existing, MAX_MACHINES_PER_CYCLE)
+        val conditions = OfferConditions({ backoff.isBackingOff(it, now) }, { instances.bootTimes.slowness(it) })
+        return ScaleOutPlan(machines.machineTypes.values, conditions, pending, existing, MAX_MACHINES_PER_CYCLE)
             .plan(resourceRequests)
     }
 
     private fun nextRequest(
         offer: Offer,
         count: Int,
-    ) = ProvisioningRequest("b$term-${++requestCount}", offer, count)
+    ) = ProvisioningRequest("b$term-${++requestsCreated}", offer, count)
 
     /**
      * Stores the request and sends it to the cloud. It is stored first so that its name is never used for another
@@ -122,19 +122,19 @@
      * cloud has not carried it out.
      */
     private suspend fun provision(request: ProvisioningRequest) {
-        val requestedAt = nowMs()
+        val requestedAtMs = nowMs()
         var isOutcomeUnknown = false
         while (true) {
             when (val result = cloud.provision(request)) {
-                is ProvisioningResult.Provisioned -> return provisioned(request, result.names, requestedAt)
+                is ProvisioningResult.Provisioned -> return recordProvisioned(request, result.names, requestedAtMs)
                 ProvisioningResult.NoCapacity -> {
                     logNoCapacity(request.offer)
-                    backoff.noCapacity(request.offer)
+                    backoff.startBackoff(request.offer)
                     break
                 }
                 ProvisioningResult.Refused ->
                     if (!isOutcomeUnknown) {
-                        backoff.refused(request.offer)
+                        backoff.startShortBackoff(request.offer)
                         break
                     }
                 ProvisioningResult.Unknown -> isOutcomeUnknown = true
@@ -146,14 +146,14 @@
     }
 
     /** Records the machines that the cloud has provisioned for the request. */
-    private suspend fun provisioned(
+    private suspend fun recordProvisioned(
         request: ProvisioningRequest,
         names: List<String>,
-        requestedAt: Long,
+        requestedAtMs: Long,
     ) {
         logProvisioned(request, names)
-        addInstances(names, request.offer, requestedAt)
-        if (names.size < request.count) backoff.noCapacity(request.offer) else backoff.succeeded(request.offer)
+        addInstances(names, request.offer, requestedAtMs)
+        if (names.size < request.count) backoff.startBackoff(request.offer) else backoff.reset(request.offer)
         if (names.isEmpty()) requests.delete(request.name) else requests.storeAnswer(request.withMachines(names))
     }
 
@@ -161,7 +161,7 @@
         names: List<String>,
         offer: Offer,
         atMs: Long,
-    ) = instances.provisioned(names.filter { it !in machines.deletedNames }, offer, atMs)
+    ) = instances.addProvisioned(names.filter { it !in machines.deletedNames }, offer, atMs)
 
     private fun logNoCapacity(offer: Offer) {
         log.info("cloud has no capacity for {} in {} spot={}", offer.type, offer.zone, offer.isSpot)
@@ -188,11 +188,11 @@
      * name all machines that are booting, while the cloud's list lags behind.
      */
     fun deleteSettledRequests() {
-        val settled =
+        val settledRequests =
             requests.answered.filter { request ->
                 request.machines.all { it in machines.deletedNames || instances.of(it)?.isUp == true }
             }
-        for (request in settled) {
+        for (request in settledRequests) {
             requests.removeAnswered(request)
             scope.launch { requests.delete(request.name) }
         }
@@ -217,30 +217,30 @@
     private val nowMs: () -> Long,
 ) {
     /** The end of the backoff, in milliseconds on this process's clock. */
-    private val until = HashMap<Offer, Long>()
+    private val backoffUntilMs = HashMap<Offer, Long>()
 
     /** How many times in a row the cloud had no capacity, or too little. */
     private val failuresInRow = HashMap<Offer, Int>()
 
-    fun isActive(
+    fun isBackingOff(
         offer: Offer,
         now: Long,
-    ) = (until[offer] ?: 0L) > now
+    ) = (backoffUntilMs[offer] ?: 0L) > now
 
     /** Starts a backoff that grows with each failure in a row, up to one boot time of the machine type. */
-    fun noCapacity(offer: Offer) {
+    fun startBackoff(offer: Offer) {
         val failures = (failuresInRow[offer] ?: 0) + 1
         failuresInRow[offer] = failures
-        until[offer] = nowMs() + minOf(failures, BACKOFF_STEPS) * machines.bootMs(offer.type) / BACKOFF_STEPS
+        backoffUntilMs[offer] = nowMs() + minOf(failures, BACKOFF_STEPS) * machines.bootMs(offer.type) / BACKOFF_STEPS
     }
 
     /** Starts a short backoff after a refusal such as an outage, which says nothing about the offer. */
-    fun refused(offer: Offer) {
-        until[offer] = nowMs() + settings.leaseMs / REFUSAL_RETRIES_PER_LEASE
+    fun startShortBackoff(offer: Offer) {
+        backoffUntilMs[offer] = nowMs() + settings.leaseMs / REFUSAL_RETRIES_PER_LEASE
     }
 
     /** Resets the backoff steps; called when the cloud has provisioned all machines that were requested. */
-    fun succeeded(offer: Offer) {
+    fun reset(offer: Offer) {
         failuresInRow.remove(offer)
     }
 
--- a/src/main/kotlin/micatally/fleet/ScaleOutPlan.kt
+++ b/src/main/kotlin/micatally/fleet/ScaleOutPlan.kt
@@ -27,7 +27,7 @@
  */
 class ScaleOutPlan(
     private val machineTypes: Collection<MachineType>,
-    private val market: Market,
+    private val conditions: OfferConditions,
     private val pending: MutableList<PlannedMachine>,
     existing: Map<TypeInZone, Int>,
     private val limit: Int,
@@ -105,7 +105,7 @@
         val spotChoices = if (placement.request.isSpot) listOf(true, false) else listOf(false)
         return type.zones
             .flatMap { zone -> spotChoices.map { isSpot -> Offer(type.label, zone, isSpot) } }
-            .filter { placement.isAllowed(it) && !market.isRefused(it) && placement.hasZoneCapacity(it.zone) }
+            .filter { placement.isAllowed(it) && !conditions.isRefused(it) && placement.hasZoneCapacity(it.zone) }
     }
 
     /**
@@ -121,7 +121,7 @@
         val taskCount = maxOf(placement.remaining, remainingByShape[placement.shape] ?: 0)
         return type.price(offer.isSpot) * Math.ceil(taskCount.toDouble() / tasksPerMachine) / taskCount *
             (1 + (machinesByTypeInZone[offer.typeInZone] ?: 0) * ZONE_BALANCE_WEIGHT) *
-            (1 + (market.slowness(offer) - 1) * SLOWNESS_WEIGHT)
+            (1 + (conditions.slowness(offer) - 1) * SLOWNESS_WEIGHT)
     }
 
     /**
--- a/src/test/kotlin/micatally/fleet/ScaleOutPlanTest.kt
+++ b/src/test/kotlin/micatally/fleet/ScaleOutPlanTest.kt
@@ -13,9 +13,9 @@
     private val gpus =
         MachineType("gpu", Resources(96.0, 8.0, 768.0), 400.0, 1.7, 27.0, 7.0, 30.0, listOf("a", "b", "c"))
 
-    private fun gateway(
+    private fun service(
         count: Int,
-        zoneCapacity: List<Int>,
+        zoneLimits: List<Int>,
     ) = ResourceRequest(
         2.0,
         0.0,
@@ -23,15 +23,15 @@
         zones = listOf("a", "b", "c"),
         count = count,
         isService = true,
-        zoneLimits = zoneCapacity,
+        zoneLimits = zoneLimits,
     )
 
     private fun plan(
         resourceRequests: List<ResourceRequest>,
         pending: MutableList<PlannedMachine> = ArrayList(),
     ): Map<Offer, Int> {
-        val market = Market({ false }, { 1.0 })
-        return ScaleOutPlan(listOf(small, large, gpus), market, pending, emptyMap(), 100).plan(resourceRequests)
+        val conditions = OfferConditions({ false }, { 1.0 })
+        return ScaleOutPlan(listOf(small, large, gpus), conditions, pending, emptyMap(), 100).plan(resourceRequests)
     }
 
     /**
@@ -39,8 +39,8 @@
      * zone limit kept out of one zone were found to need a machine in another only after the first machines were up.
      */
     @Test
-    fun `many small jobs share large machines and are spread from the start`() {
-        val plan = plan(List(16) { gateway(4, listOf(2, 2, 2)) })
+    fun `many small jobs share large machines and are spread over zones`() {
+        val plan = plan(List(16) { service(4, listOf(2, 2, 2)) })
         assertTrue(plan.keys.all { it.type == "large" }, "$plan")
         assertEquals(setOf("a", "b"), plan.keys.map { it.zone }.toSet())
         assertEquals(4, plan.values.sum())
@@ -60,7 +60,7 @@
     @Test
     fun `tasks without GPUs leave the cores that GPUs need`() {
         val machine = PlannedMachine(Offer("gpu", "c", false), gpus.resources)
-        plan(listOf(gateway(60, emptyList())), arrayListOf(machine))
+        plan(listOf(service(60, emptyList())), arrayListOf(machine))
         assertTrue(machine.free.cores >= 8 * 12 * 0.7 - 1e-6, "${machine.free}")
     }
 }
