--- a/src/main/kotlin/micatally/fleet/MachineTypeCatalog.kt
+++ b/src/main/kotlin/micatally/fleet/MachineTypeCatalog.kt
@@ -75,7 +75,7 @@
             try {
                 MachineType.parseAll(answer)
             } catch (malformed: MalformedMessage) {
-                log.error("machine types: {}", malformed.message)
+                log.error("machine types can't be read, those known before stay in use: {}", malformed.message)
                 return
             }
         val isFirst = areTypesUnknown
