--- a/src/main/kotlin/micatally/fleet/BootTimes.kt
+++ b/src/main/kotlin/micatally/fleet/BootTimes.kt
@@ -101,8 +101,8 @@
         const val LATE_FACTOR = 2L
 
         /**
-         * A machine that is not up is given up after this many nominal boot times. By the cloud's description, some
-         * boots take several.
+         * A machine that is not up is given up after this many nominal boot times. The cloud states that some boots
+         * take several nominal boot times.
          */
         const val TIMEOUT_FACTOR = 4L
 
--- a/src/main/kotlin/micatally/fleet/CloudInventory.kt
+++ b/src/main/kotlin/micatally/fleet/CloudInventory.kt
@@ -9,7 +9,7 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Reads the cloud's list of machines while this process is the fleet manager. The list contains machines from which no
+ * Reads the cloud's list of machines while this process is the fleet manager. It also contains machines from which no
  * controller has received a heartbeat, and machines that failed to start.
  */
 class CloudInventory(
--- a/src/main/kotlin/micatally/fleet/ProvisioningRequestStore.kt
+++ b/src/main/kotlin/micatally/fleet/ProvisioningRequestStore.kt
@@ -32,11 +32,12 @@
         }
     }
 
-    /** Adds the request to [answered], which it leaves with [removeAnswered]. */
+    /** Adds the request to [answered]. */
     fun addAnswered(request: ProvisioningRequest) {
         answeredByName[request.name] = request
     }
 
+    /** Removes the request from [answered], since its machines are all up or deleted. */
     fun removeAnswered(request: ProvisioningRequest) {
         answeredByName.remove(request.name)
     }
--- a/src/main/kotlin/micatally/fleet/ScaleIn.kt
+++ b/src/main/kotlin/micatally/fleet/ScaleIn.kt
@@ -53,8 +53,8 @@
     }
 
     /**
-     * Starts to delete the requested machines and returns at once. If there are more than one request to the cloud may
-     * name, the rest is dropped, and the next review requests it again if it is still to be deleted.
+     * Starts to delete the requested machines, up to [MAX_MACHINES_PER_REQUEST] of them, and returns at once. The
+     * others are dropped; the next review requests them again if they still have to be deleted.
      */
     fun submit() {
         val names =
