--- a/src/main/kotlin/micatally/fleet/CloudInventory.kt
+++ b/src/main/kotlin/micatally/fleet/CloudInventory.kt
@@ -9,8 +9,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Takes in the cloud's list of machines while this process is the fleet manager: it shows machines that nobody has heard from, and
- * those that failed to start.
+ * Reads the cloud's list of machines while this process is the fleet manager. It also contains machines from which no
+ * controller has received a heartbeat, and machines that failed to start.
  */
 class CloudInventory(
     private val settings: Settings,
@@ -23,12 +23,14 @@
     private val nowMs: () -> Long,
 ) {
     private val log = LoggerFactory.getLogger("micatally.fleet")
+
+    /** Unknown machine statuses that were logged already. */
     private val unknownStatuses = HashSet<String>()
 
-    /** Reads the list again and again; never returns. */
-    suspend fun follow() {
-        val listingMs = (REQUESTS_PER_LISTING * MS_PER_SECOND / settings.cloudRps).toLong()
-        val pauseMs = maxOf(settings.listLagMs / 2, listingMs)
+    /** Reads the list at regular intervals; never returns. */
+    suspend fun pollLoop() {
+        val minPauseMs = (REQUESTS_PER_LISTING * MS_PER_SECOND / settings.cloudRps).toLong()
+        val pauseMs = maxOf(settings.listLagMs / 2, minPauseMs)
         while (true) {
             delay(pauseMs)
             if (!leadership.isLeader) continue
@@ -39,6 +41,7 @@
         }
     }
 
+    /** Requests the deletion of a machine that failed to start; records any other one that is not deleted. */
     private fun apply(
         listed: ListedMachine,
         now: Long,
@@ -47,16 +50,16 @@
         if (isDeleted) return
         when (listed.status) {
             ListedMachine.FAILED -> scaleIn.request(listed.name)
-            ListedMachine.STARTING -> instances.listed(listed, now)
+            ListedMachine.STARTING -> instances.applyListed(listed, now)
             ListedMachine.RUNNING -> {
-                instances.listed(listed, now)
+                instances.applyListed(listed, now)
                 machines.findOrAdd(listed.name, listed.addr, listed.type, listed.zone, listed.isSpot)
             }
-            else -> warnOnce(listed)
+            else -> warnOfUnknownStatus(listed)
         }
     }
 
-    private fun warnOnce(listed: ListedMachine) {
+    private fun warnOfUnknownStatus(listed: ListedMachine) {
         if (!unknownStatuses.add(listed.status)) return
         log.warn("machine {} has an unknown status in the cloud's list: {}", listed.name, listed.status)
     }
@@ -64,7 +67,7 @@
     private companion object {
         const val MS_PER_SECOND = 1000
 
-        /** Between two lists the cloud takes at least so many other requests. */
+        /** The pause between two lists leaves room for at least this many requests at the cloud's rate limit. */
         const val REQUESTS_PER_LISTING = 3
     }
 }
--- a/src/main/kotlin/micatally/fleet/GracefulEviction.kt
+++ b/src/main/kotlin/micatally/fleet/GracefulEviction.kt
@@ -8,10 +8,10 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Takes machines out of service that are idle, or whose tasks fit on others. An eviction that takes too long, or whose machine is
- * needed again, is cancelled.
+ * Evicts machines that are idle, or whose tasks fit on other machines. An eviction is cancelled if it takes too long or
+ * if unplaced tasks may run on the machine.
  *
- * @param recentServices services that were submitted lately, to any job owner
+ * @param recentServices services that were submitted recently, to any controller
  */
 class GracefulEviction(
     private val settings: Settings,
@@ -24,23 +24,30 @@
 ) {
     private val log = LoggerFactory.getLogger("micatally.fleet")
 
-    /** Within so long after its record is stored, all controllers have heard of an eviction. */
+    /** The time within which all controllers learn of an eviction after its record is stored, in milliseconds. */
     private val propagationMs = settings.heartbeatIntervalMs + settings.leaseMs / 10
+
+    /** The evictions in progress, by the name of the machine. */
     private val evictions = HashMap<String, Eviction>()
 
-    /** Until when machines are exempt from eviction, after one of them was cancelled. */
-    private val exemptUntil = HashMap<String, Long>()
-    private var termBeganAt = 0L
-    private var lastConsolidationAt = 0L
+    /** Until when a machine is exempt from eviction because its last one was cancelled, by the name of the machine. */
+    private val exemptUntilMs = HashMap<String, Long>()
+    private var termBeganAtMs = 0L
+    private var lastConsolidationAtMs = 0L
 
-    /** Starts as the fleet manager: goes on with the evictions of its predecessor. */
+    /** Begins a term as the fleet manager: continues the evictions of the previous fleet manager. */
     fun beginTerm(now: Long) {
-        termBeganAt = now
+        termBeganAtMs = now
         evictions.clear()
         for (name in records.names()) evictions[name] = Eviction(now, EvictionState.EVICTING)
     }
 
-    /** Looks at all machines, given the tasks that find no free capacity. */
+    /**
+     * Reviews all machines: cancels, finishes and begins evictions. Consolidation runs only while no task lacks free
+     * capacity, and no earlier than two leases after the term began.
+     *
+     * @param resourceRequests tasks that find no free capacity at present
+     */
     fun review(
         resourceRequests: List<ResourceRequest>,
         now: Long,
@@ -51,10 +58,10 @@
         }
         evictions.keys.removeIf { it in machines.deletedNames }
         records.reconcile(evictions.keys, now)
-        val isSettled = now - termBeganAt > settings.leaseMs * 2
-        val isDue = now - lastConsolidationAt > machines.bootMs(null) / CONSOLIDATIONS_PER_BOOT
+        val isSettled = now - termBeganAtMs > settings.leaseMs * 2
+        val isDue = now - lastConsolidationAtMs > machines.bootMs(null) / CONSOLIDATIONS_PER_BOOT
         if (resourceRequests.isEmpty() && isSettled && isDue) {
-            lastConsolidationAt = now
+            lastConsolidationAtMs = now
             consolidate(now)
         }
     }
@@ -66,13 +73,17 @@
     ) {
         val eviction = evictions[machine.name]
         when {
-            !isEmpty(machine) -> reviewUsed(machine, eviction, resourceRequests, now)
-            eviction != null -> deleteWhenKnown(machine, eviction, now)
+            !isEmpty(machine) -> reviewInUse(machine, eviction, resourceRequests, now)
+            eviction != null -> deleteOnceKnownToAll(machine, eviction, now)
             else -> evictIfIdle(machine, now)
         }
     }
 
-    private fun reviewUsed(
+    /**
+     * Reviews a machine that is in use. Its eviction is cancelled if unplaced tasks may run on it or if the eviction
+     * takes too long, unless the cloud is going to reclaim the machine.
+     */
+    private fun reviewInUse(
         machine: Machine,
         eviction: Eviction?,
         resourceRequests: List<ResourceRequest>,
@@ -83,31 +94,36 @@
         eviction.transitionTo(EvictionState.EVICTING, now)
         if (resourceRequests.any { mayRunOn(it, machine) }) {
             cancel(machine, now, "unplaced tasks may run on it")
-        } else if (now - eviction.beganAt > machines.bootMs(machine.type) * EVICTION_TIMEOUT_BOOTS) {
+        } else if (now - eviction.beganAtMs > machines.bootMs(machine.type) * EVICTION_TIMEOUT_BOOTS) {
             cancel(machine, now, "its tasks did not leave in time")
         }
     }
 
-    /** A controller that has not heard of the eviction may still start a task on the machine: it is deleted only after that. */
-    private fun deleteWhenKnown(
+    /**
+     * Requests the deletion of an empty machine once all controllers know of its eviction. A controller that does not
+     * know of it yet may still start a task on the machine.
+     */
+    private fun deleteOnceKnownToAll(
         machine: Machine,
         eviction: Eviction,
         now: Long,
     ) {
         eviction.transitionTo(EvictionState.EMPTY, now)
-        val isKnownToAll = now - eviction.stateSince > propagationMs && records.has(machine.name)
+        val isKnownToAll = now - eviction.stateSinceMs > propagationMs && records.has(machine.name)
         if (isKnownToAll) scaleIn.request(machine.name)
     }
 
+    /** Evicts the machine if it has been idle for long enough; at once if the cloud is going to reclaim it. */
     private fun evictIfIdle(
         machine: Machine,
         now: Long,
     ) {
         val idleMs =
             if (machine.hasSpotNotice) 0L else (machines.bootMs(machine.type) * operator.fleetIdleBoots).toLong()
-        if (now - maxOf(machine.busyAt, termBeganAt) > idleMs) evict(machine, now, EvictionState.EMPTY, "idle")
+        if (now - maxOf(machine.busyAt, termBeganAtMs) > idleMs) evict(machine, now, EvictionState.EMPTY, "idle")
     }
 
+    /** Whether no controller uses the machine: no unfinished task or attempt is on it, and no capacity is held. */
     private fun isEmpty(machine: Machine): Boolean {
         val used = machine.used
         val hasNoTasks = machine.tasks.all { it.isEnded } && machine.attempts.isEmpty()
@@ -123,7 +139,7 @@
         return isTypeAllowed && isZoneAllowed && (!machine.isSpot || request.isSpot)
     }
 
-    /** Evicts some machines whose tasks fit on others. */
+    /** Begins to evict machines whose tasks fit on other machines, up to the limit of concurrent evictions. */
     private fun consolidate(now: Long) {
         val inService = machines.byName.values.filter { isInService(it, now) }
         val evicting =
@@ -132,8 +148,8 @@
                 .keys
                 .mapNotNull { machines.of(it) }
                 .filter { !it.deleted }
-        val concurrent = maxOf(MIN_CONCURRENT_EVICTIONS, (inService.size * MAX_EVICTING_SHARE).toInt())
-        val limit = concurrent - evicting.size
+        val maxConcurrent = maxOf(MIN_CONCURRENT_EVICTIONS, (inService.size * MAX_EVICTING_SHARE).toInt())
+        val limit = maxConcurrent - evicting.size
         if (limit <= 0) return
         val plan =
             ConsolidationPlan(inService, evicting, machines.machineTypes, recentServices(), operator.fleetHeadroom)
@@ -156,7 +172,7 @@
     ): Boolean {
         val provisionedAt = instances.of(machine.name)?.provisionedAtMs ?: 0L
         val isPastMinimumCharge = now - provisionedAt > MIN_CHARGE_MS
-        return isPastMinimumCharge && (exemptUntil[machine.name] ?: 0L) < now
+        return isPastMinimumCharge && (exemptUntilMs[machine.name] ?: 0L) < now
     }
 
     private fun evict(
@@ -176,27 +192,34 @@
         reason: String,
     ) {
         evictions.remove(machine.name)
-        exemptUntil[machine.name] = now + machines.bootMs(machine.type) * EXEMPTION_BOOTS
+        exemptUntilMs[machine.name] = now + machines.bootMs(machine.type) * EXEMPTION_BOOTS
         log.info("eviction of machine {} cancelled: {}", machine.name, reason)
         records.delete(machine.name)
     }
 
     private companion object {
-        /** Below this, used resources are rounding errors of sums. */
+        /** Smaller amounts of used resources are rounding errors of sums. */
         const val EPSILON = 1e-6
 
-        /** The cloud charges for a machine for at least so long. */
+        /** The minimum time for which the cloud charges for a machine, in milliseconds. */
         const val MIN_CHARGE_MS = 60_000L
 
-        /** Machines that may be evicted at once: so many, or this share of those in service if that is more. */
+        /**
+         * The number of machines that may be evicted at the same time, or [MAX_EVICTING_SHARE] of the machines in
+         * service if that is more.
+         */
         const val MIN_CONCURRENT_EVICTIONS = 2
+
+        /** The share of the machines in service that may be evicted at the same time. */
         const val MAX_EVICTING_SHARE = 0.25
 
-        /** How often in a boot time machines to evict are looked for. */
+        /** How many times per boot time of the slowest machine type consolidation runs. */
         const val CONSOLIDATIONS_PER_BOOT = 6
 
-        /** After so many boot times an eviction is cancelled, and for so many the machine is exempt afterwards. */
+        /** An eviction is cancelled after this many boot times of the machine's type. */
         const val EVICTION_TIMEOUT_BOOTS = 4
+
+        /** After a cancelled eviction, the machine is exempt for this many boot times of its type. */
         const val EXEMPTION_BOOTS = 2
     }
 }
--- a/src/main/kotlin/micatally/fleet/MachineTypeCatalog.kt
+++ b/src/main/kotlin/micatally/fleet/MachineTypeCatalog.kt
@@ -17,9 +17,11 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Keeps the machine types in [MachineRegistry] up to date: from the cloud, or from the state store while the cloud can't be asked.
+ * Keeps the machine types in [MachineRegistry] up to date. They come from the cloud, or from the state store while the
+ * cloud does not respond.
  *
- * @param isLeader whether this process is the fleet manager; only that one asks the cloud again once the types are known
+ * @param isLeader whether this process is the fleet manager; once the types are known, only the fleet manager requests
+ * them again
  * @param onFirstKnown called when the types become known
  */
 class MachineTypeCatalog(
@@ -32,37 +34,40 @@
 ) {
     private val log = LoggerFactory.getLogger("micatally.fleet")
 
-    /** The text of the value in the state store, as far as this process knows. */
-    private var stored: String? = null
-    private val isUnknown get() = machines.machineTypes.isEmpty()
+    /** The value that is in the state store, as text, as far as this process knows. */
+    private var storedText: String? = null
+    private val areTypesUnknown get() = machines.machineTypes.isEmpty()
 
-    /** Follows the machine types; never returns. */
-    suspend fun follow() {
+    /** Requests the machine types at regular intervals; never returns. */
+    suspend fun refreshLoop() {
         while (true) {
-            if (isUnknown) loadStored()
-            if (isUnknown || isLeader()) refreshFromCloud()
-            delay(if (isUnknown) settings.leaseMs / ATTEMPTS_PER_LEASE else settings.leaseMs * REFRESH_LEASES)
+            if (areTypesUnknown) loadStored()
+            if (areTypesUnknown || isLeader()) refreshFromCloud()
+            delay(if (areTypesUnknown) settings.leaseMs / ATTEMPTS_PER_LEASE else settings.leaseMs * REFRESH_LEASES)
         }
     }
 
     private suspend fun loadStored() {
         val read = state.get(Keys.MACHINE_TYPES, Urgency.ACCEPTANCE)
         if (read !is ReadResult.Found) return
-        stored = read.item.value.toString()
+        storedText = read.item.value.toString()
         applyTypes(read.item.value)
     }
 
-    /** Also stores the cloud's answer, for controllers that start while the cloud can't be asked. */
+    /**
+     * Reads the machine types from the cloud, and stores them for controllers that start while the cloud does not
+     * respond.
+     */
     private suspend fun refreshFromCloud() {
         val answer = cloud.machineTypes() ?: return
         applyTypes(answer)
         val text = answer.toString()
-        if (text == stored || RecordPacking.size(answer) > settings.valueBytes) return
+        if (text == storedText || RecordPacking.size(answer) > settings.valueBytes) return
         val result =
             state.transact(1, Urgency.SUMMARY) {
                 Transaction(emptyList(), listOf(Put(Keys.MACHINE_TYPES, answer)))
             }
-        if (result is TransactionResult.Applied) stored = text
+        if (result is TransactionResult.Applied) storedText = text
     }
 
     private fun applyTypes(answer: JsonObject) {
@@ -70,19 +75,19 @@
             try {
                 MachineType.parseAll(answer)
             } catch (malformed: MalformedMessage) {
-                log.error("machine types: {}", malformed.message)
+                log.error("machine types can't be read, those known before stay in use: {}", malformed.message)
                 return
             }
-        val isFirst = isUnknown
+        val isFirst = areTypesUnknown
         machines.machineTypes = types.associateBy { it.label }
         if (isFirst) onFirstKnown()
     }
 
     private companion object {
-        /** How often in a lease to ask while the types are unknown. */
+        /** How many times per lease the types are requested while they are unknown. */
         const val ATTEMPTS_PER_LEASE = 20
 
-        /** After how many leases to ask again once they are known. */
+        /** Once the types are known, they are requested again after this many leases. */
         const val REFRESH_LEASES = 3
     }
 }
