--- a/src/main/kotlin/micatally/membership/CatchUp.kt
+++ b/src/main/kotlin/micatally/membership/CatchUp.kt
@@ -5,10 +5,11 @@
 import kotlinx.coroutines.launch
 
 /**
- * Reads the shared keys again for callers that met a higher fencing token than this controller knows.
+ * Reads the shared keys again when a worker reports a higher fencing token than this controller knows.
  *
- * One read serves all who ask meanwhile. When it shows no newer token the next one waits for a pause: a controller that the
- * state store refuses would otherwise ask without end, and its users' reads would never get their turn.
+ * At most one read is in flight, and callers that ask meanwhile wait for the same read. If the token is still the same
+ * afterwards, they continue only after a retry delay. Without the delay a controller that the state store refuses would
+ * send one read after another, and no budget would be left for the reads of its users.
  */
 internal class CatchUp(
     private val scope: CoroutineScope,
@@ -19,7 +20,10 @@
     private var isRunning = false
     private val continuations = LinkedHashSet<() -> Unit>()
 
-    /** Returns at once and runs [continuation] after the read, whether it succeeded or not; the same one is run once. */
+    /**
+     * Runs [continuation] after the read, whether the read succeeds or fails. Returns at once. A function that several
+     * requests pass for the same read is run once.
+     */
     fun request(continuation: () -> Unit) {
         continuations.add(continuation)
         if (isRunning) return
@@ -28,9 +32,9 @@
     }
 
     private suspend fun run() {
-        val before = sharedKeys.fencingToken
+        val tokenBefore = sharedKeys.fencingToken
         refresh()
-        if (sharedKeys.fencingToken == before) delay(retryDelay.nextMs())
+        if (sharedKeys.fencingToken == tokenBefore) delay(retryDelay.nextMs())
         isRunning = false
         val requested = continuations.toList()
         continuations.clear()
--- a/src/main/kotlin/micatally/membership/ControllerLease.kt
+++ b/src/main/kotlin/micatally/membership/ControllerLease.kt
@@ -12,10 +12,11 @@
 import org.slf4j.LoggerFactory
 
 /**
- * This controller's lease at the state store and the live key that is tied to it. The state store deletes the live key when the
- * lease expires, and the other controllers then take over this one's shards.
+ * This controller's lease at the state store, and the live key that is bound to it. The live key tells the other
+ * controllers that this one is alive. When the lease expires, the state store deletes the live key, and the other
+ * controllers acquire this one's shards.
  *
- * @param liveKeyValue what this controller stores under its live key
+ * @param liveKeyValue the value that this controller writes under its live key
  * @param refresh reads the shared keys again
  */
 internal class ControllerLease(
@@ -31,20 +32,26 @@
     private val log = LoggerFactory.getLogger("micatally.membership")
     private val liveKey = Keys.live(settings.host)
 
-    /** When the last request left that granted or renewed the lease. */
-    private var provenAt = Long.MIN_VALUE / 2
+    /** When the last successful grant or renewal request was sent, in ms on this controller's clock. */
+    private var lastProofSentAtMs = Long.MIN_VALUE / 2
 
-    /** The live key's revision as this process wrote it: it changes only when another process writes or deletes the key. */
+    /**
+     * The revision at which this process wrote the live key. If the key's revision differs later, another process has
+     * written the key or the key has been deleted.
+     */
     private var liveKeyModRevision = 0L
 
-    /** The lease's id at the state store, or null while there is no lease. */
+    /** The id of the lease at the state store, or null while there is no lease. */
     var id: Long? = null
         private set
 
-    /** True while the lease cannot have expired at the state store, so that no other controller can have taken this one's shards. */
-    fun holds(): Boolean = id != null && nowMs() < provenAt + settings.liveMs * SAFE_PERCENT / PERCENT
+    /**
+     * Whether the lease is certainly still valid at the state store. While this is true, no other controller can have
+     * acquired this one's shards.
+     */
+    fun holds(): Boolean = id != null && nowMs() < lastProofSentAtMs + settings.liveMs * SAFE_PERCENT / PERCENT
 
-    /** Obtains the lease and keeps it renewed; does not return. */
+    /** Obtains a lease and renews it, and obtains a new one whenever it is lost. Never returns. */
     suspend fun run() {
         while (true) {
             val held = id
@@ -59,18 +66,21 @@
         }
     }
 
-    /** Gives up the lease if the shared keys show another live key of this host than the one that this process wrote. */
+    /**
+     * Gives up the lease if the shared keys show that the live key is no longer the one that this process wrote. Called
+     * after each update of the shared keys. An update from before the write shows an older live key and is ignored.
+     */
     fun checkLiveKey() {
-        val isKeySeen = sharedKeys.revision >= liveKeyModRevision
-        if (id == null || !isKeySeen || sharedKeys.modRevision(liveKey) == liveKeyModRevision) return
+        val isOwnWriteSeen = sharedKeys.revision >= liveKeyModRevision
+        if (id == null || !isOwnWriteSeen || sharedKeys.modRevision(liveKey) == liveKeyModRevision) return
         log.info("lease {} given up: the live key is not the one that this process wrote", id)
         id = null
     }
 
     private suspend fun obtain() {
-        val sentAt = nowMs()
+        val sentAtMs = nowMs()
         if (sharedKeys.revision < 0) {
-            delay(settings.liveMs / FIRST_VIEW_POLLS)
+            delay(settings.liveMs / FIRST_VIEW_POLLS_PER_TTL)
             return
         }
         val granted = state.grant(settings.liveMs)
@@ -81,22 +91,24 @@
         val result = writeLiveKey(granted)
         if (result is TransactionResult.Applied) {
             id = granted
-            provenAt = sentAt
+            lastProofSentAtMs = sentAtMs
             liveKeyModRevision = result.revision
             log.info("lease {} granted: this controller is live", granted)
             return
         }
         state.revoke(granted)
-        val mayViewBeOutdated = result is TransactionResult.Failed || result is TransactionResult.Unknown
-        if (mayViewBeOutdated) refresh()
+        val mayCacheBeOutdated = result is TransactionResult.Failed || result is TransactionResult.Unknown
+        if (mayCacheBeOutdated) refresh()
         delay(retryDelay.nextMs())
     }
 
     /**
-     * Writes the live key on the condition that it has not changed. Without the condition a copy of the request that is carried
-     * out late, perhaps one of a former process, would tie the key to a lease that nobody renews: the key would disappear while
-     * this controller relies on its newer lease. When the outcome is unknown the lease is revoked, and a write that is carried
-     * out after that finds no lease.
+     * Writes the live key on the condition that it has not changed since this controller last read it.
+     *
+     * A delayed copy of the request, perhaps one of an earlier process of this host, may reach the state store late.
+     * Without the condition it would bind the key to a lease that nobody renews. The key would then be deleted while
+     * this controller relies on its newer lease. If the outcome is unknown, [obtain] revokes the lease, and the state
+     * store rejects a write that arrives after that because its lease does not exist.
      */
     private suspend fun writeLiveKey(lease: Long): TransactionResult =
         state.transact(1, Urgency.LEASE) {
@@ -107,11 +119,11 @@
         }
 
     private suspend fun renew(held: Long) {
-        val sentAt = nowMs()
+        val sentAtMs = nowMs()
         when (state.renew(held)) {
             RenewalResult.RENEWED -> {
-                provenAt = sentAt
-                delay(settings.liveMs / RENEWALS_PER_LIVE_TIME)
+                lastProofSentAtMs = sentAtMs
+                delay(settings.liveMs / RENEWALS_PER_TTL)
             }
             RenewalResult.EXPIRED -> {
                 log.info("lease {} expired", held)
@@ -122,8 +134,10 @@
     }
 
     /**
-     * The lease ends here before it ends at the state store: from this line on nothing is answered from memory. Writes under way
-     * are conditional on the shards' revisions, which the next leader changes.
+     * Gives up the lease because other controllers reach the workers and this one does not. Clears [id] before the
+     * lease ends at the state store, so that this controller stops answering from memory before another one can acquire
+     * its shards. Writes in flight are safe: they are conditional on the shards' revisions, which the next leader
+     * changes.
      */
     private suspend fun stepDown(held: Long) {
         log.info("lease {} given up: other controllers reach the workers and this one does not", held)
@@ -132,10 +146,12 @@
     }
 
     private companion object {
-        /** A lease counts as held for this part of its time, which leaves room for clocks of different speed. */
+        /** A lease counts as held for this percentage of its time to live. The rest is a margin for clock drift. */
         const val SAFE_PERCENT = 97
         const val PERCENT = 100
-        const val RENEWALS_PER_LIVE_TIME = 4
-        const val FIRST_VIEW_POLLS = 200
+        const val RENEWALS_PER_TTL = 4
+
+        /** How often per time to live it is checked whether the shared keys have been read for the first time. */
+        const val FIRST_VIEW_POLLS_PER_TTL = 200
     }
 }
--- a/src/main/kotlin/micatally/membership/FencingToken.kt
+++ b/src/main/kotlin/micatally/membership/FencingToken.kt
@@ -5,12 +5,12 @@
 import kotlinx.serialization.json.put
 import micatally.wire.longOrNull
 
-/** Stored form of the fencing token, the value of [Keys.FENCING_TOKEN]. */
+/** Encodes and decodes the fencing token as it is stored under [Keys.FENCING_TOKEN]. */
 internal object FencingToken {
     private const val NUMBER = "n"
 
     fun encode(token: Long): JsonObject = buildJsonObject { put(NUMBER, token) }
 
-    /** The stored token; null if the value names none. */
+    /** Returns the stored token, or null if [value] has no such field. */
     fun decode(value: JsonObject): Long? = value.longOrNull(NUMBER)
 }
--- a/src/main/kotlin/micatally/membership/FencingTokenWriter.kt
+++ b/src/main/kotlin/micatally/membership/FencingTokenWriter.kt
@@ -16,10 +16,10 @@
     private val log = LoggerFactory.getLogger("micatally.membership")
 
     /**
-     * Raises the token by one. A command sent with a lower token can no longer be carried out where the new one is known.
+     * Raises the token by one. A worker that knows the new token refuses commands that carry a lower one.
      *
-     * @param why for the log
-     * @return whether it was raised; false also when that is unknown
+     * @param why the reason for the log
+     * @return true if the token was raised; false if it was not or if the outcome is unknown
      */
     suspend fun raise(why: String): Boolean {
         val result =
--- a/src/main/kotlin/micatally/membership/Keys.kt
+++ b/src/main/kotlin/micatally/membership/Keys.kt
@@ -1,55 +1,60 @@
 package micatally.membership
 
 /**
- * The keys of the state store. The shared keys, of which every controller keeps a copy, lie under one prefix, [PREFIX], so that
- * one watch shows all that decisions rest on at one revision.
+ * The keys of the state store.
+ *
+ * The shared keys are those under [PREFIX]. Every controller keeps a copy of them and decides by it. They have one
+ * prefix so that a single watch covers all of them, and the copy shows all of them at the same revision.
  */
 object Keys {
     /** Prefix of the shared keys. */
     const val PREFIX = "c/"
 
-    /** The newest fencing token. */
+    /** The current fencing token. */
     const val FENCING_TOKEN = "c/epoch"
 
-    /** The controller that manages the fleet. */
+    /** The controller that is the fleet manager. */
     const val FLEET = "c/fleet"
 
-    /** The newest version of the stored forms that may be written. */
+    /** The newest format of stored values that may be written; see [micatally.upgrade.FormatVersion]. */
     const val FORMAT = "c/format"
 
-    /** Prefix: the version of the stored forms that each host has announced. */
+    /** Prefix: the format of stored values that each host has announced. */
     const val VERSION = "c/version/"
 
     /** Prefix: the leader of each shard. */
     const val SHARD = "c/ledger/"
 
-    /** Prefix: the hosts whose controller has a lease. */
+    /** Prefix: the live keys, one for each host whose controller has a lease. */
     const val LIVE = "c/live/"
 
     /** Prefix: each team's allotments. */
     const val TEAM = "c/team/"
 
-    /** Prefix: machines that are deleted, whose tasks have therefore ended. */
+    /** Prefix: deleted machines. All tasks that ran on them have ended. */
     const val DELETED_MACHINE = "c/gone/"
 
-    /** Prefix: machines that are being scaled out. */
+    /** Prefix: the scale-out requests, each with the machines that it provisions. */
     const val PROVISIONING = "c/rent/"
 
     /** Prefix: the cancelled tasks of each job. */
     const val CANCELLED_TASKS = "c/kill/"
 
-    /** Prefix: machines that are being drained. */
+    /** Prefix: machines under eviction. */
     const val DRAIN = "c/drain/"
 
-    /** Prefix: the hosts that look for records of finished jobs under [FINAL] too. */
+    /** Prefix: the hosts that have announced that they look for records of finished jobs under [FINAL] too. */
     const val ARCHIVE = "c/archive/"
 
-    /** The head of the stored configuration. The rest lies apart and is read when the head has changed. */
+    /**
+     * The head of the stored configuration, which names its version. The contents are stored under other keys and are
+     * read when the head has changed.
+     */
     const val CONFIG = "c/config"
 
     /**
-     * Prefix of the summaries. It is not under [PREFIX]: summaries are by far the larger part, and a controller that has only
-     * just started can answer workers without them.
+     * Prefix of the summaries. It is not under [PREFIX], because summaries are much larger than the shared keys, and a
+     * controller that has just started can answer workers without them.
      */
     const val SUMMARIES = "s/"
 
@@ -59,19 +64,19 @@
     /** Prefix: heartbeat acknowledgements. */
     const val HEARTBEATS = "s/heard/"
 
-    /** Prefix: the records of jobs. */
+    /** Prefix: the job records, except those that were archived. */
     const val JOB = "job/"
 
     /** Prefix: the archived records of finished jobs. */
     const val FINAL = "final/"
 
     /**
-     * Prefix: what does not fit in the value of a job's record. It is not under [JOB], where the previous version of the program
-     * would read it as a record.
+     * Prefix: the overflow values of job records that do not fit in one value. It is not under [JOB], because a program
+     * that only knows [micatally.upgrade.FormatVersion.FIRST] would read an overflow value there as a record.
      */
     const val JOB_PART = "part/"
 
-    /** The cloud's machine types as last read. */
+    /** The machine types as last read from the cloud. */
     const val MACHINE_TYPES = "flavors"
 
     /** Prefix: the changes of the stored configuration, by version. */
@@ -80,34 +85,38 @@
     /** Prefix: the snapshots of the stored configuration, by version. */
     const val CONFIG_SNAPSHOT = "config/snapshot/"
 
-    /** Versions are padded, so that keys sort like them. */
+    /** Versions are padded with zeros, so that the order of the keys is that of the versions. */
     private const val VERSION_FORMAT = "%012d"
 
-    /** The change that made [version] of the configuration. */
+    /** The configuration change that led to [version]. */
     fun configChange(version: Long) = CONFIG_CHANGE + VERSION_FORMAT.format(version)
 
     /** Prefix of the values of one snapshot. */
     fun configSnapshot(version: Long) = CONFIG_SNAPSHOT + VERSION_FORMAT.format(version) + "/"
 
-    /** Prefix of the values that hold the teams of a large change. */
+    /**
+     * Prefix of the values that hold the teams of a configuration change which is too large for one value.
+     *
+     * @param stage identifies the change; its parts are written before the change itself
+     */
     fun configPart(stage: String) = "config/part/$stage/"
 
-    /** The record of a job. */
+    /** The record of the job [jobId]. */
     fun job(jobId: String) = JOB + jobId
 
-    /** The archived record of a finished job. */
+    /** The archived record of the finished job [jobId]. */
     fun final(jobId: String) = FINAL + jobId
 
     /** The announcement that [host] looks for records of finished jobs under [FINAL] too. */
     fun archive(host: String) = ARCHIVE + host
 
-    /** One further value of a job's record. */
+    /** The overflow value number [index] of a job record. */
     fun jobPart(
         jobId: String,
         index: Int,
     ) = "$JOB_PART$jobId/$index"
 
-    /** One further value of a job's list of cancelled tasks. */
+    /** The overflow value number [index] of a job's list of cancelled tasks. */
     fun cancelledTasksPart(
         jobId: String,
         index: Int,
@@ -116,15 +125,15 @@
     /** The leader of the shard [name]. */
     fun shard(name: String) = SHARD + name
 
-    /** The live key of [host]. */
+    /** The live key of [host]; see [LIVE]. */
     fun live(host: String) = LIVE + host
 
-    /** The cancelled tasks of a job. */
+    /** The cancelled tasks of the job [jobId]. */
     fun cancelledTasks(jobId: String) = CANCELLED_TASKS + jobId
 
     /** The allotments of the team [name]. */
     fun team(name: String) = TEAM + name
 
-    /** The version of the stored forms that [host] has announced. */
+    /** The format of stored values that [host] has announced. */
     fun version(host: String) = VERSION + host
 }
--- a/src/main/kotlin/micatally/membership/Leadership.kt
+++ b/src/main/kotlin/micatally/membership/Leadership.kt
@@ -3,7 +3,10 @@
 import micatally.settings.Settings
 import org.slf4j.LoggerFactory
 
-/** This controller's right to act, as far as it follows from the time since it last had proof of contact. */
+/**
+ * Decides whether this controller may answer heartbeats ([state]) and start tasks ([mayStartTasks]). Both depend on the
+ * time since it was last sure to know all cancellations, from the shared keys or from its peers.
+ */
 internal class Leadership(
     private val settings: Settings,
     private val sharedKeys: SharedKeyCache,
@@ -13,41 +16,54 @@
     private val log = LoggerFactory.getLogger("micatally.membership")
     private var hasStarted = false
 
-    /** When the last request left whose answer proved the view of the shared keys. */
-    private var viewProvenAt = Long.MIN_VALUE / 2
+    /**
+     * When the last request was sent whose answer brought the shared keys up to date, in ms on this controller's clock.
+     * The copy of the shared keys contains every change made before this time.
+     */
+    private var viewProvenAtMs = Long.MIN_VALUE / 2
 
+    /** The leadership as of the last [check]. */
     var state = LeadershipState.STARTING
         private set
 
-    /** Up to this time this controller is sure to know every cancellation that has been confirmed to a user. */
-    private val cancellationsKnownAt get() = maxOf(viewProvenAt, conditions.peersConfirmedAt())
+    /**
+     * This controller is sure to know every cancellation that was published before this time, in ms on its clock: from
+     * the shared keys or from all its peers, whichever time is later.
+     */
+    private val cancellationsKnownUntilMs get() = maxOf(viewProvenAtMs, conditions.peersConfirmedAt())
 
-    /** Time since the view of the shared keys was last proven, in milliseconds. */
-    val viewAgeMs get() = nowMs() - viewProvenAt
+    /** The time since the copy of the shared keys was last proven to be up to date, in ms. */
+    val viewAgeMs get() = nowMs() - viewProvenAtMs
 
     /**
-     * Whether a task may be started now. A cancellation that this controller neither sees in its view nor has confirmed with its
-     * peers was published after [cancellationsKnownAt], and its user gets the confirmation [Settings.cancellationDelayMs] after
-     * that at the earliest. Starts end before then, so no task is started after the confirmation of its cancellation.
+     * Whether a task may be started now.
+     *
+     * No task may be started after its cancellation has been confirmed to the user. A cancellation that this controller
+     * does not know was published after [cancellationsKnownUntilMs], and its user gets the confirmation
+     * [Settings.cancellationDelayMs] later at the earliest. [Settings.startBoundMs] is shorter than that delay, so this
+     * controller has stopped starting tasks by then.
      */
     val mayStartTasks
-        get() = nowMs() - cancellationsKnownAt < settings.startBoundMs && conditions.mayStartTasks(viewAgeMs)
+        get() = nowMs() - cancellationsKnownUntilMs < settings.startBoundMs && conditions.mayStartTasks(viewAgeMs)
 
-    /** The view of the shared keys contains every change made before this time. */
+    /** Called when the copy of the shared keys is known to contain every change made before [atMs]. */
     fun viewProven(atMs: Long) {
-        viewProvenAt = maxOf(viewProvenAt, atMs)
+        viewProvenAtMs = maxOf(viewProvenAtMs, atMs)
     }
 
-    /** Leaves [LeadershipState.STARTING]: this controller has a lease and a view of the shared keys. */
+    /**
+     * Leaves [LeadershipState.STARTING]. Called once, when this controller has a lease and has read the shared keys for
+     * the first time.
+     */
     fun begin() {
         hasStarted = true
         check()
     }
 
-    /** Brings [state] up to date with the clock, as leadership expires by time alone, and returns it. */
+    /** Updates [state] and returns it. To be called before each use, since leadership expires with time alone. */
     fun check(): LeadershipState {
         if (!hasStarted) return state
-        val isExpired = nowMs() - cancellationsKnownAt > settings.leadershipMs
+        val isExpired = nowMs() - cancellationsKnownUntilMs > settings.leadershipMs
         if (isExpired) {
             transitionTo(LeadershipState.EXPIRED, "no proof of state contact for ${settings.leadershipMs} ms")
         } else {
--- a/src/main/kotlin/micatally/membership/LeadershipState.kt
+++ b/src/main/kotlin/micatally/membership/LeadershipState.kt
@@ -2,12 +2,15 @@
 
 /** Whether this controller may answer workers' heartbeats. */
 enum class LeadershipState {
-    /** It has not yet had a lease and a view of the shared keys. */
+    /** It may not: it has not yet obtained its first lease and its first copy of the shared keys. */
     STARTING,
 
-    /** It may answer. */
+    /** It may. */
     LEADING,
 
-    /** It has had no proof of contact for [micatally.settings.Settings.leadershipMs]; it leads again with the next proof. */
+    /**
+     * It may not: for [micatally.settings.Settings.leadershipMs] it had no proof of contact with the state store, nor
+     * with all its peers. It leads again after the next proof.
+     */
     EXPIRED,
 }
--- a/src/main/kotlin/micatally/membership/LiveController.kt
+++ b/src/main/kotlin/micatally/membership/LiveController.kt
@@ -11,15 +11,15 @@
 /**
  * The value of a controller's live key.
  *
- * @property process names one process of the host, so that a restarted controller does not take its predecessor's entries for
- * its own
+ * @property process identifies this process. A restarted controller has another one, so that it does not take the
+ * entries of the earlier process for its own
  * @property movesRecords whether this process moves finished jobs' records to the archive
  */
 internal class LiveController(
     val process: String,
     private val movesRecords: Boolean,
 ) {
-    /** The stored form. It also names the newest format that this program reads; see [UpgradePlan]. */
+    /** Returns the value to store. It also holds the newest format that this program reads; see [UpgradePlan]. */
     fun encode(): JsonObject =
         buildJsonObject {
             put(PROCESS, process)
@@ -30,7 +30,7 @@
     companion object {
         private const val PROCESS = "process"
 
-        /** The process that wrote [value]. */
+        /** Returns the process that wrote [value], or null if the value does not name it. */
         fun processOf(value: JsonObject): String? = value.textOrNull(PROCESS)
     }
 }
--- a/src/main/kotlin/micatally/membership/Membership.kt
+++ b/src/main/kotlin/micatally/membership/Membership.kt
@@ -9,11 +9,11 @@
 import kotlin.random.Random
 
 /**
- * This controller as a member of the group: its lease at the state store, its view of the shared keys, and the shards that it
- * leads. The parts are [ControllerLease], [SharedKeyWatcher], [Leadership], [ShardAcquisition],
- * [ShardFailover], [FencingTokenWriter] and [CatchUp].
+ * This controller's membership in the group of controllers: its lease at the state store, its copy of the shared keys,
+ * and the shards that it leads. The parts are [ControllerLease], [SharedKeyWatcher], [Leadership],
+ * [ShardAcquisition], [ShardFailover], [FencingTokenWriter] and [CatchUp].
  *
- * All members are to be used on the controller's thread only.
+ * Not thread-safe: to be used on the controller's thread only.
  *
  * @param movesRecords whether this process moves finished jobs' records to the archive, as its live key announces
  */
@@ -27,7 +27,7 @@
     conditions: MembershipConditions,
     private val listener: MembershipListener,
 ) {
-    /** Names this process, so that a restarted controller does not take its predecessor's entries for its own. */
+    /** Identifies this process; see [LiveController.process]. */
     val process: String = java.lang.Long.toString(random.nextLong(1, Long.MAX_VALUE), PROCESS_NAME_RADIX)
 
     /** The copy of the keys under [Keys.PREFIX]. */
@@ -37,7 +37,7 @@
     val summaries = SharedKeyCache()
 
     private val retryDelay = RetryDelay(settings.liveMs, random)
-    private val leadershipClock = Leadership(settings, sharedKeys, conditions, nowMs)
+    private val leadershipMonitor = Leadership(settings, sharedKeys, conditions, nowMs)
     private val controllerLease =
         ControllerLease(
             settings,
@@ -71,9 +71,9 @@
             retryDelay,
             nowMs,
         ) { changed, _ -> if (changed.isNotEmpty()) listener.summariesChanged(changed) }
-    private val shards = ShardAcquisition(settings.host, process, state, sharedKeys, ::refresh)
+    private val shardAcquisition = ShardAcquisition(settings.host, process, state, sharedKeys, ::refresh)
     private val failover =
-        ShardFailover(settings, sharedKeys, shards, controllerLease, leadershipClock, random, nowMs)
+        ShardFailover(settings, sharedKeys, shardAcquisition, controllerLease, leadershipMonitor, random, nowMs)
     private val fencingTokenWriter = FencingTokenWriter(state, sharedKeys)
     private val catchUp = CatchUp(scope, sharedKeys, retryDelay, ::refresh)
 
@@ -81,37 +81,43 @@
     val lease: Long? get() = controllerLease.id
 
     /** The leadership as of the last check; see [checkLeadership]. */
-    val leadership: LeadershipState get() = leadershipClock.state
+    val leadership: LeadershipState get() = leadershipMonitor.state
 
-    /** Whether a task may be started now, as far as cancellations and the configuration are concerned. */
-    val mayStart: Boolean get() = leadershipClock.mayStartTasks
+    /** Whether cancellations and the configuration permit starting tasks now; see [Leadership.mayStartTasks]. */
+    val mayStart: Boolean get() = leadershipMonitor.mayStartTasks
 
-    /** Time since the view of the shared keys was last proven, in milliseconds. */
-    val viewAgeMs: Long get() = leadershipClock.viewAgeMs
+    /** The time since the copy of the shared keys was last proven to be up to date, in ms. */
+    val viewAgeMs: Long get() = leadershipMonitor.viewAgeMs
 
-    /** Brings [leadership] up to date with the clock and returns it. */
-    fun checkLeadership(): LeadershipState = leadershipClock.check()
+    /** Updates [leadership], which expires with time alone, and returns it. */
+    fun checkLeadership(): LeadershipState = leadershipMonitor.check()
 
-    /** True while no other controller can have acquired this one's shards: its lease cannot have expired at the state store. */
+    /**
+     * Whether this controller's lease is certainly still valid at the state store. While this is true, no other
+     * controller can have acquired this one's shards.
+     */
     fun leaseHolds(): Boolean = controllerLease.holds()
 
-    /** Whether this process leads [shard], as far as its view of the shared keys shows. */
-    fun holds(shard: String): Boolean = shards.isLeader(shard)
+    /** Whether this process leads [shard] according to its copy of the shared keys. */
+    fun holds(shard: String): Boolean = shardAcquisition.isLeader(shard)
 
-    /** Starts all loops. To be called once, when the listener is ready for events. */
+    /** Starts the background coroutines. To be called once, when [listener] is ready for events. */
     fun start() {
         scope.launch { controllerLease.run() }
         scope.launch { sharedKeyWatcher.run() }
-        scope.launch { lead() }
+        scope.launch { startLeading() }
     }
 
     /**
-     * Leadership does not wait for this controller's own shard: when all controllers start at once it may take a while to
-     * acquire it, and the workers' leases must not expire meanwhile.
+     * Waits for a lease and the first copy of the shared keys, begins the leadership, then acquires shards. Never
+     * returns.
+     *
+     * Leadership begins before this controller has acquired its own shard: when all controllers start at once, that may
+     * take a while, and the workers' leases must not expire meanwhile.
      */
-    private suspend fun lead() {
-        while (sharedKeys.revision < 0 || lease == null) delay(settings.liveMs / START_POLLS_PER_LIVE_TIME)
-        leadershipClock.begin()
+    private suspend fun startLeading() {
+        while (sharedKeys.revision < 0 || lease == null) delay(settings.liveMs / START_POLLS_PER_TTL)
+        leadershipMonitor.begin()
         scope.launch { summaryWatcher.run() }
         failover.run()
     }
@@ -120,16 +126,19 @@
     suspend fun acquire(
         shard: String,
         why: String,
-        former: ShardLeader? = null,
-    ): Boolean = shards.acquire(shard, why, former)
+        previousLeader: ShardLeader? = null,
+    ): Boolean = shardAcquisition.acquire(shard, why, previousLeader)
 
     /** Raises the fencing token alone; see [FencingTokenWriter.raise]. */
     suspend fun raiseFencingToken(why: String): Boolean = fencingTokenWriter.raise(why)
 
-    /** Reads the shared keys again because a worker knows a higher fencing token, then runs [then]; see [CatchUp.request]. */
-    fun catchUp(then: () -> Unit) = catchUp.request(then)
+    /**
+     * Reads the shared keys again because a worker knows a higher fencing token, then runs [continuation]. Returns at
+     * once; see [CatchUp.request].
+     */
+    fun catchUp(continuation: () -> Unit) = catchUp.request(continuation)
 
-    /** Reads the shared keys again. Returns when they are up to date, or when the state store did not answer. */
+    /** Reads the shared keys again. Returns when the copy is up to date or when the read has failed. */
     suspend fun refresh() {
         sharedKeyWatcher.refresh()
     }
@@ -138,15 +147,15 @@
         changed: Set<String>,
         provenAtMs: Long,
     ) {
-        leadershipClock.viewProven(provenAtMs)
+        leadershipMonitor.viewProven(provenAtMs)
         controllerLease.checkLiveKey()
         if (changed.isNotEmpty()) listener.sharedKeysChanged(changed)
-        leadershipClock.check()
+        leadershipMonitor.check()
     }
 
     private companion object {
         const val PROCESS_NAME_RADIX = 36
         const val SHARED_KEY_WATCHES_PER_LEASE = 10
-        const val START_POLLS_PER_LIVE_TIME = 200
+        const val START_POLLS_PER_TTL = 200
     }
 }
--- a/src/main/kotlin/micatally/membership/RetryDelay.kt
+++ b/src/main/kotlin/micatally/membership/RetryDelay.kt
@@ -2,17 +2,22 @@
 
 import kotlin.random.Random
 
-/** Randomised pauses before a request to the state store is repeated, so that the controllers do not retry in step. */
+/**
+ * Random delays before a request to the state store is retried. They are random so that the controllers do not all
+ * retry at the same time.
+ *
+ * @param liveMs the time to live of a controller's lease, in ms
+ */
 internal class RetryDelay(
     liveMs: Long,
     private val random: Random,
 ) {
-    private val shortestMs = liveMs / PAUSES_PER_LIVE_TIME
+    private val shortestMs = liveMs / DELAYS_PER_TTL
 
-    /** Draws the next pause, in milliseconds. */
+    /** Returns a delay in ms, from 1/32 up to 1/16 of the time to live. */
     fun nextMs(): Long = shortestMs + random.nextLong(shortestMs)
 
     private companion object {
-        const val PAUSES_PER_LIVE_TIME = 32
+        const val DELAYS_PER_TTL = 32
     }
 }
--- a/src/main/kotlin/micatally/membership/ShardAcquisition.kt
+++ b/src/main/kotlin/micatally/membership/ShardAcquisition.kt
@@ -9,9 +9,9 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Acquires shards for one process of a controller.
+ * Acquires shards for this process.
  *
- * @param process see [LiveController.process]
+ * @param process identifies this process; see [LiveController.process]
  * @param refresh reads the shared keys again
  */
 internal class ShardAcquisition(
@@ -23,18 +23,20 @@
 ) {
     private val log = LoggerFactory.getLogger("micatally.membership")
 
-    /** Whether this process leads [shard], as far as the copy of the shared keys shows. */
+    /** Whether this process leads [shard] according to its copy of the shared keys. */
     fun isLeader(shard: String): Boolean {
         val leader = sharedKeys.leader(shard) ?: return false
         return leader.host == host && leader.process == process
     }
 
     /**
-     * Whether the leader's process has ended: its host has no live key, or the live key is that of another process, which does
-     * not know that the former one had acquired this shard. A host's own shard is left to its new process, which acquires it at
+     * Whether [shard] is orphaned: the process of its [leader] has lost its lease or has ended. The host then has no
+     * live key, or its live key is that of a newer process, which does not know that the earlier one led this shard.
+     *
+     * A host's own shard is not orphaned while a newer process of the host is live, since that process acquires it at
      * its start.
      */
-    fun isOrphan(
+    fun isOrphaned(
         shard: String,
         leader: ShardLeader,
     ): Boolean {
@@ -43,30 +45,31 @@
     }
 
     /**
-     * Acquires [shard] and raises the fencing token in one transaction. Its conditions are that neither has changed, and that the
-     * [former] leader has not come back. The latter has to hold however late the transaction is carried out, since a leader that
-     * came back answers from memory again.
+     * Acquires [shard] and raises the fencing token in one transaction. The transaction is conditional on the revisions
+     * of both keys. If a [previousLeader] is given, it is also conditional on that leader's live key: the
+     * transaction may be applied late, and by then the leader may be live again and answer from memory.
      *
-     * @param why for the log
-     * @param former the leader that was found dead. The condition on the shard is the revision of that finding, not the one at
-     * the time of the write: by then another controller, which lives, may have acquired the shard
+     * @param why the reason for the log
+     * @param previousLeader the leader that was found dead, null if this controller acquires its own shard. The shard
+     * is acquired only if its revision is still [ShardLeader.modRevision] of this leader: while the transaction waits
+     * to be sent, another live controller may acquire the shard
      * @return whether this process leads the shard now
      */
     suspend fun acquire(
         shard: String,
         why: String,
-        former: ShardLeader? = null,
+        previousLeader: ShardLeader? = null,
     ): Boolean {
         var fencingToken = 0L
         val result =
             state.transact(2, Urgency.LEASE) {
-                if (former != null && !isStillOrphan(shard, former)) return@transact null
+                if (previousLeader != null && !isStillOrphaned(shard, previousLeader)) return@transact null
                 fencingToken = sharedKeys.fencingToken + 1
-                acquisition(shard, former, fencingToken)
+                acquisitionTransaction(shard, previousLeader, fencingToken)
             }
         if (result !is TransactionResult.Applied) {
             log.info("shard {} not acquired ({}): {}", shard, why, result::class.simpleName)
-            // Either the view that the conditions came from was outdated, or the outcome is unknown: read it again.
+            // The conditions may have come from an outdated copy, or the outcome is unknown: read the keys again.
             refresh()
             return isLeader(shard)
         }
@@ -75,17 +78,19 @@
         return isLeader(shard)
     }
 
-    private fun isStillOrphan(
+    private fun isStillOrphaned(
         shard: String,
-        former: ShardLeader,
-    ): Boolean = former.modRevision == sharedKeys.modRevision(Keys.shard(shard)) && isOrphan(shard, former)
+        previousLeader: ShardLeader,
+    ): Boolean =
+        previousLeader.modRevision == sharedKeys.modRevision(Keys.shard(shard)) && isOrphaned(shard, previousLeader)
 
-    private fun acquisition(
+    private fun acquisitionTransaction(
         shard: String,
-        former: ShardLeader?,
+        previousLeader: ShardLeader?,
         fencingToken: Long,
     ): Transaction {
-        val comparedKeys = listOfNotNull(Keys.FENCING_TOKEN, Keys.shard(shard), former?.let { Keys.live(it.host) })
+        val comparedKeys =
+            listOfNotNull(Keys.FENCING_TOKEN, Keys.shard(shard), previousLeader?.let { Keys.live(it.host) })
         return Transaction(
             comparedKeys.map { Compare(it, sharedKeys.modRevision(it)) },
             listOf(
--- a/src/main/kotlin/micatally/membership/ShardFailover.kt
+++ b/src/main/kotlin/micatally/membership/ShardFailover.kt
@@ -4,7 +4,7 @@
 import micatally.settings.Settings
 import kotlin.random.Random
 
-/** Decides when to acquire this controller's own shard, and the shards of controllers whose lease has expired. */
+/** Decides when this controller acquires its own shard, and the orphaned shards of other controllers. */
 internal class ShardFailover(
     private val settings: Settings,
     private val sharedKeys: SharedKeyCache,
@@ -14,22 +14,30 @@
     private val random: Random,
     private val nowMs: () -> Long,
 ) {
-    /** How long a controller watches an orphaned shard before it acquires it. */
-    private val orphanDelayMs = settings.liveMs / CHECKS_PER_LIVE_TIME
+    /** The shortest time for which a shard must have been seen orphaned before it is acquired, in ms. */
+    private val orphanDelayMs = settings.liveMs / CHECKS_PER_TTL
 
-    /** Since when a shard has been seen without a live leader, plus a random offset that keeps the controllers apart. */
+    /**
+     * By shard: when it was first seen orphaned, plus a random offset of up to [orphanDelayMs]. The offset prevents all
+     * controllers from trying to acquire the shard at the same time.
+     */
     private val orphanedSince = HashMap<String, Long>()
+
+    /** When this process first saw that it does not lead its own shard any more; null while it leads the shard. */
     private var ownShardLostAt: Long? = null
 
-    /** Acquires this controller's own shard, then looks after all shards; does not return. To be called with a lease. */
+    /**
+     * Acquires this controller's own shard, then checks all shards periodically. Never returns. To be called when this
+     * controller has a lease.
+     */
     suspend fun run() {
         while (!acquisition.acquire(settings.host, "start")) {
             delay(
-                random.nextLong(settings.liveMs / START_RETRIES_PER_LIVE_TIME),
+                random.nextLong(settings.liveMs / START_RETRIES_PER_TTL),
             )
         }
         while (true) {
-            delay(settings.liveMs / CHECKS_PER_LIVE_TIME)
+            delay(settings.liveMs / CHECKS_PER_TTL)
             val isViewOutdated = leadership.viewAgeMs > settings.liveMs / 2
             if (!lease.holds() || isViewOutdated) {
                 orphanedSince.clear()
@@ -37,11 +45,14 @@
             }
             val now = nowMs()
             reacquireOwnShard(now)
-            acquireOrphans(now)
+            acquireOrphanedShards(now)
         }
     }
 
-    /** A shard that was lost while this controller was cut off is acquired again after half a lease of steady contact. */
+    /**
+     * Acquires this controller's own shard again if another controller acquired it while this one was cut off. Waits
+     * until half the time to live of a lease has passed since the loss was seen.
+     */
     private suspend fun reacquireOwnShard(now: Long) {
         if (acquisition.isLeader(settings.host)) {
             ownShardLostAt = null
@@ -53,10 +64,10 @@
         acquisition.acquire(settings.host, "lost while cut off")
     }
 
-    private suspend fun acquireOrphans(now: Long) {
+    private suspend fun acquireOrphanedShards(now: Long) {
         for (shard in sharedKeys.shards()) {
             val leader = sharedKeys.leader(shard) ?: continue
-            if (!acquisition.isOrphan(shard, leader)) {
+            if (!acquisition.isOrphaned(shard, leader)) {
                 orphanedSince.remove(shard)
                 continue
             }
@@ -69,8 +80,14 @@
     }
 
     private companion object {
-        /** At a common start of all controllers each raises the fencing token, so most attempts fail and are repeated soon. */
-        const val START_RETRIES_PER_LIVE_TIME = 50
-        const val CHECKS_PER_LIVE_TIME = 16
+        /**
+         * A lease's time to live divided by this number is the longest delay before a failed acquisition of the own
+         * shard is retried. It is short because most attempts fail when all controllers start at once: each acquisition
+         * raises the fencing token, and the others are conditional on the token.
+         */
+        const val START_RETRIES_PER_TTL = 50
+
+        /** How often per time to live of a lease the shards are checked. */
+        const val CHECKS_PER_TTL = 16
     }
 }
--- a/src/main/kotlin/micatally/membership/ShardLeader.kt
+++ b/src/main/kotlin/micatally/membership/ShardLeader.kt
@@ -7,11 +7,12 @@
 import micatally.wire.textOrNull
 
 /**
- * The controller that leads a shard, as stored under the shard's key.
+ * The leader of a shard, as stored under the shard's key.
  *
- * @property process the process of [host] that acquired the shard
- * @property fencingToken the fencing token at which it was acquired
- * @property modRevision the key's revision. Each acquisition changes it, so it identifies the leader's term
+ * @property process the process of [host] that acquired the shard; see [LiveController.process]
+ * @property fencingToken the fencing token to which the acquisition raised it
+ * @property modRevision the revision of the shard's key. Each acquisition changes it, so it identifies the leader's
+ * term
  */
 class ShardLeader(
     val host: String,
--- a/src/main/kotlin/micatally/membership/SharedKeyCache.kt
+++ b/src/main/kotlin/micatally/membership/SharedKeyCache.kt
@@ -5,18 +5,24 @@
 import micatally.state.Listing
 import micatally.state.WatchEvents
 
-/** This controller's copy of the keys under one prefix of the state store, always as of one revision. */
+/** This controller's copy of the keys under one prefix of the state store. */
 class SharedKeyCache {
     private val items = HashMap<String, KeyValue>()
 
-    /** The state store's revision that the copy shows; negative before the first listing. */
+    /**
+     * The revision of the state store that the copy shows: it contains every change up to that revision. Negative
+     * before the first listing.
+     */
     var revision = -1L
         private set
 
-    /** The newest fencing token in this copy; 0 before the first one. */
+    /** The fencing token in this copy; 0 if there is none yet. */
     val fencingToken: Long get() = value(Keys.FENCING_TOKEN)?.let { FencingToken.decode(it) } ?: 0L
 
-    /** The revision at which [key] was last written; 0 if it does not exist, as the conditions of a transaction want it. */
+    /**
+     * The revision at which [key] was last written; 0 if it does not exist. The conditions of a transaction use the
+     * same numbers; see [micatally.state.Compare].
+     */
     fun modRevision(key: String): Long = items[key]?.modRevision ?: 0L
 
     /** The value of [key], or null if it does not exist. */
@@ -43,7 +49,7 @@
     /** The process of [host] that has a lease, or null if there is none. */
     fun liveProcess(host: String): String? = value(Keys.live(host))?.let { LiveController.processOf(it) }
 
-    /** Replaces the copy by [listing] unless that is older; returns the keys that differ. */
+    /** Replaces the copy by [listing], unless the listing is older. Returns the keys that changed. */
     fun load(listing: Listing): Set<String> {
         if (listing.revision < revision) return emptySet()
         val listed = listing.items.associateBy { it.key }
@@ -60,10 +66,10 @@
         return changed
     }
 
-    /** Takes in the events of a watch, except for those that the copy already contains; returns the keys that changed. */
-    fun apply(news: WatchEvents): Set<String> {
+    /** Applies the events of a watch, except those that the copy already contains. Returns the keys that changed. */
+    fun apply(answer: WatchEvents): Set<String> {
         val changed = HashSet<String>()
-        for (event in news.events) {
+        for (event in answer.events) {
             val isKnown = event.modRevision <= revision && modRevision(event.key) >= event.modRevision
             if (isKnown) continue
             val value = event.value
@@ -74,7 +80,7 @@
             }
             changed.add(event.key)
         }
-        if (news.revision > revision) revision = news.revision
+        if (answer.revision > revision) revision = answer.revision
         return changed
     }
 }
--- a/src/main/kotlin/micatally/membership/SharedKeyWatcher.kt
+++ b/src/main/kotlin/micatally/membership/SharedKeyWatcher.kt
@@ -4,22 +4,23 @@
 import micatally.state.StateStoreClient
 import micatally.state.Urgency
 
-/** The keys that a [SharedKeyWatcher] watches, and how. */
+/** Which keys a [SharedKeyWatcher] watches, and the parameters of its requests. */
 internal class WatchedKeys(
     val prefix: String,
-    /** How long the state store may hold a watch open when nothing changes, in milliseconds. */
+    /** How long the state store may hold a watch open while nothing changes, in ms. */
     val holdMs: Long,
-    /** Watches leave at least this far apart, in milliseconds. */
+    /** The shortest time between the start of two watches, in ms. */
     val minIntervalMs: Long,
     val urgency: Urgency,
 )
 
 /**
- * Keeps [cache] a copy of the keys under a prefix: lists them once, then watches for changes, and lists them again when the
- * state store no longer keeps the history that a watch needs.
+ * Keeps [cache] up to date with the keys under a prefix. Lists the keys once, then watches them for changes. Lists them
+ * again when the state store no longer keeps the history that a watch needs.
  *
- * @param onUpdate called after each answer that the cache has taken in, also when nothing changed, with the keys that changed
- * and the time when the request left. The cache held every change that was made before that time.
+ * @param onUpdate called after each answer that was applied to the cache, also if nothing changed. Receives the keys
+ * that changed and the time when the request was sent, in ms. The cache contains every change that was made before that
+ * time
  */
 internal class SharedKeyWatcher(
     private val state: StateStoreClient,
@@ -30,9 +31,9 @@
     private val onUpdate: (changed: Set<String>, provenAtMs: Long) -> Unit,
 ) {
     private var needsListing = true
-    private var watchedAt = Long.MIN_VALUE / 2
+    private var lastWatchSentAtMs = Long.MIN_VALUE / 2
 
-    /** Keeps the copy up to date; does not return. */
+    /** Keeps the cache up to date. Never returns. */
     suspend fun run() {
         while (true) {
             val isAnswered = if (needsListing || cache.revision < 0) list() else watch()
@@ -40,11 +41,11 @@
         }
     }
 
-    /** Reads all keys now, whatever [run] is doing; returns whether the state store answered. */
+    /** Reads all keys now, independently of [run]. Returns whether the read succeeded. */
     suspend fun refresh(): Boolean {
-        val sentAt = nowMs()
+        val sentAtMs = nowMs()
         val listing = state.list(keys.prefix, keys.urgency) ?: return false
-        onUpdate(cache.load(listing), sentAt)
+        onUpdate(cache.load(listing), sentAtMs)
         return true
     }
 
@@ -56,23 +57,25 @@
 
     private suspend fun watch(): Boolean {
         awaitNextWatch()
-        val sentAt = nowMs()
-        watchedAt = sentAt
-        val news = state.watch(keys.prefix, cache.revision, keys.holdMs, keys.urgency) ?: return false
-        if (news.isCompacted) {
+        val sentAtMs = nowMs()
+        lastWatchSentAtMs = sentAtMs
+        val answer = state.watch(keys.prefix, cache.revision, keys.holdMs, keys.urgency) ?: return false
+        if (answer.isCompacted) {
             needsListing = true
         } else {
-            onUpdate(cache.apply(news), sentAt)
+            onUpdate(cache.apply(answer), sentAtMs)
         }
         return true
     }
 
     /**
-     * Each change ends the watches of all controllers. While changes come fast they are taken together: otherwise the watches
-     * alone would use up this controller's share of requests, and all its other reads and writes would wait behind them.
+     * Waits until [WatchedKeys.minIntervalMs] has passed since the last watch was sent. Each change ends the watches of
+     * all controllers. During frequent changes several of them are therefore read by one watch. Otherwise the watches
+     * alone would use up this controller's share of requests, and all its other reads and writes would wait behind
+     * them.
      */
     private suspend fun awaitNextWatch() {
-        val pauseMs = watchedAt + keys.minIntervalMs - nowMs()
-        if (pauseMs > 0) delay(pauseMs)
+        val remainingMs = lastWatchSentAtMs + keys.minIntervalMs - nowMs()
+        if (remainingMs > 0) delay(remainingMs)
     }
 }
