--- a/src/main/kotlin/micatally/state/KeyValue.kt
+++ b/src/main/kotlin/micatally/state/KeyValue.kt
@@ -5,7 +5,7 @@
 /**
  * A key of the state store with its value.
  *
- * @property modRevision the store's revision at which the key was last written
+ * @property modRevision the state store's revision at which the key was last written
  */
 class KeyValue(
     val key: String,
--- a/src/main/kotlin/micatally/state/Listing.kt
+++ b/src/main/kotlin/micatally/state/Listing.kt
@@ -1,6 +1,11 @@
 package micatally.state
 
-/** All keys under a prefix. A watch from [revision] on shows every change that [items] may lack. */
+/**
+ * All keys under a prefix.
+ *
+ * @property revision [items] contains every change up to this revision of the state store, and may contain later ones.
+ * A watch from this revision on returns all later changes
+ */
 class Listing(
     val items: List<KeyValue>,
     val revision: Long,
@@ -9,8 +14,9 @@
 /**
  * The end of one page of a listing.
  *
- * @property lastKey the next page begins behind this key; null: the page was empty
- * @property revision the state store's revision when it answered
+ * @property lastKey the last key of the page, after which the next page begins; null if the page was empty
+ * @property hasMore whether there is another page
+ * @property revision the state store's revision at the time of its answer
  */
 class PageEnd(
     val lastKey: String?,
--- a/src/main/kotlin/micatally/state/RateBudget.kt
+++ b/src/main/kotlin/micatally/state/RateBudget.kt
@@ -8,13 +8,14 @@
 import kotlin.coroutines.resume
 
 /**
- * A token bucket for this controller's share of a service's rate limit. Those who wait are served by urgency, then in order.
+ * A token bucket for this controller's share of a service's rate limit. Waiting calls are served by urgency, and in
+ * order of arrival within the same urgency.
  *
- * Load is uneven among the controllers. Urgent work may therefore also borrow from what the others leave of their shares, until
- * the service refuses it.
+ * The load of the controllers is uneven. Urgent requests may therefore also borrow tokens from the shares of the other
+ * controllers, which may not use them, until the service refuses such a request.
  *
- * @param perSecond this controller's share; one second's worth may be taken at once
- * @param borrowablePerSecond what may be borrowed beyond that
+ * @param perSecond this controller's share, in tokens a second. The bucket holds the tokens of one second
+ * @param borrowablePerSecond tokens a second that may be borrowed in addition
  */
 class RateBudget(
     private val scope: CoroutineScope,
@@ -34,25 +35,28 @@
     private val burst = maxOf(1.0, perSecond)
     private var tokens = burst
     private var borrowableTokens = borrowablePerSecond
-    private var refilledAt = nowMs()
-    private var noBorrowingUntil = Long.MIN_VALUE / 2
+    private var refilledAtMs = nowMs()
+    private var borrowingPausedUntilMs = Long.MIN_VALUE / 2
     private var isServing = false
 
-    /** How many wait; admission takes it as the measure of overload. */
+    /** The number of calls that wait for tokens. For writes, admission uses it as the measure of overload. */
     val waiting get() = queues.sumOf { it.size }
 
-    /** Suspends until [count] may be taken from this controller's own share. */
+    /** Takes [count] tokens from this controller's own share. Suspends until they are available. */
     suspend fun take(
         count: Int,
         urgency: Urgency,
     ) {
         if (count == 0) return
-        val startedAt = nowMs()
+        val startedAtMs = nowMs()
         await(count, urgency)
-        statistics.add(urgency, nowMs() - startedAt)
+        statistics.add(urgency, nowMs() - startedAtMs)
     }
 
-    /** Borrows [count] if that is possible and would save a wait, or else acts as [take]. Returns whether they are borrowed. */
+    /**
+     * Borrows [count] tokens if the request is urgent, would have to wait for the own share, and enough tokens may be
+     * borrowed. Otherwise acts like [take]. Returns whether the tokens were borrowed.
+     */
     suspend fun takeOrBorrow(
         count: Int,
         urgency: Urgency,
@@ -66,19 +70,28 @@
         return true
     }
 
-    /** To be called when the service refused what was borrowed: the other controllers use their shares. */
-    fun borrowingRefused() {
+    /**
+     * Stops borrowing for a while. To be called when the service has refused a request with borrowed tokens, which
+     * means that the other controllers use their shares themselves.
+     */
+    fun pauseBorrowing() {
         borrowableTokens = 0.0
-        noBorrowingUntil = nowMs() + NO_BORROWING_MS
+        borrowingPausedUntilMs = nowMs() + BORROWING_PAUSE_MS
     }
 
-    /** To be called when the service refused what was taken: by its count less is left than by this one's. */
+    /**
+     * Empties the bucket. To be called when the service has refused a request over its rate limit, which means that it
+     * has fewer tokens left than this bucket had counted.
+     */
     fun markExhausted() {
         refill()
         tokens = minOf(tokens, 0.0)
     }
 
-    /** For the log: how many took something since the last call, and how long they waited. See [WaitStatistics]. */
+    /**
+     * Returns a text for the log: how many calls took tokens since this function was last called, and how long they
+     * waited. See [WaitStatistics.describeAndReset].
+     */
     fun describeWaits(): String = statistics.describeAndReset()
 
     private fun borrow(
@@ -88,7 +101,7 @@
         refill()
         val isUrgent = urgency <= Urgency.INTENT
         val isOwnShareFree = waiting == 0 && tokens >= count
-        val isAvailable = borrowablePerSecond > 0 && borrowableTokens >= count && refilledAt >= noBorrowingUntil
+        val isAvailable = borrowablePerSecond > 0 && borrowableTokens >= count && refilledAtMs >= borrowingPausedUntilMs
         if (!isUrgent || isOwnShareFree || !isAvailable) return false
         borrowableTokens -= count
         return true
@@ -99,7 +112,7 @@
         urgency: Urgency,
     ) {
         refill()
-        if (waiting == 0 && tokens >= needed(count)) {
+        if (waiting == 0 && tokens >= requiredTokens(count)) {
             tokens -= count
             return
         }
@@ -111,16 +124,19 @@
         }
     }
 
-    /** More than the bucket holds is given when it is full, and the tokens are negative for a while. */
-    private fun needed(count: Int): Double = minOf(count.toDouble(), burst)
+    /**
+     * How many tokens the bucket must have before [count] are taken. A call that takes more than the bucket can hold
+     * waits until it is full. The number of tokens is negative afterwards.
+     */
+    private fun requiredTokens(count: Int): Double = minOf(count.toDouble(), burst)
 
     private fun refill() {
         val now = nowMs()
-        val elapsedMs = now - refilledAt
+        val elapsedMs = now - refilledAtMs
         tokens = minOf(burst, tokens + elapsedMs * perSecond / MS_PER_SECOND)
         borrowableTokens =
             minOf(borrowablePerSecond, borrowableTokens + elapsedMs * borrowablePerSecond / MS_PER_SECOND)
-        refilledAt = now
+        refilledAtMs = now
     }
 
     private fun serveWaiters() {
@@ -146,12 +162,12 @@
         return queues.firstOrNull { it.isNotEmpty() }
     }
 
-    /** Serves the queue's first waiter, or pauses until there may be enough for it. */
+    /** Serves the first waiter of [queue], or waits until there may be enough tokens for it. */
     private suspend fun serveFirst(queue: ArrayDeque<Waiter>) {
         val waiter = queue.first()
-        val missing = needed(waiter.count) - tokens
-        if (missing > 0) {
-            delay((missing * MS_PER_SECOND / perSecond).toLong() + 1)
+        val missingTokens = requiredTokens(waiter.count) - tokens
+        if (missingTokens > 0) {
+            delay((missingTokens * MS_PER_SECOND / perSecond).toLong() + 1)
             return
         }
         queue.removeFirst()
@@ -162,7 +178,7 @@
     private companion object {
         const val MS_PER_SECOND = 1000.0
 
-        /** A service allows one second's worth at once, so after that long it may have room again. */
-        const val NO_BORROWING_MS = 1000L
+        /** A service's own bucket holds the tokens of one second, so it may have some again after this time, in ms. */
+        const val BORROWING_PAUSE_MS = 1000L
     }
 }
--- a/src/main/kotlin/micatally/state/ReadResult.kt
+++ b/src/main/kotlin/micatally/state/ReadResult.kt
@@ -10,6 +10,6 @@
     /** The key does not exist. */
     data object Missing : ReadResult
 
-    /** There is no valid answer. */
+    /** The state store gave no valid answer: it is not known whether the key exists. */
     data object Unavailable : ReadResult
 }
--- a/src/main/kotlin/micatally/state/RenewalResult.kt
+++ b/src/main/kotlin/micatally/state/RenewalResult.kt
@@ -1,12 +1,12 @@
 package micatally.state
 
-/** What became of a request to renew a lease. */
+/** The outcome of a request to renew a lease. */
 enum class RenewalResult {
     RENEWED,
 
-    /** The state store knows no such lease any more. */
+    /** The state store no longer knows the lease. */
     EXPIRED,
 
-    /** There is no valid answer; the lease may have been renewed. */
+    /** There is no valid answer. The lease may or may not have been renewed. */
     UNKNOWN,
 }
--- a/src/main/kotlin/micatally/state/StateLimits.kt
+++ b/src/main/kotlin/micatally/state/StateLimits.kt
@@ -1,12 +1,12 @@
 package micatally.state
 
 /**
- * The limits of a state store.
+ * The limits of the state store.
  *
- * @property rps requests a second
- * @property writeRps puts and deletes a second
- * @property valueBytes size of one value
- * @property maxOperationsPerTransaction puts and deletes of one transaction
+ * @property rps requests a second, of all controllers together
+ * @property writeRps puts and deletes a second, of all controllers together
+ * @property valueBytes the largest size of a value, in bytes
+ * @property maxOperationsPerTransaction the largest number of puts and deletes in a transaction
  */
 data class StateLimits(
     val rps: Double,
@@ -14,7 +14,10 @@
     val valueBytes: Int,
     val maxOperationsPerTransaction: Int,
 ) {
-    /** The smaller of both for each limit, which is within the limits whichever of them is in force. */
+    /**
+     * Returns the smaller of both values for each limit. Requests that keep to these are valid whichever limits are in
+     * force.
+     */
     fun smallerOf(other: StateLimits) =
         StateLimits(
             minOf(rps, other.rps),
@@ -24,8 +27,9 @@
         )
 
     /**
-     * How many further values one job's record may be split into, and its list of cancelled tasks likewise, so that both fit in
-     * one transaction.
+     * The largest number of overflow values of a job record, which hold what does not fit in its first value. A job's
+     * list of cancelled tasks may have as many. With this bound, the record and the list fit in one transaction
+     * together.
      */
     val overflowValues: Int
         get() {
@@ -35,9 +39,12 @@
         }
 
     /**
-     * How many attempts of one job its record is sure to hold, at the most one for each machine of the fleet: more cost a
-     * scheduling cycle too much time. A small fleet may have more tasks than machines, so for it the bound is
-     * [MIN_WANTED_ATTEMPTS]. A record that fits in one value is not compressed, as long as that holds enough.
+     * How many attempts one job may have at a time, so that its record can be expected to hold them.
+     *
+     * There is at most one for each of the [machineCount] machines, since more would cost a scheduling cycle too much
+     * time. A small fleet may have more tasks than machines, so for it the bound is [MIN_WANTED_ATTEMPTS]. If the
+     * limits permit no overflow values, the record is not compressed, provided that the fleet is small or the record
+     * then holds enough.
      */
     fun attemptsOfOneJob(machineCount: Int): Int {
         val wanted = maxOf(MIN_WANTED_ATTEMPTS, machineCount)
@@ -47,16 +54,21 @@
         return minOf(wanted, if (isPlainEnough) plain else packed).coerceAtLeast(1)
     }
 
-    /** Sizes of what is stored. */
+    /** Sizes of stored values, in bytes. */
     companion object {
-        /** Average size of an attempt in a record; attempts that do not fit after all are given up again. */
+        /**
+         * The average size of an attempt in an uncompressed record. If the attempts of a job turn out larger and do not
+         * fit, [micatally.job.JobStore] ends some that have not been sent yet.
+         */
         private const val PLAIN_ATTEMPT_BYTES = 40
 
-        /** The same in a compressed record. */
+        /** The average size of an attempt in a compressed record. */
         private const val PACKED_ATTEMPT_BYTES = 15
+
+        /** The number of attempts that a job may have in a small fleet; see [attemptsOfOneJob]. */
         private const val MIN_WANTED_ATTEMPTS = 400
 
-        /** The protocol's limit of 64 KiB for a transaction, less its conditions and keys. */
+        /** Room for the values of a transaction: the protocol's limit of 64 KiB, less the conditions and keys. */
         const val TRANSACTION_BYTES = 56 * 1024
     }
 }
--- a/src/main/kotlin/micatally/state/StateStoreClient.kt
+++ b/src/main/kotlin/micatally/state/StateStoreClient.kt
@@ -10,13 +10,13 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Client of the state store, within this controller's share of the store's rate limits. Each call suspends until the budget
- * lets it leave and its answer has come or its time is over.
+ * Client of the state store. Keeps to this controller's share of the store's rate limits. Each call suspends until the
+ * budget permits sending the request, and then until it is answered or has timed out.
  *
  * @param addr host and port of the state store
- * @param requests budget of all requests
- * @param writes budget of puts and deletes
- * @param timeoutMs how long an answer may take
+ * @param requests budget for all requests
+ * @param writes budget for puts and deletes, in addition to [requests]
+ * @param timeoutMs how long to wait for an answer, in ms
  */
 class StateStoreClient(
     private val http: HttpCaller,
@@ -27,16 +27,19 @@
 ) {
     private val log = LoggerFactory.getLogger("micatally.state")
 
-    /** Kinds of keys for which a refusal has been logged: one line for each is enough. */
-    private val refusedKinds = HashSet<String>()
+    /**
+     * The kinds of keys for which a refusal has been logged. A kind is the part of the key before the first `/`. Only
+     * the first refusal of a kind is logged.
+     */
+    private val loggedRefusalKinds = HashSet<String>()
 
-    /** How many transactions wait for the write budget. */
+    /** The number of transactions that wait for the write budget. */
     val waitingWrites get() = writes.waiting
 
     /**
      * Reads one key.
      *
-     * @param onSend runs when the request leaves. What is written from then on may be missing from the answer
+     * @param onSend called when the request is sent. The answer may lack what is written after that
      */
     suspend fun get(
         key: String,
@@ -55,10 +58,10 @@
     }
 
     /**
-     * Reads all keys under [prefix]; null when a page could not be read. The revision is that of the first page, so that a
-     * watch from there misses nothing.
+     * Reads all keys under [prefix]. Returns null if a page could not be read. The revision is that of the first page,
+     * so that a watch from there returns every change that later pages may lack.
      *
-     * @param after only keys that sort behind this one
+     * @param after if not null, only keys that come after this one in the order of the keys
      */
     suspend fun list(
         prefix: String,
@@ -72,10 +75,10 @@
     }
 
     /**
-     * Passes all keys under [prefix] to [visit] a page at a time, so that no more than a page is in memory.
+     * Reads all keys under [prefix] and passes them to [visit] one page at a time, so that only one page is in memory.
      *
-     * @param after only keys that sort behind this one
-     * @return the revision of the first page, or null when a page could not be read
+     * @param after if not null, only keys that come after this one in the order of the keys
+     * @return the revision of the first page, or null if a page could not be read
      */
     suspend fun eachPage(
         prefix: String,
@@ -92,7 +95,10 @@
         return first.revision
     }
 
-    /** Passes one page of the keys under [prefix] behind [after] to [visit]; null when it could not be read. */
+    /**
+     * Reads one page of the keys under [prefix] that come after [after], and passes it to [visit]. Returns null on
+     * failure.
+     */
     suspend fun page(
         prefix: String,
         urgency: Urgency,
@@ -110,12 +116,12 @@
     }
 
     /**
-     * Carries out a transaction.
+     * Sends a transaction.
      *
      * @param count the number of its puts and deletes
-     * @param build puts the transaction together. It runs only when the budget lets the request leave, so that what was decided
-     * while it waited goes along, and again before a repetition. Null: there is nothing to do any more, and the result is
-     * [TransactionResult.Refused]
+     * @param build creates the transaction. It is called when the budget permits sending the request, so that the
+     * transaction contains what was decided during the wait, and again before a retry. If it returns null, there is
+     * nothing left to write, and the result is [TransactionResult.Refused]
      */
     suspend fun transact(
         count: Int,
@@ -132,8 +138,8 @@
                 writes.markExhausted()
                 return result
             }
-            // Nothing was carried out. It is repeated within this controller's own share.
-            writes.borrowingRefused()
+            // The transaction was not applied. It is retried with tokens of this controller's own share.
+            writes.pauseBorrowing()
             writes.take(count, urgency)
             requests.take(1, urgency)
             isBorrowed = false
@@ -161,8 +167,9 @@
         }
 
     /**
-     * The limits may have been lowered since the transaction was put together, so every refusal that is not about a lease counts
-     * as one of size: the writers of large values try again in another form.
+     * Returns the result of a transaction that the state store refused with [text]. Every refusal that is not about a
+     * lease counts as one about size, since the limits may have been lowered after the transaction was created. The
+     * writers of large values then try again with a smaller form.
      */
     private fun refusal(
         transaction: Transaction,
@@ -170,12 +177,12 @@
     ): TransactionResult {
         if (StateStoreMessages.isNoSuchLease(text)) return TransactionResult.NoSuchLease
         val key = transaction.changes.first().key
-        val isFirstOfKind = refusedKinds.add(key.substringBefore('/'))
+        val isFirstOfKind = loggedRefusalKinds.add(key.substringBefore('/'))
         if (isFirstOfKind) log.warn("state store refuses {}: {}", key, text)
         return TransactionResult.TooLarge
     }
 
-    /** Requests a lease of [liveMs] milliseconds; returns its id, or null if there is no valid answer. */
+    /** Requests a lease with a time to live of [liveMs] ms. Returns its id, or null if there is no valid answer. */
     suspend fun grant(liveMs: Long): Long? {
         requests.take(1, Urgency.LEASE)
         val outcome = call("POST", "/grants", StateStoreMessages.grantRequest(liveMs))
@@ -183,7 +190,7 @@
         return if (isGranted) StateStoreMessages.grantedLease(outcome.body) else null
     }
 
-    /** Renews a lease for its full time. */
+    /** Renews a lease for its full time to live. */
     suspend fun renew(lease: Long): RenewalResult {
         requests.take(1, Urgency.LEASE)
         val outcome = call("POST", "/grants/$lease/renew", EMPTY_OBJECT)
@@ -195,17 +202,17 @@
         }
     }
 
-    /** Ends a lease that is no longer wanted. If the request fails the lease expires by itself. */
+    /** Ends a lease that is no longer needed. If the request fails, the lease expires by itself. */
     suspend fun revoke(lease: Long) {
         requests.take(1, Urgency.LEASE)
         call("DELETE", "/grants/$lease", null)
     }
 
     /**
-     * Waits for changes under [prefix] after the revision [since], for [holdMs] at the most.
+     * Waits for changes under [prefix] after the revision [since], for at most [holdMs] ms.
      *
-     * @return the changes, none if there were none in that time; [WatchEvents.isCompacted] if the keys have to be listed again;
-     * null if there is no valid answer
+     * @return the changes, which are empty if there was none in that time. If [WatchEvents.isCompacted] is set, the
+     * keys have to be listed again. Null if there is no valid answer
      */
     suspend fun watch(
         prefix: String,
@@ -216,7 +223,7 @@
         requests.take(1, urgency)
         val target = "/watch?under=${queryPart(prefix)}&since=$since&hold_ms=$holdMs"
         val outcome = call("GET", target, null, holdMs + timeoutMs)
-        // Changes that are too much for one answer are read by a listing, like those that the store no longer keeps.
+        // If the answer is too large for this client, the keys are listed again, as after a compaction.
         if (outcome is Outcome.TooLarge) return WatchEvents.compacted(since)
         if (outcome !is Outcome.Answer) return null
         return when (outcome.status) {
--- a/src/main/kotlin/micatally/state/Transaction.kt
+++ b/src/main/kotlin/micatally/state/Transaction.kt
@@ -2,13 +2,17 @@
 
 import kotlinx.serialization.json.JsonObject
 
-/** A condition of a [Transaction]: [key] was last written at [modRevision]; 0: it does not exist. */
+/**
+ * A condition of a [Transaction]: [key] was last written at [modRevision].
+ *
+ * @property modRevision 0 if the key must not exist
+ */
 class Compare(
     val key: String,
     val modRevision: Long,
 )
 
-/** A change of one key. */
+/** A change of one key in a [Transaction]. */
 sealed interface Write {
     val key: String
 }
@@ -16,7 +20,8 @@
 /**
  * Writes [value] under [key].
  *
- * @property lease the key is deleted when this lease expires; null: it stays
+ * @property lease the lease that the key is bound to: the key is deleted when the lease expires; null if it is not
+ * bound to one
  */
 class Put(
     override val key: String,
@@ -29,7 +34,7 @@
     override val key: String,
 ) : Write
 
-/** Changes that are carried out together, and only if all conditions hold at that time. */
+/** Changes that are applied atomically, and only if all [conditions] hold at that time. */
 class Transaction(
     val conditions: List<Compare>,
     val changes: List<Write>,
--- a/src/main/kotlin/micatally/state/Urgency.kt
+++ b/src/main/kotlin/micatally/state/Urgency.kt
@@ -1,16 +1,22 @@
 package micatally.state
 
-/** What a request to the state store or the cloud is for, most urgent first: a [RateBudget] serves the waiting requests in this order. */
+/**
+ * The purpose of a request to the state store or the cloud, the most urgent first. A [RateBudget] serves the waiting
+ * requests in this order.
+ */
 enum class Urgency {
-    /** This controller's lease, its view of the shared keys, and its right to act. */
+    /**
+     * What this controller needs in order to work at all: its lease, its copy of the shared keys, the acquisition and
+     * the loading of shards, the configuration. In the cloud: the deletion of machines.
+     */
     LEASE,
 
-    /** Requests whose answer a user waits for. */
+    /** Requests whose answer a user waits for, directly or because jobs can't be accepted or placed without it. */
     ACCEPTANCE,
 
-    /** Decisions of this controller that have to be stored before they are carried out. */
+    /** Decisions that have to be stored before this controller carries them out, and what it needs to know for them. */
     INTENT,
 
-    /** What serves the efficiency of the controllers only, and can wait. */
+    /** Background work that can wait, such as summaries for the other controllers and clean-up. */
     SUMMARY,
 }
--- a/src/main/kotlin/micatally/state/WaitStatistics.kt
+++ b/src/main/kotlin/micatally/state/WaitStatistics.kt
@@ -1,6 +1,6 @@
 package micatally.state
 
-/** How many requests of each urgency took something from a [RateBudget], and how long they waited for it. */
+/** Counts the calls of each urgency that took tokens from a [RateBudget], and how long they waited for them. */
 internal class WaitStatistics {
     private class Waits {
         var count = 0
@@ -10,24 +10,27 @@
 
     private val waits = Urgency.entries.associateWithTo(LinkedHashMap()) { Waits() }
 
-    /** Counts one request that waited [waitedMs] milliseconds. */
+    /** Counts one call that waited [waitedMs] ms. */
     fun add(
         urgency: Urgency,
         waitedMs: Long,
     ) {
-        val ofUrgency = waits.getValue(urgency)
-        ofUrgency.count++
-        ofUrgency.totalMs += waitedMs
-        ofUrgency.longestMs = maxOf(ofUrgency.longestMs, waitedMs)
+        val entry = waits.getValue(urgency)
+        entry.count++
+        entry.totalMs += waitedMs
+        entry.longestMs = maxOf(entry.longestMs, waitedMs)
     }
 
-    /** For each urgency `name:COUNTx/AVERAGEms/LONGESTms`, joined by commas; then everything starts from zero. */
+    /**
+     * Returns `name:COUNTx/AVERAGEms/LONGESTms` for each urgency that has been counted, joined by commas. Resets all
+     * counts and times to zero.
+     */
     fun describeAndReset(): String {
         val description =
             waits
                 .filterValues { it.count > 0 }
-                .map { (urgency, of) ->
-                    "${urgency.name.lowercase()}:${of.count}x/${of.totalMs / of.count}ms/${of.longestMs}ms"
+                .map { (urgency, entry) ->
+                    "${urgency.name.lowercase()}:${entry.count}x/${entry.totalMs / entry.count}ms/${entry.longestMs}ms"
                 }.joinToString(",")
         for (urgency in Urgency.entries) waits[urgency] = Waits()
         return description
--- a/src/main/kotlin/micatally/state/WatchEvents.kt
+++ b/src/main/kotlin/micatally/state/WatchEvents.kt
@@ -5,8 +5,8 @@
 /**
  * The answer to a watch.
  *
- * @property revision the next watch continues from here
- * @property isCompacted the changes can't be had any more: the keys have to be listed again
+ * @property revision the revision from which the next watch continues
+ * @property isCompacted whether the changes are no longer available, so that the keys have to be listed again
  */
 class WatchEvents(
     val revision: Long,
@@ -14,7 +14,7 @@
     val isCompacted: Boolean = false,
 ) {
     internal companion object {
-        /** The answer to a watch from [revision] whose changes can't be had. */
+        /** The answer to a watch from [revision] whose changes are not available. */
         fun compacted(revision: Long) = WatchEvents(revision, emptyList(), isCompacted = true)
     }
 }
--- a/src/test/kotlin/micatally/state/RateBudgetTest.kt
+++ b/src/test/kotlin/micatally/state/RateBudgetTest.kt
@@ -12,15 +12,18 @@
 
 @OptIn(ExperimentalCoroutinesApi::class)
 class RateBudgetTest {
-    /** Load is uneven: a controller may use what the others leave of their shares, until the service refuses it. */
+    /**
+     * The load of the controllers is uneven, so a controller may borrow from the shares that the others do not use,
+     * until the service refuses a borrowed request.
+     */
     @Test
-    fun `urgent work borrows until it is refused, and summaries never do`() =
+    fun `urgent requests borrow until one is refused, and summaries never borrow`() =
         runTest {
             val budget = RateBudget(this, 5.0, { currentTime }, 20.0)
             repeat(5) { assertFalse(budget.takeOrBorrow(1, Urgency.ACCEPTANCE)) }
             repeat(20) { assertTrue(budget.takeOrBorrow(1, Urgency.ACCEPTANCE)) }
             assertEquals(0, currentTime)
-            budget.borrowingRefused()
+            budget.pauseBorrowing()
             assertFalse(budget.takeOrBorrow(1, Urgency.ACCEPTANCE))
             assertTrue(currentTime in 150..250, "$currentTime")
             delay(2000)
@@ -29,7 +32,7 @@
         }
 
     @Test
-    fun `the more urgent is served first`() =
+    fun `more urgent requests are served first`() =
         runTest {
             val budget = RateBudget(this, 5.0, { currentTime })
             repeat(5) { budget.take(1, Urgency.SUMMARY) }
