--- a/src/main/kotlin/micatally/upgrade/Upgrade.kt
+++ b/src/main/kotlin/micatally/upgrade/Upgrade.kt
@@ -17,13 +17,13 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Carries out an upgrade of the stored forms: announces this host's version, raises the format once all hosts have
- * announced it, and tells which forms may be written.
+ * Carries out an upgrade of the stored format: announces the format that this host is ready for, raises the permitted
+ * format once all hosts have announced it, and tells which formats may be written.
  *
- * What is known here may lag behind the state store, which only delays the use of newer forms.
+ * The copy of the shared keys may lag behind the state store. That only delays the use of a newer format.
  *
- * @param targetFormat the format that this host aims at, see [FormatVersion]
- * @param onUniform called once, when forms of the current version may be written
+ * @param targetFormat the format that this host is to be upgraded to; see [FormatVersion]
+ * @param onUniform called once, when [phase] has become [UpgradePhase.UNIFORM]
  */
 class Upgrade(
     private val scope: CoroutineScope,
@@ -41,15 +41,15 @@
     var phase = UpgradePhase.MIXED
         private set
 
-    /** Whether forms of the current version may be written. */
+    /** Whether packed records may be written and gangs accepted; see [FormatVersion.PACKED_RECORDS]. */
     val isUniform get() = phase == UpgradePhase.UNIFORM
 
-    /** Whether all controllers can read teams in the state store, so that they may be written. */
+    /** Whether teams may be written to the state store, that is, whether all controllers can read them there. */
     val mayStoreTeams get() = UpgradePlan.format(sharedKeys) >= FormatVersion.STORED_TEAMS
 
     /**
-     * Whether this host has ever been ready for stored teams, so that others may have written them without its
-     * knowledge.
+     * Whether other controllers may have written teams to the state store. That is possible if this host is ready for
+     * stored teams or has ever announced that it is, even if it does not know of the write yet.
      */
     val mayTeamsBeStored: Boolean
         get() {
@@ -64,13 +64,16 @@
     /** The one place where the phase changes. */
     private fun transitionTo(next: UpgradePhase) {
         if (next == phase) return
-        check(next == UpgradePhase.UNIFORM) { "a raised format is never lowered" }
+        check(next == UpgradePhase.UNIFORM) { "the upgrade phase must not go back to MIXED" }
         phase = next
         log.info("upgrade finished: all controllers write format {}", UpgradePlan.format(sharedKeys))
         onUniform()
     }
 
-    /** The shared keys have changed: takes the next step if there is one. Does not wait for the state store. */
+    /**
+     * Takes the next step of the upgrade if there is one. Called when the shared keys have changed. Starts a write
+     * without waiting for it.
+     */
     fun sharedKeysChanged() {
         val isLoaded = sharedKeys.revision >= 0
         if (!isLoaded) return
@@ -102,7 +105,10 @@
         lastDowngraded = downgraded
     }
 
-    /** At most one write is under way. After it the shared keys are looked at again, after a failed one with a delay. */
+    /**
+     * Starts the write of the next step, unless one is in flight. Checks the shared keys again after it, with a delay
+     * if the write was not applied.
+     */
     private fun launchWrite() {
         if (isWriting) return
         isWriting = true
@@ -118,19 +124,19 @@
     }
 
     /**
-     * The write of the present step; null if it has none any more.
+     * Returns the write of the next step, or null if that step needs no write.
      *
-     * It is conditional on the key's revision, so late and repeated writes change nothing. The announcements that a raise
-     * relies on need no condition: they are never withdrawn.
+     * The write is conditional on the key's revision, so a delayed or repeated one changes nothing. The announcements
+     * that a raise relies on need no condition, since they are never withdrawn.
      */
     private fun nextTransaction(): Transaction? =
         when (nextStep()) {
-            UpgradeStep.Announce -> writeOf(Keys.version(settings.host), targetFormat)
-            UpgradeStep.Raise -> writeOf(Keys.FORMAT, UpgradePlan.common(sharedKeys, hosts))
+            UpgradeStep.Announce -> conditionalWrite(Keys.version(settings.host), targetFormat)
+            UpgradeStep.Raise -> conditionalWrite(Keys.FORMAT, UpgradePlan.newestAnnouncedByAll(sharedKeys, hosts))
             else -> null
         }
 
-    private fun writeOf(
+    private fun conditionalWrite(
         key: String,
         version: Long,
     ): Transaction {
--- a/src/main/kotlin/micatally/upgrade/UpgradePlan.kt
+++ b/src/main/kotlin/micatally/upgrade/UpgradePlan.kt
@@ -4,26 +4,30 @@
 import micatally.membership.SharedKeyCache
 import micatally.wire.longOrNull
 
-/** Which stored forms and messages the controllers may use. */
+/** Which formats of stored values and messages the controllers may use. */
 enum class UpgradePhase {
-    /** Some controller may still run the previous version, so only forms that it understands are written. */
+    /**
+     * Some controller may still run a program that knows only [FormatVersion.FIRST], so only what that program
+     * understands is written and sent.
+     */
     MIXED,
 
-    /** Every controller of the settings has started with the current version. Never left again. */
+    /**
+     * Every controller of the settings has announced [FormatVersion.PACKED_RECORDS] or a newer format. This phase is
+     * final.
+     */
     UNIFORM,
 }
 
-/**
- * Versions of the stored forms; a higher one includes the lower ones. A program from before [PACKED_RECORDS] writes
- * [FIRST] and announces nothing.
- */
+/** Versions of the format of stored values. A higher version includes the lower ones. */
 object FormatVersion {
+    /** The format of programs that know nothing of upgrades: they write this one and announce nothing. */
     const val FIRST = 1L
 
     /** Job records and lists of cancelled tasks may be packed, and there may be gangs. */
     const val PACKED_RECORDS = 2L
 
-    /** Teams may be stored in the state store. Announced only where that is switched on. */
+    /** Teams may be stored in the state store. Announced only by hosts whose operator has switched that on. */
     const val STORED_TEAMS = 3L
 
     /** The newest version that this program reads. */
@@ -32,52 +36,53 @@
 
 /** What a controller has to do next so that an upgrade proceeds. */
 sealed interface UpgradeStep {
-    /** Record durably that this host has started with the version it aims at. */
+    /** Announce in the state store that this host runs with its target format. */
     data object Announce : UpgradeStep
 
-    /** All hosts have announced a newer version than the format: raise the format for good. */
+    /** Raise the permitted format for good: all hosts have announced a newer one. */
     data object Raise : UpgradeStep
 
-    /** Wait for these hosts to start with the version that this host aims at. */
+    /** Wait until [hosts] have announced the target format of this host. */
     data class WaitFor(
         val hosts: List<String>,
     ) : UpgradeStep
 
-    /** The format is the one that this host aims at, or newer. */
+    /** Nothing: the permitted format is the target format of this host, or newer. */
     data object Finished : UpgradeStep
 }
 
 /**
- * Decides on the steps of an upgrade from the shared keys alone.
+ * Decides the steps of an upgrade from the shared keys alone.
  *
- * Keys that are missing stand for [FormatVersion.FIRST]. The keys may be older than the state store's: announcements
- * and format only grow, so an older view delays a step and never takes a wrong one.
+ * A missing key stands for [FormatVersion.FIRST]. The copy of the shared keys may lag behind the state store.
+ * Announcements and the permitted format only grow, so an outdated copy can delay a step but can't cause a wrong one.
  */
 object UpgradePlan {
-    /** The version that the host has announced. */
+    /** The format that [host] has announced. */
     fun announced(
         sharedKeys: SharedKeyCache,
         host: String,
-    ): Long = version(sharedKeys, Keys.version(host))
+    ): Long = storedFormat(sharedKeys, Keys.version(host))
 
-    /** The phase that the format stands for. */
+    /** The phase that follows from the permitted format. */
     fun phase(sharedKeys: SharedKeyCache): UpgradePhase =
         if (format(sharedKeys) >= FormatVersion.PACKED_RECORDS) UpgradePhase.UNIFORM else UpgradePhase.MIXED
 
-    /** The newest format that may be written. */
-    fun format(sharedKeys: SharedKeyCache): Long = version(sharedKeys, Keys.FORMAT)
+    /** The permitted format: the newest one that may be written. */
+    fun format(sharedKeys: SharedKeyCache): Long = storedFormat(sharedKeys, Keys.FORMAT)
 
-    /** The newest format that all hosts have announced. */
-    fun common(
+    /** The newest format that all [hosts] have announced. */
+    fun newestAnnouncedByAll(
         sharedKeys: SharedKeyCache,
         hosts: Collection<String>,
     ): Long = hosts.minOf { announced(sharedKeys, it) }
 
     /**
-     * The next step of the host [self], which aims at the version [target].
+     * The next step of the host [self], whose target format is [target].
      *
-     * An announcement is written by a process of that version once it is live itself, and stays. A host that has
-     * started with a new version does not return to an old one, so a host that is only down does not delay the others.
+     * A process announces its target format once its own live key is stored. The announcement stays when the process
+     * ends, because a host that has started with a new program must not return to an old one. So a host that is down
+     * does not delay the others.
      */
     fun nextStep(
         sharedKeys: SharedKeyCache,
@@ -86,16 +91,19 @@
         target: Long = FormatVersion.PACKED_RECORDS,
     ): UpgradeStep {
         if (announced(sharedKeys, self) < target) {
-            // The live key may still be that of the former process.
-            val isLiveWithTarget = running(sharedKeys, self) >= target
+            // The live key may still be the one that the previous process of this host wrote.
+            val isLiveWithTarget = formatOfLiveProcess(sharedKeys, self) >= target
             return if (isLiveWithTarget) UpgradeStep.Announce else UpgradeStep.WaitFor(listOf(self))
         }
-        if (common(sharedKeys, hosts) > format(sharedKeys)) return UpgradeStep.Raise
+        if (newestAnnouncedByAll(sharedKeys, hosts) > format(sharedKeys)) return UpgradeStep.Raise
         if (format(sharedKeys) >= target) return UpgradeStep.Finished
         return UpgradeStep.WaitFor(hosts.filter { announced(sharedKeys, it) < target }.sorted())
     }
 
-    /** Hosts that run an older version than they have announced: an operator has rolled them back too late. */
+    /**
+     * Hosts whose live process reads only an older format than they have announced. An operator has rolled them back to
+     * an older program after the announcement, when that is no longer safe.
+     */
     fun downgraded(
         sharedKeys: SharedKeyCache,
         hosts: Collection<String>,
@@ -104,22 +112,25 @@
     private fun isDowngraded(
         sharedKeys: SharedKeyCache,
         host: String,
-    ) = sharedKeys.has(Keys.live(host)) && running(sharedKeys, host) < announced(sharedKeys, host)
+    ) = sharedKeys.has(Keys.live(host)) && formatOfLiveProcess(sharedKeys, host) < announced(sharedKeys, host)
 
-    /** The version of the process that the host's live key names. */
-    private fun running(
+    /** The newest format that the live process of [host] reads, according to its live key. */
+    private fun formatOfLiveProcess(
         sharedKeys: SharedKeyCache,
         host: String,
     ): Long = sharedKeys.value(Keys.live(host))?.longOrNull(FORMAT_FIELD) ?: FormatVersion.FIRST
 
-    private fun version(
+    private fun storedFormat(
         sharedKeys: SharedKeyCache,
         key: String,
     ): Long = sharedKeys.value(key)?.longOrNull(VERSION_FIELD) ?: FormatVersion.FIRST
 
-    /** Field of the announcements and of the format key. */
+    /** The field that holds the format in announcements and under [Keys.FORMAT]. */
     const val VERSION_FIELD = "n"
 
-    /** Field of a live key that names the version of the process; the previous program neither writes nor reads it. */
+    /**
+     * The field of a live key that holds the newest format which the process reads. Programs that know only
+     * [FormatVersion.FIRST] neither write nor read it.
+     */
     const val FORMAT_FIELD = "format"
 }
--- a/src/test/kotlin/micatally/upgrade/FormerRecord.kt
+++ b/src/test/kotlin/micatally/upgrade/Format1Record.kt
@@ -6,8 +6,8 @@
 import kotlinx.serialization.json.int
 import kotlinx.serialization.json.long
 
-/** Reads job records as the previous program does, which knows no other fields than these. */
-class FormerRecord(
+/** Reads job records as a program does that knows only [FormatVersion.FIRST]: it reads no other fields than these. */
+class Format1Record(
     private val stored: JsonObject,
 ) {
     private fun text(name: String) = (stored.getValue(name) as JsonPrimitive).content
@@ -26,7 +26,7 @@
             .chunked(2)
             .flatMap { (from, to) -> from until to }
 
-    /** Machine, incarnation, task index and attempt number of each row. */
+    /** Machine, incarnation, task index and attempt number of each attempt. */
     val attempts: List<List<Any>> get() =
         (stored["a"] as? JsonArray ?: JsonArray(emptyList())).flatMap { row ->
             val fields = (row as JsonArray).map { it as JsonPrimitive }
@@ -41,8 +41,11 @@
         }
 }
 
-/** Reads lists of cancelled tasks as the previous program does: machine, task index and attempt number of each row. */
-fun formerCancelledTasks(stored: JsonObject): List<List<Any>> =
+/**
+ * Reads a list of cancelled tasks as a program does that knows only [FormatVersion.FIRST]: machine, task index and
+ * attempt number of each row.
+ */
+fun decodeFormat1CancelledTasks(stored: JsonObject): List<List<Any>> =
     (stored["tasks"] as? JsonArray ?: JsonArray(emptyList())).map { row ->
         val fields = (row as JsonArray).map { it as JsonPrimitive }
         listOf(fields[0].content, fields[1].int, fields[2].long)
--- a/src/test/kotlin/micatally/upgrade/FormatTest.kt
+++ b/src/test/kotlin/micatally/upgrade/FormatTest.kt
@@ -34,14 +34,18 @@
 import org.junit.jupiter.api.Test
 import java.util.Base64
 
-/** What the previous program stored and sent, kept in `format-1.json`, is read and written by this one byte for byte. */
+/**
+ * Compatibility with programs that know only [FormatVersion.FIRST]. The resource `format-1.json` holds values that such
+ * a program stored and messages that it sent. This program must read them and write them back byte for byte. Otherwise
+ * controllers of both programs could not work together during an upgrade.
+ */
 @OptIn(ExperimentalSerializationApi::class)
 class FormatTest {
     private val samples = Json.parseToJsonElement(javaClass.getResource("/format-1.json")!!.readText()) as JsonObject
-    private val states = listOf("under cancellation", "a lease later").map { samples.getValue(it) as JsonObject }
+    private val storedStates = listOf("under cancellation", "a lease later").map { samples.getValue(it) as JsonObject }
 
-    private fun under(prefix: String) =
-        states.flatMap { state ->
+    private fun storedUnder(prefix: String) =
+        storedStates.flatMap { state ->
             state.filterKeys { it.startsWith(prefix) }.map { (key, value) -> key to value as JsonObject }
         }
 
@@ -54,26 +58,26 @@
         ).also { it.transitionTo(ShardState.ACTIVE) }
     }
 
-    private fun decoded(
+    private fun decodeJob(
         key: String,
         record: JsonObject,
     ): Job {
         val job = JobRecordCodec.decode(key.removePrefix(Keys.JOB), JobRecord(record), shardOf(record), 1)
         val machines = HashMap<String, Machine>()
-        for (placed in JobRecord(record).attempts) {
+        for (storedAttempt in JobRecord(record).attempts) {
             val machine =
-                placed.machine.let { described ->
-                    machines.getOrPut(described.name) {
-                        Machine(described.name, described.addr, described.type, described.zone, described.isSpot)
+                storedAttempt.machine.let { stored ->
+                    machines.getOrPut(stored.name) {
+                        Machine(stored.name, stored.addr, stored.type, stored.zone, stored.isSpot)
                     }
                 }
-            job.attempts[placed.taskIndex] =
+            job.attempts[storedAttempt.taskIndex] =
                 Attempt(
                     job,
-                    placed.taskIndex,
-                    placed.number,
+                    storedAttempt.taskIndex,
+                    storedAttempt.number,
                     machine,
-                    placed.machine.incarnation,
+                    storedAttempt.machine.incarnation,
                     job.service,
                     AttemptState.DISPATCHED,
                 )
@@ -82,56 +86,56 @@
     }
 
     @Test
-    fun `job records of the previous program are read and written unchanged`() {
-        val records = under(Keys.JOB)
+    fun `job records of format 1 are read and written unchanged`() {
+        val records = storedUnder(Keys.JOB)
         assertEquals(12, records.size)
-        for ((key, record) in records) assertEquals(record, JobRecordCodec.encode(decoded(key, record)), key)
+        for ((key, record) in records) assertEquals(record, JobRecordCodec.encode(decodeJob(key, record)), key)
     }
 
     @Test
-    fun `the previous program reads the same out of a record that this one wrote`() {
-        for ((key, record) in under(Keys.JOB)) {
-            val job = decoded(key, record)
-            val former = FormerRecord(JobRecordCodec.encode(job))
+    fun `a program of format 1 reads the same from a record that this program wrote`() {
+        for ((key, record) in storedUnder(Keys.JOB)) {
+            val job = decodeJob(key, record)
+            val format1Record = Format1Record(JobRecordCodec.encode(job))
             assertEquals(
                 job.attempts.values
                     .map {
                         listOf<Any>(it.machine.name, it.incarnation, it.taskIndex, it.number)
                     }.toSet(),
-                former.attempts.toSet(),
+                format1Record.attempts.toSet(),
                 key,
             )
-            assertEquals((0 until job.taskCount).filter { job.done[it] }, former.done, key)
+            assertEquals((0 until job.taskCount).filter { job.done[it] }, format1Record.done, key)
             assertEquals(
                 JobRecord(record).isSettled to JobRecord(record).isCancellationConfirmable,
-                former.isSettled to former.isCancellationConfirmable,
+                format1Record.isSettled to format1Record.isCancellationConfirmable,
                 key,
             )
             assertEquals(
                 listOf(job.shard.name, job.taskCount, job.shard.term),
-                listOf(former.shard, former.tasks, former.term),
+                listOf(format1Record.shard, format1Record.tasks, format1Record.term),
                 key,
             )
         }
     }
 
     @Test
-    fun `lists of cancelled tasks of the previous program are read and written unchanged`() {
-        val (key, list) = under(Keys.CANCELLED_TASKS).single()
+    fun `lists of cancelled tasks of format 1 are read and written unchanged`() {
+        val (key, list) = storedUnder(Keys.CANCELLED_TASKS).single()
         val job =
-            decoded(
+            decodeJob(
                 Keys.JOB + key.removePrefix(Keys.CANCELLED_TASKS),
-                states[0].getValue(Keys.JOB + key.removePrefix(Keys.CANCELLED_TASKS)) as JsonObject,
+                storedStates[0].getValue(Keys.JOB + key.removePrefix(Keys.CANCELLED_TASKS)) as JsonObject,
             )
         assertEquals(list, CancelledTasksValue.encode(job.cancelledTasks()))
         assertEquals(
             job.attempts.values.map { listOf<Any>(it.machine.name, it.taskIndex, it.number) },
-            formerCancelledTasks(list),
+            decodeFormat1CancelledTasks(list),
         )
     }
 
     @Test
-    fun `messages between controllers keep their bytes`() {
+    fun `messages between controllers are encoded to the same bytes as in format 1`() {
         val messages = samples.getValue("messages") as JsonObject
 
         fun bytes(name: String) = Base64.getDecoder().decode((messages.getValue(name) as JsonPrimitive).content)
@@ -159,11 +163,11 @@
             bytes("PeerAnswer"),
             ProtoBuf.encodeToByteArray(ProtoBuf.decodeFromByteArray<PeerJobResponse>(bytes("PeerAnswer"))),
         )
-        for ((key, value) in under(Keys.CAPACITY)) {
-            val room = Base64.getDecoder().decode((value.getValue("b") as JsonPrimitive).content)
+        for ((key, value) in storedUnder(Keys.CAPACITY)) {
+            val encodedSummary = Base64.getDecoder().decode((value.getValue("b") as JsonPrimitive).content)
             assertArrayEquals(
-                room,
-                ProtoBuf.encodeToByteArray(ProtoBuf.decodeFromByteArray<CapacitySummary>(room)),
+                encodedSummary,
+                ProtoBuf.encodeToByteArray(ProtoBuf.decodeFromByteArray<CapacitySummary>(encodedSummary)),
                 key,
             )
         }
@@ -178,13 +182,13 @@
             cache.load(Listing(items, 100))
         }
 
-    /** The state of the previous program holds no announcement, so nothing of a later format is written. */
+    /** A program of format 1 stores no announcements, so the fleet counts as mixed and no later format is written. */
     @Test
-    fun `the shared keys of the previous program say that the fleet is mixed`() {
+    fun `shared keys of format 1 count as a mixed fleet`() {
         val cache = SharedKeyCache()
         cache.load(
             Listing(
-                states[0].filterKeys { it.startsWith(Keys.PREFIX) }.map { (key, value) ->
+                storedStates[0].filterKeys { it.startsWith(Keys.PREFIX) }.map { (key, value) ->
                     KeyValue(key, value as JsonObject, 1)
                 },
                 5,
@@ -200,26 +204,26 @@
     }
 
     @Test
-    fun `the format is raised once every host has announced it, and never before`() {
+    fun `the format is raised when every host has announced it, and not before`() {
         val hosts = listOf("n0", "n1", "n2")
         val live = "c/live/n0" to "{\"process\":\"p\",\"format\":2}"
         assertEquals(UpgradeStep.Announce, UpgradePlan.nextStep(sharedKeys(live), "n0", hosts))
-        // Found on a rollout: announced while the live key was the former process's, it looked like a downgrade.
+        // Nothing is announced while the live key is still the previous process's: the host would look downgraded.
         assertEquals(
             UpgradeStep.WaitFor(listOf("n0")),
             UpgradePlan.nextStep(sharedKeys("c/live/n0" to "{\"process\":\"old\"}"), "n0", hosts),
         )
-        val two = arrayOf("c/version/n0" to "{\"n\":2}", "c/version/n1" to "{\"n\":2}")
-        assertEquals(UpgradeStep.WaitFor(listOf("n2")), UpgradePlan.nextStep(sharedKeys(*two), "n0", hosts))
-        val three = two + ("c/version/n2" to "{\"n\":2}")
-        assertEquals(UpgradeStep.Raise, UpgradePlan.nextStep(sharedKeys(*three), "n0", hosts))
-        val raised = three + ("c/format" to "{\"n\":2}")
+        val announcedByTwo = arrayOf("c/version/n0" to "{\"n\":2}", "c/version/n1" to "{\"n\":2}")
+        assertEquals(UpgradeStep.WaitFor(listOf("n2")), UpgradePlan.nextStep(sharedKeys(*announcedByTwo), "n0", hosts))
+        val announcedByThree = announcedByTwo + ("c/version/n2" to "{\"n\":2}")
+        assertEquals(UpgradeStep.Raise, UpgradePlan.nextStep(sharedKeys(*announcedByThree), "n0", hosts))
+        val raised = announcedByThree + ("c/format" to "{\"n\":2}")
         assertEquals(UpgradeStep.Finished, UpgradePlan.nextStep(sharedKeys(*raised), "n0", hosts))
         assertEquals(UpgradePhase.UNIFORM, UpgradePlan.phase(sharedKeys(*raised)))
     }
 
     @Test
-    fun `a host that returns with an older version than it had announced is named`() {
+    fun `a host that runs an older version than it has announced is reported as downgraded`() {
         val cache =
             sharedKeys(
                 "c/version/n0" to "{\"n\":2}",
