--- a/src/main/kotlin/micatally/scheduling/AllOrNothingPlacement.kt
+++ b/src/main/kotlin/micatally/scheduling/AllOrNothingPlacement.kt
@@ -12,9 +12,9 @@
 import micatally.worker.Machine
 
 /**
- * Places the tasks of gangs, and of services that must be in one zone, all at once or not at all.
+ * Places the tasks of a gang, or of a service whose replicas must share one zone, either all at once or not at all.
  *
- * @param onNoCapacity receives the resource request of a job whose tasks did not all find free capacity
+ * @param onNoCapacity called with the job and its resource request when there is no free capacity for all the tasks
  */
 class AllOrNothingPlacement(
     private val settings: Settings,
@@ -23,9 +23,9 @@
     private val onNoCapacity: (Job, ResourceRequest) -> Unit,
 ) {
     /**
-     * Places a new run of a gang, or replacements for tasks that a waiting run has lost.
+     * Places all tasks of a new run of a gang. If a run is waiting and has lost tasks, places replacements for those.
      *
-     * @param maxAttempts how many more attempts the job may have
+     * @param maxAttempts how many more attempts the job may have; nothing is placed if more tasks than this are missing
      */
     fun placeGang(
         job: Job,
@@ -41,11 +41,14 @@
         if (isReplacing) {
             placeReplacements(job, spec, gang, missing, now)
         } else {
-            placeWhole(job, spec, missing, now) { job.nextAttempt++.also { gang.beginRun(it) } }
+            placeAllOrNone(job, spec, missing, now) { job.nextAttempt++.also { gang.beginRun(it) } }
         }
     }
 
-    /** Replacements whose image would arrive after the other workers stop waiting are useless: the run is given up. */
+    /**
+     * Places replacements for the [missing] tasks of a waiting run. If their image may arrive only after the other
+     * workers have stopped waiting, the replacements are useless, and the run is given up.
+     */
     private fun placeReplacements(
         job: Job,
         spec: JobSpec,
@@ -53,19 +56,19 @@
         missing: List<Int>,
         now: Long,
     ) {
-        val assignment = placeWhole(job, spec, missing, now) { gang.runNumber } ?: return
+        val assignment = placeAllOrNone(job, spec, missing, now) { gang.runNumber } ?: return
         val waitedMs = gang.waitingSinceMs?.let { now - it } ?: 0L
-        val isTooLate = waitedMs + assignment.imagePullS * MS_PER_S * PULL_TIME_MARGIN > settings.gangWaitMs
-        if (isTooLate) actions.gangs.giveUpRun(job, "a replacement needs ${assignment.imagePullS} s")
+        val isTooLate = waitedMs + assignment.imagePullS * MS_PER_S * PULL_TIME_FACTOR > settings.gangWaitMs
+        if (isTooLate) actions.gangs.giveUpRun(job, "a replacement needs ${assignment.imagePullS} s to pull its image")
     }
 
     /**
-     * Places all of these tasks, in one zone if the job demands it, or none of them.
+     * Places all of [tasks], in one zone if the job demands it, or none of them.
      *
-     * @param attemptNumber gives the number that the attempts share; called only when every task has found a machine
-     * @return the chosen machines; null if none was placed
+     * @param attemptNumber returns the number that the attempts share; called only if every task has found a machine
+     * @return the chosen machines; null if nothing was placed
      */
-    fun placeWhole(
+    fun placeAllOrNone(
         job: Job,
         spec: JobSpec,
         tasks: List<Int>,
@@ -88,7 +91,10 @@
         return assignment
     }
 
-    /** A machine ignores a second command for the same task of the same run, so a replacement must go to another one. */
+    /**
+     * Whether the machine may take replacements for all of [tasks]. A machine ignores a second command for the same
+     * task of the same run, so a replacement must go to a machine that this task was not assigned to in the run.
+     */
     private fun mayTake(
         gang: Gang?,
         tasks: List<Int>,
@@ -99,8 +105,8 @@
     }
 
     /**
-     * The resource request for tasks that must be in one zone names a single zone: the one where most of them fit already, or,
-     * where none fits anywhere, each zone in turn.
+     * Builds the resource request for tasks that could not be placed. If they must share one zone, the request names a
+     * single zone: the one where most of them fit already. If none fits anywhere, the zones take turns.
      */
     private fun requestFor(
         spec: JobSpec,
@@ -112,10 +118,10 @@
         val request = Placement.resourceRequest(spec, zoneRule, settings.zones, count)
         if (!spec.together || request.zones.isEmpty()) return request
         val fitting = candidates.groupBy { it.zone }.mapValues { (_, list) -> list.sumOf { minOf(it.capacity, count) } }
-        val turnMs = view.machines.bootMs(null) * BOOTS_PER_ZONE
-        val turn = (now / turnMs % request.zones.size).toInt()
-        val fullest = request.zones.maxBy { fitting[it] ?: 0 }
-        val zone = if ((fitting[fullest] ?: 0) > 0) fullest else request.zones[turn]
+        val zoneTurnMs = view.machines.bootMs(null) * BOOT_TIMES_PER_ZONE
+        val zoneIndex = (now / zoneTurnMs % request.zones.size).toInt()
+        val fullestZone = request.zones.maxBy { fitting[it] ?: 0 }
+        val zone = if ((fitting[fullestZone] ?: 0) > 0) fullestZone else request.zones[zoneIndex]
         val missing = maxOf(1, count - (fitting[zone] ?: 0))
         return request.copy(zones = listOf(zone), count = missing, zoneLimits = emptyList())
     }
@@ -123,10 +129,16 @@
     private companion object {
         const val MS_PER_S = 1000
 
-        /** Pull rates differ by a third, and images that are pulled at the same time share the rate. */
-        const val PULL_TIME_MARGIN = 2
+        /**
+         * Factor on the estimated pull time of an image. The pull rates of machines differ by a third, and images that
+         * a machine pulls at the same time share its rate.
+         */
+        const val PULL_TIME_FACTOR = 2
 
-        /** For this many boot times machines are requested in the same zone, for a gang that must be in one zone. */
-        const val BOOTS_PER_ZONE = 4
+        /**
+         * How many machine boot times each zone's turn takes in requests for tasks that must share a zone and fit
+         * nowhere.
+         */
+        const val BOOT_TIMES_PER_ZONE = 4
     }
 }
--- a/src/main/kotlin/micatally/scheduling/CapacityMisses.kt
+++ b/src/main/kotlin/micatally/scheduling/CapacityMisses.kt
@@ -4,15 +4,16 @@
 import micatally.wire.Resources
 
 /**
- * Remembers, within one scheduling cycle, which task shapes could not be placed.
+ * Remembers which task shapes could not be placed in the current scheduling cycle.
  *
- * Within a cycle free capacity only shrinks, so a shape that found none need not be searched for again. With hundreds of
- * machines and pending jobs that search would otherwise take all of the CPU.
+ * Free capacity only shrinks within a cycle. So once a shape has found no machine, the cycle need not search the
+ * machines for this shape again. With hundreds of machines and pending jobs, repeated searches would take all of the
+ * CPU.
  */
 class CapacityMisses(
     private val allZones: List<String>,
 ) {
-    /** Everything about a pending task that decides which machines it fits on. */
+    /** The properties of a pending task that decide which machines it may use and which tasks it may preempt. */
     private data class TaskShape(
         val resources: Resources,
         val types: Set<String>?,
@@ -22,6 +23,7 @@
         val priority: Int,
     )
 
+    /** A shape of tasks that wait in a priority queue. */
     private data class QueuedShape(
         val shape: TaskShape,
         val queue: Int,
@@ -30,13 +32,13 @@
     private val withoutCapacity = HashSet<TaskShape>()
     private val withoutVictims = HashSet<QueuedShape>()
 
-    /** Forgets everything; called at the start of each cycle. */
+    /** Removes all entries. Called at the start of each cycle. */
     fun clear() {
         withoutCapacity.clear()
         withoutVictims.clear()
     }
 
-    /** Notes that no machine has free capacity for a task like this one. */
+    /** Records that no machine has free capacity for a task of this job. */
     fun addWithoutCapacity(
         spec: JobSpec,
         zoneRule: ZoneRule,
@@ -44,12 +46,13 @@
         withoutCapacity.add(shapeOf(spec, zoneRule))
     }
 
+    /** Whether a task of the same shape has found no free capacity in this cycle. */
     fun isWithoutCapacity(
         spec: JobSpec,
         zoneRule: ZoneRule,
     ): Boolean = shapeOf(spec, zoneRule) in withoutCapacity
 
-    /** Notes that preemption can't free capacity for a task like this one that waits in [queue]. */
+    /** Records that preemption can't free capacity for a task of this job that waits in [queue]. */
     fun addWithoutVictims(
         spec: JobSpec,
         zoneRule: ZoneRule,
@@ -58,6 +61,7 @@
         withoutVictims.add(QueuedShape(shapeOf(spec, zoneRule), queue))
     }
 
+    /** Whether preemption could not free capacity for a task of the same shape and queue in this cycle. */
     fun isWithoutVictims(
         spec: JobSpec,
         zoneRule: ZoneRule,
--- a/src/main/kotlin/micatally/scheduling/ClusterView.kt
+++ b/src/main/kotlin/micatally/scheduling/ClusterView.kt
@@ -8,9 +8,9 @@
 import micatally.worker.MachineRegistry
 
 /**
- * The machines as placement sees them, and the pending requests that it has to respect.
+ * The machines that placement may choose from, and the pending resource requests for which capacity is reserved.
  *
- * @param peerRequests gives the resource requests that other controllers could not place; called once in each cycle
+ * @param peerRequests returns the resource requests that the other controllers could not place; called once per cycle
  */
 class ClusterView(
     private val settings: Settings,
@@ -19,41 +19,45 @@
 ) {
     val turns = ControllerTurns(settings)
 
-    /** Services of other controllers that found no free capacity. */
+    /** The resource requests of other controllers' services that found no free capacity. */
     var peerServiceRequests: List<ResourceRequest> = emptyList()
         private set
     private var peerGangRequests: List<ResourceRequest> = emptyList()
 
-    /** Gangs of this controller that found no free capacity in the present pass over the jobs. */
+    /** The requests of this controller's gangs that found no free capacity in the current pass over the jobs. */
     private val ownGangRequests = ArrayList<ResourceRequest>()
 
     /** The machines that had free capacity when the cycle began; null outside a cycle. */
     private var available: AvailableMachines? = null
 
     /**
-     * With a full fleet and many pending jobs, searching all machines for each of them would take nearly all the time of a
-     * cycle.
+     * The usable machines that had free cores, and among them those that had free GPUs, when the cycle began. With a
+     * full fleet and many pending jobs, searching all machines for each job would take nearly all the time of a cycle.
      */
     private class AvailableMachines(
         val withFreeCores: List<Machine>,
         val withFreeGpus: List<Machine>,
     )
 
+    /** Reserves capacity for a gang of this controller until [clearOwnGangRequests]. */
     fun addOwnGangRequest(request: ResourceRequest) {
         ownGangRequests.add(request)
     }
 
+    /** Drops the requests of this controller's gangs. Called at the start of each pass over the jobs. */
     fun clearOwnGangRequests() = ownGangRequests.clear()
 
     /**
-     * The requests that are more important than [priority] and for which free capacity is reserved: tasks of this priority leave
-     * capacity alone that one of them fits in. They are services of other controllers, and gangs, whose capacity single tasks
-     * would otherwise fill again before there is enough of it.
+     * Returns the pending requests with a more important priority than [priority] for which free capacity is reserved.
+     * A task of this priority must not use free capacity in which a task of one of these requests fits.
+     *
+     * Capacity is reserved for services of other controllers and for gangs of all controllers. Without this, single
+     * tasks would take each piece of freed capacity, and a gang would never find enough of it at once.
      */
-    fun requestsBefore(priority: Int): List<ResourceRequest> =
+    fun reservingRequests(priority: Int): List<ResourceRequest> =
         (peerServiceRequests + peerGangRequests + ownGangRequests).filter { it.priority < priority }
 
-    /** Takes the state of the machines and of the peers' requests on which the cycle decides. */
+    /** Records the machines with free capacity and the peers' requests. The cycle uses these until [endCycle]. */
     fun beginCycle(now: Long) {
         val requests = peerRequests()
         peerServiceRequests = requests.filter { it.isService }
@@ -64,6 +68,7 @@
         available = AvailableMachines(withFreeCores, withFreeGpus)
     }
 
+    /** Drops the list of machines with free capacity. */
     fun endCycle() {
         available = null
     }
@@ -71,27 +76,32 @@
     private fun freeCapacityOf(machine: Machine): Resources =
         machines.total(machine)?.let { it - machine.used } ?: Resources.NONE
 
-    /** The machines that are worth a look for a task of this job. Not all of them need be usable. */
+    /** The machines to consider for a task of this job. Some of them may not be usable, see [isUsable]. */
     fun candidatesFor(spec: JobSpec): Collection<Machine> {
-        val inCycle = available
-        if (inCycle == null || spec.resources.cores <= 0) return machines.byName.values
-        return if (spec.resources.gpus > 0) inCycle.withFreeGpus else inCycle.withFreeCores
+        val availableInCycle = available
+        if (availableInCycle == null || spec.resources.cores <= 0) return machines.byName.values
+        return if (spec.resources.gpus > 0) availableInCycle.withFreeGpus else availableInCycle.withFreeCores
     }
 
-    /** Whether tasks may be placed on the machine now, as far as its own condition goes. */
+    /**
+     * Whether tasks may be placed on the machine now. Considers only the state of the machine, not its free capacity
+     * nor what the job allows.
+     */
     fun isUsable(
         machine: Machine,
         now: Long,
     ): Boolean {
         val isLeaving = machine.deleted || machine.draining || machine.hasSpotNotice
         val hasReported = machine.incarnation > 0 && machine.addr.isNotEmpty()
-        val isHeardFrom = now - machine.heardAt < settings.leaseMs / 2 + settings.heartbeatIntervalMs
-        if (isLeaving || !hasReported || !isHeardFrom) return false
+        val hasRecentContact = now - machine.heardAt < settings.leaseMs / 2 + settings.heartbeatIntervalMs
+        if (isLeaving || !hasReported || !hasRecentContact) return false
         return now >= machine.channel.unreachableUntilMs && now >= machine.fullUntil &&
             now >= machine.health.excludedUntil
     }
 
-    /** Whether the machine is of a type and in a zone that the request names, and no unwanted spot instance. */
+    /**
+     * Whether the request allows the type and the zone of the machine and, if it is a spot instance, spot instances.
+     */
     fun mayUse(
         request: ResourceRequest,
         machine: Machine,
--- a/src/main/kotlin/micatally/scheduling/ControllerTurns.kt
+++ b/src/main/kotlin/micatally/scheduling/ControllerTurns.kt
@@ -3,7 +3,10 @@
 import micatally.settings.Settings
 import micatally.worker.Machine
 
-/** The order in which controllers act where all of them see the same and would otherwise do the same. */
+/**
+ * The order in which controllers act on the same information. Without an order, all controllers would choose the same
+ * machine or preempt tasks for the same request at the same time.
+ */
 class ControllerTurns(
     settings: Settings,
 ) {
@@ -14,23 +17,27 @@
     val controllerCount get() = controllerHosts.size
 
     /**
-     * This controller's place in the order in which controllers may use capacity that has become free on the machine; 0 is
-     * first. All of them see it and would choose it, and the worker would refuse all but one. First comes the controller whose
-     * task has left, then the others in an order that depends on the machine's name.
+     * This controller's position in the order in which controllers may use capacity that has become free on the
+     * machine; 0 is first. The controller whose task has left comes first, then the others in an order that depends on
+     * the machine's name. Without this order all controllers would choose the machine, and its worker would refuse all
+     * but one of them.
      */
     fun turnOf(machine: Machine): Int {
         if (machine.freedBy == null) return 0
-        val order = Math.floorMod(machine.name.hashCode() - ownIndex, controllerHosts.size)
-        return if (machine.freedBy == Machine.NOBODY) order else order + 1
+        val position = Math.floorMod(machine.name.hashCode() - ownIndex, controllerHosts.size)
+        return if (machine.freedBy == Machine.NOBODY) position else position + 1
     }
 
-    /** Whether this controller's turn at the machine has come; it does not end. */
+    /** Whether this controller's turn at the machine has come. A turn has no end: later turns only add controllers. */
     fun hasTurn(
         machine: Machine,
         now: Long,
     ): Boolean = now >= machine.freedAt + turnOf(machine) * machineTurnMs
 
-    /** Whether it is this controller's turn, in turns of this length, to do what only one of them should do at a time. */
+    /**
+     * Whether it is this controller's turn to do what only one controller should do at a time. Each turn takes
+     * [lengthMs], and the controllers take turns in the order of their host names.
+     */
     fun isOwnTurn(
         now: Long,
         lengthMs: Long,
--- a/src/main/kotlin/micatally/scheduling/JobOrder.kt
+++ b/src/main/kotlin/micatally/scheduling/JobOrder.kt
@@ -18,15 +18,16 @@
             ),
         )
 
-    /** Whether two jobs differ by their arrival only, so that none of them has a claim to go first. */
+    /** Whether two jobs have the same queue and the same user priority, so that only their arrival orders them. */
     fun haveSamePriority(
         left: Job,
         right: Job,
     ): Boolean = queues.queueOf(left) == queues.queueOf(right) && left.spec?.priority == right.spec?.priority
 
     /**
-     * The submission time, plus a penalty for the tasks that are left. Among jobs that arrived at about the same time the
-     * shorter one goes first: it completes sooner, and the longer one hardly later. Services have no end and no penalty.
+     * The submission time in ms, plus a penalty for each task that is not done. Among jobs that arrived at about the
+     * same time, the one with fewer remaining tasks goes first: it completes much sooner, and this hardly delays the
+     * longer one. Services have no penalty, as they never complete.
      */
     private fun effectiveArrivalMs(job: Job): Long {
         val isService = job.spec?.isService != false
@@ -36,10 +37,10 @@
     }
 
     private companion object {
-        /** Jobs whose specification is not known sort behind all priorities. */
+        /** Sorts jobs without a specification after all user priorities. */
         const val PRIORITY_WITHOUT_SPEC = 9
 
-        /** This many remaining tasks put a job behind one that arrived a lease time later. */
+        /** This many remaining tasks count like an arrival one lease duration later. */
         const val REMAINING_TASKS_PER_LEASE = 8
     }
 }
--- a/src/main/kotlin/micatally/scheduling/JobPlacement.kt
+++ b/src/main/kotlin/micatally/scheduling/JobPlacement.kt
@@ -5,7 +5,7 @@
 import micatally.wire.JobSpec
 import org.slf4j.LoggerFactory
 
-/** Places the pending tasks of one job on machines, as far as free capacity, quota and the job's limits allow. */
+/** Places pending tasks of one job on machines, as far as free capacity, the quota and the job's limits allow. */
 class JobPlacement(
     private val settings: Settings,
     private val view: ClusterView,
@@ -19,10 +19,12 @@
     private val log = LoggerFactory.getLogger("micatally.scheduling")
 
     /**
-     * Places what can be placed of the job now.
+     * Places as many pending tasks of the job as possible, up to the limit for one call.
      *
-     * @param imagePreference whether the image may have to be pulled first; ignored for tasks that are placed all at once
-     * @return whether everything tried found a machine and more tasks are pending, so that another cycle is worth it
+     * @param imagePreference whether machines may be used that have to pull the image first; ignored for tasks that are
+     * placed all at once
+     * @return true if every task that was tried found a machine and more tasks are pending, so that another cycle is
+     * worthwhile
      */
     fun place(
         job: Job,
@@ -45,13 +47,16 @@
         val pending = job.pending(batchSize(spec, maxAttempts))
         if (pending.isEmpty()) return false
         if (spec.isPlacedWhole) {
-            allOrNothing.placeWhole(job, spec, pending, now) { job.nextAttempt++ }
+            allOrNothing.placeAllOrNone(job, spec, pending, now) { job.nextAttempt++ }
             return false
         }
         return placeEach(job, spec, pending, now, imagePreference)
     }
 
-    /** The quota is asked last, and only for a shape that is known to find no machine: asking may request more of it. */
+    /**
+     * Whether a task of the same shape has found no machine in this cycle, and the quota would admit the task. The
+     * quota is checked last because the check itself may request a larger allotment.
+     */
     private fun isKnownMiss(
         job: Job,
         spec: JobSpec,
@@ -60,6 +65,7 @@
         return misses.isWithoutCapacity(spec, Placement.zoneRule(job, spec)) && actions.isWithinQuota(job)
     }
 
+    /** How many tasks to place in one call: all of a service, but at most [MAX_TASKS_PER_CYCLE] of an array. */
     private fun batchSize(
         spec: JobSpec,
         maxAttempts: Int,
@@ -97,7 +103,7 @@
         return placed == pending.size && job.pendingCount > 0
     }
 
-    /** How many more attempts the job may have. One that fails everywhere is tried with a single task at a time. */
+    /** How many more attempts the job may have now. A job that fails on every machine gets one attempt at a time. */
     private fun remainingAttempts(job: Job): Int {
         val isTriedSingly = job.health.isSuspect && job.spec?.isPlacedWhole == false
         if (isTriedSingly) return MAX_ATTEMPTS_OF_SUSPECT_JOB - job.attempts.size
@@ -116,12 +122,12 @@
         log.warn("job {}: {} of {} tasks at once, as many as its record holds", job.jobId, maxAttempts, job.taskCount)
     }
 
-    /** Limits that [UnplacedTasks] shares. */
+    /** Limits of placement; [UnplacedTasks] uses one of them too. */
     companion object {
-        /** How many tasks of a job are placed by one call; the rest follows after the other jobs. */
+        /** How many tasks of an array are placed by one call. The others follow after the other jobs had their turn. */
         private const val MAX_TASKS_PER_CYCLE = 100
 
-        /** How many attempts a job may have at a time that fails on every machine. */
+        /** How many attempts a job that fails on every machine may have at the same time. */
         const val MAX_ATTEMPTS_OF_SUSPECT_JOB = 1
     }
 }
--- a/src/main/kotlin/micatally/scheduling/MachineSelector.kt
+++ b/src/main/kotlin/micatally/scheduling/MachineSelector.kt
@@ -8,14 +8,15 @@
 import micatally.wire.Resources
 import micatally.worker.Machine
 
-/** Whether a task may be placed where its image has to be pulled first. */
+/** Whether a task may be placed on a machine that has to pull the image first. */
 enum class ImagePreference { ANY_MACHINE, ONLY_WITH_IMAGE }
 
 /**
- * Selects machines for the tasks of one job, best first. Scores are computed once: placing a task changes only the score of
- * its own machine and the task count of its zone.
+ * Selects machines for the tasks of one job, best first. All scores are computed once at the start. After that, placing
+ * a task changes only the score of its machine and the number of attempts in its zone.
  *
- * @param migrating an attempt that will have ended before the task starts elsewhere
+ * @param migrating an attempt that does not count for the zone rule, because it will have ended before the task starts
+ * on the selected machine
  */
 class MachineSelector(
     private val view: ClusterView,
@@ -25,18 +26,26 @@
     private val imagePreference: ImagePreference = ImagePreference.ANY_MACHINE,
     migrating: Attempt? = null,
 ) {
-    /** Services and gangs must start at once; that another controller may choose the same machine only worsens the score. */
-    private val takesTurns = !spec.isService && !spec.isGang
-
-    /** Capacity in which one of these more important requests fits is left alone. */
-    private val reservingRequests = if (spec.isService) emptyList() else view.requestsBefore(spec.priority.ordinal)
-
-    /** The zones in which the next task may start. */
+    /**
+     * Whether machines are skipped until this controller's turn at them has come. Services and gangs must start at once
+     * and don't wait. For them, controllers that come earlier in the order only worsen the machine's score.
+     */
+    private val waitsForTurn = !spec.isService && !spec.isGang
+
+    /**
+     * The more important requests for which capacity is reserved: free capacity in which one of them fits is not used.
+     */
+    private val reservingRequests = if (spec.isService) emptyList() else view.reservingRequests(spec.priority.ordinal)
+
+    /** Tells in which zones the next task may start. */
     var zoneRule = Placement.zoneRule(job, spec, migrating)
         private set
     private val candidates = ArrayList<Candidate>()
 
-    /** Whether a machine has capacity at which this controller's turn is still to come, so that none need be requested yet. */
+    /**
+     * Whether a machine with enough free capacity was skipped because this controller's turn at it has not come yet. In
+     * this case no further capacity is requested and nothing is preempted yet.
+     */
     var isDeferred = false
         private set
     private var lastChoice: Candidate? = null
@@ -63,14 +72,17 @@
         val machineType = view.machines.machineTypes[machine.type] ?: return
         val candidate = Candidate(machine, machineType)
         if (!candidate.updateScore()) return
-        if (takesTurns && !view.turns.hasTurn(machine, now)) {
+        if (waitsForTurn && !view.turns.hasTurn(machine, now)) {
             isDeferred = true
         } else {
             candidates.add(candidate)
         }
     }
 
-    /** The best machine for one more task, or null. The caller has placed a task on the machine that it got before. */
+    /**
+     * Returns the best machine for one more task, or null if there is none. Must be called only after a task has been
+     * placed on the machine that the previous call returned.
+     */
     fun next(): Machine? {
         lastChoice?.let {
             if (!it.updateScore()) candidates.remove(it)
@@ -81,7 +93,7 @@
         return best?.machine
     }
 
-    /** Of machines with the same score the first by name. */
+    /** Returns the candidate with the lowest score. Among equal scores the first machine by name wins. */
     private fun bestCandidate(): Candidate? {
         var best: Candidate? = null
         var bestScore = Double.MAX_VALUE
@@ -98,7 +110,7 @@
         return best
     }
 
-    /** All machines, for tasks that are placed at once. */
+    /** Returns all candidates in allowed zones, for tasks that are placed all at once. */
     fun gangCandidates(): List<GangCandidate<Machine>> =
         candidates.filter { zoneRule.allows(it.machine.zone) }.map { it.toGangCandidate() }
 
@@ -109,12 +121,12 @@
         var score = 0.0
             private set
 
-        /** Computes the score anew; false if the task does not fit or the capacity is reserved. */
+        /** Recomputes the score. Returns false if the task does not fit or the capacity is reserved. */
         fun updateScore(): Boolean {
             val free = machineType.resources - machine.used
             if (!spec.resources.fitsIn(free) || isReserved(free)) return false
             score = MachineScore.of(spec, machine, machineType, free)
-            if (!takesTurns) score += view.turns.turnOf(machine) * TURN_WEIGHT
+            if (!waitsForTurn) score += view.turns.turnOf(machine) * TURN_WEIGHT
             return true
         }
 
@@ -133,10 +145,16 @@
     }
 
     private companion object {
-        /** What each turn that other controllers have before this one adds to a machine's score, for tasks that don't wait. */
+        /**
+         * What each controller that comes before this one in the order at a machine adds to the machine's score, in
+         * seconds. Used for tasks that don't wait for this controller's turn.
+         */
         const val TURN_WEIGHT = 0.5
 
-        /** A second of image pulling counts this much more for a gang, which starts with its slowest machine. */
+        /**
+         * How many times each second of image pulling counts for a gang, which starts when its slowest machine is
+         * ready.
+         */
         const val GANG_PULL_WEIGHT = 10
     }
 }
--- a/src/main/kotlin/micatally/scheduling/PendingRequests.kt
+++ b/src/main/kotlin/micatally/scheduling/PendingRequests.kt
@@ -4,8 +4,8 @@
 import micatally.wire.ResourceRequest
 
 /**
- * The resource requests of jobs whose tasks found no machine. A pass over all jobs may take several cycles; until it is
- * complete its requests are collected aside and [latest] keeps those of the previous pass.
+ * The resource requests of jobs whose tasks found no machine. A pass over all jobs may take several scheduling cycles.
+ * Until a pass is complete, its requests are collected separately, and [latest] holds those of the previous pass.
  */
 class PendingRequests {
     private var collected = LinkedHashMap<String, ResourceRequest>()
@@ -23,6 +23,7 @@
         collected = LinkedHashMap()
     }
 
+    /** Adds a request of the current pass. It replaces an earlier one of the same job. */
     fun add(
         job: Job,
         request: ResourceRequest,
--- a/src/main/kotlin/micatally/scheduling/Placement.kt
+++ b/src/main/kotlin/micatally/scheduling/Placement.kt
@@ -7,9 +7,12 @@
 import micatally.wire.ResourceRequest
 import micatally.worker.Machine
 
-/** Where the tasks of a job may go. Pure decisions: no I/O, no clock and no state. [MachineScore] says where they go best. */
+/**
+ * Decides where tasks of a job may be placed. [MachineScore] ranks the allowed machines. All functions are pure: no
+ * I/O, no clock and no state.
+ */
 object Placement {
-    /** Whether machines of this type may take a task of the job and are large enough for it. */
+    /** Whether the job allows this machine type and one of its tasks fits on an empty machine of the type. */
     fun mayUseType(
         spec: JobSpec,
         machineType: MachineType,
@@ -18,22 +21,24 @@
         return isAllowed && spec.resources.fitsIn(machineType.resources)
     }
 
-    /** Whether the job allows the type of the machine and, if it is a spot instance, allows those. */
+    /** Whether the job allows the type of the machine and, if it is a spot instance, spot instances. */
     fun mayUse(
         spec: JobSpec,
         machine: Machine,
     ): Boolean = (!machine.isSpot || spec.isSpot) && (spec.types == null || machine.type in spec.types)
 
-    /** Whether there is any machine type, in a zone the job allows, that could take one of its tasks. */
+    /** Whether one of the job's tasks could run on any machine type that is offered in a zone the job allows. */
     fun isPossible(
         spec: JobSpec,
         machineTypes: Collection<MachineType>,
     ): Boolean = machineTypes.any { mayUseType(spec, it) && (spec.zone == null || spec.zone in it.zones) }
 
-    /** How many tasks of the job one zone may have: half of them, rounded up, if they are to be scattered. */
+    /**
+     * How many tasks of the job one zone may have: half of them, rounded up, if they must be scattered, or else all.
+     */
     fun zoneCap(spec: JobSpec): Int = if (spec.scatter) (spec.taskCount + 1) / 2 else spec.taskCount
 
-    /** Whether [zones] zones are enough for all tasks of the job at the same time. */
+    /** Whether all tasks of the job may run at the same time if there are [zones] zones. */
     fun fitsZones(
         spec: JobSpec,
         zones: Int,
@@ -43,9 +48,9 @@
     }
 
     /**
-     * The zones in which a further task of the job may start, given its live attempts.
+     * Returns the rule for the zones in which another task of the job may start, given its live attempts.
      *
-     * @param without an attempt that does not count, because it will have ended before the further task starts
+     * @param without an attempt that is not counted, because it will have ended before the other task starts
      */
     fun zoneRule(
         job: Job,
@@ -59,7 +64,7 @@
         return ZoneRule(spec, attemptsByZone)
     }
 
-    /** What [count] tasks of the job need of the fleet, as it is published to the other controllers. */
+    /** Builds the resource request for [count] tasks of the job, as it is published to the other controllers. */
     fun resourceRequest(
         spec: JobSpec,
         zoneRule: ZoneRule,
--- a/src/main/kotlin/micatally/scheduling/PlacementActions.kt
+++ b/src/main/kotlin/micatally/scheduling/PlacementActions.kt
@@ -8,7 +8,7 @@
 import micatally.worker.CommandDispatcher
 import micatally.worker.Machine
 
-/** What the scheduler may do to the jobs of this controller and their tasks. */
+/** The operations on this controller's jobs, quota and machines that the scheduler uses. */
 class PlacementActions(
     private val jobManager: JobManager,
     private val store: JobStore,
@@ -17,16 +17,22 @@
 ) {
     val gangs: GangSupervisor get() = jobManager.gangs
 
-    /** The jobs of this controller's shards that are neither complete nor cancelled. */
+    /** Returns the jobs of this controller's shards that are neither complete nor cancelled. */
     fun openJobs(): List<Job> = jobManager.openJobs()
 
-    /** Whether the quota admits this many more tasks of the job now. If it does not, a larger allotment is requested. */
+    /**
+     * Whether the quota admits [tasks] more tasks of the job now. If the allotment is too small, a larger one is
+     * requested.
+     */
     fun isWithinQuota(
         job: Job,
         tasks: Int = 1,
     ): Boolean = quota.allows(job, tasks)
 
-    /** Creates an attempt on the machine under the job's next number. Nothing is sent before the intent is durable. */
+    /**
+     * Creates an attempt on the machine with the job's next attempt number. No command is sent before the intent is
+     * durable.
+     */
     fun createAttempt(
         job: Job,
         taskIndex: Int,
@@ -35,7 +41,10 @@
         jobManager.place(job, taskIndex, machine)
     }
 
-    /** As above, under a given number: the tasks of a gang's run share one. */
+    /**
+     * Creates an attempt on the machine with the given attempt [number], since the tasks of a gang's run share one
+     * number. No command is sent before the intent is durable.
+     */
     fun createAttempt(
         job: Job,
         taskIndex: Int,
--- a/src/main/kotlin/micatally/scheduling/PlacementRequest.kt
+++ b/src/main/kotlin/micatally/scheduling/PlacementRequest.kt
@@ -6,22 +6,23 @@
 import micatally.wire.Resources
 import micatally.worker.Machine
 
-/** A pending task, of this controller or of another one, for which capacity may be freed by preemption. */
+/** A pending task of this or another controller, for which preemption may free capacity. */
 sealed interface PlacementRequest {
     val resources: Resources
 
     /** The ordinal of the user's priority: lower is more important. */
     val priority: Int
 
-    /** The priority queue in which the task waits: lower goes first. */
+    /** The index of the priority queue in which the task waits: lower goes first. */
     val queue: Int
 
-    /** For log lines. */
+    /** Names the request in log lines. */
     val name: String
 
+    /** Whether the task may be placed on the machine, regardless of free capacity. */
     fun mayUse(machine: Machine): Boolean
 
-    /** How well a machine with this much free capacity suits the task; the lowest score is the best. */
+    /** How well the machine suits the task if it has [free] capacity. The lowest score is the best. */
     fun score(
         machine: Machine,
         machineType: MachineType,
@@ -51,7 +52,7 @@
     }
 }
 
-/** A pending service of another controller, of which only its resource request is known here. */
+/** A pending service replica of another controller. Only its resource request is known here. */
 class PeerPlacementRequest(
     private val request: ResourceRequest,
     private val view: ClusterView,
@@ -75,7 +76,7 @@
     }
 
     private companion object {
-        /** The size of the image is not part of a resource request. */
+        /** Stands for the pull time in seconds, as a resource request does not contain the size of the image. */
         const val ASSUMED_IMAGE_PULL_S = 30.0
     }
 }
--- a/src/main/kotlin/micatally/scheduling/Preemption.kt
+++ b/src/main/kotlin/micatally/scheduling/Preemption.kt
@@ -11,8 +11,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Preempts array tasks to free capacity for more important work. Gangs are never preempted, and nothing is preempted for
- * them.
+ * Preempts tasks of arrays to free capacity for more important tasks. Services and gangs are never preempted, and
+ * nothing is preempted for a gang.
  */
 class Preemption(
     private val settings: Settings,
@@ -20,14 +20,14 @@
     private val queues: PriorityQueues,
     private val actions: PlacementActions,
 ) {
-    /** The tasks to preempt on one machine, and the capacity that is free there once they are gone. */
+    /** The tasks to preempt on one machine, and the capacity that will be free there once they are gone. */
     private class VictimPlan(
         val machine: Machine,
         val victims: List<Attempt>,
         val freeAfter: Resources,
     )
 
-    /** Tells requests of peers apart: which of them this controller has preempted tasks for, and when. */
+    /** Identifies a peer's request for a service, to remember when this controller last preempted tasks for it. */
     private data class PeerServiceKey(
         val image: String,
         val gpus: Double,
@@ -36,19 +36,23 @@
 
     private val log = LoggerFactory.getLogger("micatally.scheduling")
 
-    /** Capacity that tasks which are stopping will leave and that is meant for a pending task, by machine name. */
+    /** By machine name, the capacity that is reserved for pending tasks and that stopping tasks will free. */
     private val reservedByMachine = HashMap<String, Resources>()
+
+    /** When this controller last tried to free capacity for each service of a peer, in ms. */
     private val preemptedForPeersAt = HashMap<PeerServiceKey, Long>()
 
-    /** Drops all reservations: each pass over the jobs makes them anew. */
+    /** Drops all reservations. Each pass over the jobs makes new ones. */
     fun beginPass() = reservedByMachine.clear()
 
     /**
-     * Frees capacity for one pending task that fits nowhere. An array task that has passed its queue's bound may be preempted,
-     * once, for a task waiting two queues higher. Of the machines where this helps, the one that suits the pending task best
-     * is chosen.
+     * Frees capacity for one pending task that fits nowhere. A task of an array may be preempted if it has passed the
+     * upper bound of its queue and the pending task has a more important priority and waits at least two queues higher.
+     * Each task is preempted at most once. Of the machines where preemption frees enough capacity, the one that suits
+     * the pending task best is chosen.
      *
-     * @return whether enough capacity is now being freed on some machine; it is reserved for the task until the next pass
+     * @return whether enough capacity is being freed on some machine; it stays reserved for the task until the next
+     * pass
      */
     fun freeCapacityFor(
         request: PlacementRequest,
@@ -78,7 +82,7 @@
         return true
     }
 
-    /** The capacity that will be free and not reserved once the tasks that are already stopping are gone. */
+    /** The capacity that will be free and not reserved once the attempts that are being stopped have ended. */
     private fun expectedFreeCapacity(
         machine: Machine,
         machineType: MachineType,
@@ -88,7 +92,10 @@
         return free
     }
 
-    /** The tasks that started last are preempted first, as they lose least. Null if all of them would not be enough. */
+    /**
+     * Chooses the tasks to preempt on the machine. Those that started last come first, as they lose the least progress.
+     * Returns null if preempting all preemptible tasks would not free enough capacity.
+     */
     private fun planVictims(
         machine: Machine,
         machineType: MachineType,
@@ -118,7 +125,7 @@
         if (!isArray || attempt.stop != null || attempt.state != AttemptState.RUNNING) return false
         if (attempt.taskIndex in attempt.job.stoppedOnce || spec.priority.ordinal <= request.priority) return false
         val runS = (now - (attempt.runningSince ?: now)) / MS_PER_S
-        if (!queues.hasPassedBound(attempt.inherited, runS)) return false
+        if (!queues.hasPassedUpperBound(attempt.inherited, runS)) return false
         if (queues.queueOf(attempt.inherited + runS) < request.queue + QUEUES_ABOVE_VICTIM) return false
         // A task without checkpoints loses all its progress. Once that is more than the boot time of a new machine,
         // preempting it is not worth it.
@@ -147,8 +154,9 @@
     private fun resourcesOf(attempt: Attempt): Resources = attempt.job.spec?.resources ?: Resources.NONE
 
     /**
-     * Preempts tasks of this controller for services of others that are still pending though their controllers have preempted
-     * what they could. Controllers take turns, so that they do not all free capacity for the same service.
+     * Preempts tasks of this controller for services of other controllers that are still pending although those
+     * controllers have preempted what they could. Controllers take turns, so that they don't all free capacity for the
+     * same service.
      */
     fun freeCapacityForPeers(now: Long) {
         val turnMs = settings.heartbeatIntervalMs * HEARTBEATS_PER_TURN
@@ -172,11 +180,15 @@
         }
     }
 
-    /** Limits that [UnplacedTasks] shares. */
+    /** Limits of preemption; [UnplacedTasks] uses one of them too. */
     companion object {
         /** For how many tasks of one request capacity is freed in one cycle. */
         const val MAX_PREEMPTIONS_PER_CYCLE = 8
+
+        /** How many queues higher than a running task a pending task must wait to preempt it. */
         private const val QUEUES_ABOVE_VICTIM = 2
+
+        /** How many heartbeat intervals a controller's turn to preempt for peers takes. */
         private const val HEARTBEATS_PER_TURN = 2
         private const val MS_PER_S = 1000.0
         private const val NEVER = Long.MIN_VALUE / 2
--- a/src/main/kotlin/micatally/scheduling/PriorityQueues.kt
+++ b/src/main/kotlin/micatally/scheduling/PriorityQueues.kt
@@ -3,9 +3,10 @@
 import micatally.job.Job
 
 /**
- * Multi-level feedback queues. A job's attained service decides in which queue it waits; queue 0 goes first. Each attempt
- * inherits the attained service that its job had, and adds its own run time; the job's is the highest sum so far.
- * Jobs that have waited long for little service are promoted (aging).
+ * Multi-level feedback queues. A job's attained service, in seconds of run time, decides in which queue the job waits.
+ * Queue 0 goes first. Each attempt inherits the attained service that its job had when the attempt began, and adds its
+ * own run time. The attained service of the job is the highest such sum so far. A job that has waited long in
+ * proportion to its attained service is promoted by one queue (aging).
  *
  * @param upperBoundsS the attained service in seconds at which each queue ends, ascending; the last queue has no bound
  * @param promotionRatio a job is promoted by one queue if it has waited more than this many times its attained service
@@ -14,13 +15,16 @@
     private val upperBoundsS: List<Double>,
     private val promotionRatio: Double,
 ) {
-    /** The queue for this much attained service, without promotion. */
+    /** The queue for [serviceS] seconds of attained service, without promotion. */
     fun queueOf(serviceS: Double): Int {
         val queue = upperBoundsS.indexOfFirst { serviceS < it }
         return if (queue < 0) upperBoundsS.size else queue
     }
 
-    /** The queue in which the job waits now. Services are always in the first one: they are new or replace what was lost. */
+    /**
+     * The queue in which the job waits now, promotion included. A service is always in queue 0, since its pending tasks
+     * are new or replace lost replicas.
+     */
     fun queueOf(job: Job): Int {
         if (job.spec?.isService != false || job.service <= 0.0) return 0
         val queue = queueOf(job.service)
@@ -28,8 +32,11 @@
         return if (isPromoted) queue - 1 else queue
     }
 
-    /** Whether a task that began with [inheritedS] has, after running for [runS], outgrown the queue that it was placed from. */
-    fun hasPassedBound(
+    /**
+     * Whether a task has reached the upper bound of the queue that [inheritedS] seconds of attained service belong to,
+     * after running for [runS] seconds. False for the last queue, which has no bound.
+     */
+    fun hasPassedUpperBound(
         inheritedS: Double,
         runS: Double,
     ): Boolean {
--- a/src/main/kotlin/micatally/scheduling/ReplicaMigration.kt
+++ b/src/main/kotlin/micatally/scheduling/ReplicaMigration.kt
@@ -13,8 +13,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Moves replicas of services off draining machines. A migration goes through three steps: capacity is reserved on a target
- * machine; when the peers have learnt of the reservation the replica is stopped; when it is gone it is placed on the target.
+ * Moves replicas of services off draining machines. A migration has three steps: reserve capacity on a target machine;
+ * stop the replica once the peers know of the reservation; place the replica on the target once its attempt has ended.
  *
  * @param stateStoreAnswers whether the state store answers now and no write of this controller is queued
  */
@@ -47,10 +47,10 @@
     private var isCheckingStateStore = false
     private val planned = ArrayList<Migration>()
 
-    /** The targets of replicas that have been stopped and not been placed again. */
+    /** The target machines of replicas that have been stopped and are not placed again yet. */
     private val awaitingPlacement = HashMap<ReplicaId, Machine>()
 
-    /** Places replicas of the job that have been stopped to move on the machines where capacity was reserved for them. */
+    /** Places those replicas of the job that were stopped for a migration on the machines with their reservations. */
     fun placeMigrated(
         job: Job,
         spec: JobSpec,
@@ -82,8 +82,9 @@
     }
 
     /**
-     * Carries migrations off draining machines on, and plans new ones. Replicas move to machines that have their image, a few
-     * at a time, so that each of them is away for a moment only. Tasks that end by themselves are left to do so.
+     * Continues migrations off draining machines and plans new ones. Replicas move only to machines that have their
+     * image, and only a few at a time, so that each of them is away for a moment only. Not migrated are tasks of arrays
+     * and gangs, which end by themselves, and services whose replicas must share one zone.
      */
     fun migrateReplicas(now: Long) {
         awaitingPlacement.entries.removeIf { (replica, target) ->
@@ -92,7 +93,8 @@
         val draining = drainingMachines()
         if (draining.isEmpty() || isCheckingStateStore) return
         planned.removeIf { !it.isStillWanted }
-        // After this time the peers know of the reservation; one that placed a task before has the capacity.
+        // After half a heartbeat interval the peers know of the reservation. If a peer placed a task on the target
+        // before that, the peer keeps the capacity.
         val due = planned.filter { now - it.plannedAt >= settings.heartbeatIntervalMs / 2 }
         if (due.isNotEmpty()) carryOutAll(due)
         planMigrations(draining, due, now)
@@ -104,6 +106,7 @@
             isDraining && machine.attempts.isNotEmpty()
         }
 
+    /** Carries out the due migrations if the state store answers in time, and cancels them otherwise. */
     private fun carryOutAll(due: List<Migration>) {
         planned.removeAll(due.toSet())
         isCheckingStateStore = true
@@ -122,7 +125,11 @@
         }
     }
 
-    /** @param due migrations that are under way though not [planned] any more */
+    /**
+     * Plans migrations for replicas on draining machines, up to the limit of migrations in progress.
+     *
+     * @param due migrations that are being carried out and are no longer in [planned]
+     */
     private fun planMigrations(
         draining: List<Machine>,
         due: List<Migration>,
@@ -148,19 +155,19 @@
         if (!spec.isService || spec.isPlacedWhole) return false
         val isRunning = attempt.stop == null && attempt.state == AttemptState.RUNNING
         if (!isRunning || job.pendingCount > 0) return false
-        // One replica of a job at a time: the zone rule counts the others where they are.
+        // Only one replica of a job migrates at a time, since the zone rule counts the others in their present zones.
         val isMigrating = planned.any { it.attempt.job === job } || due.any { it.attempt.job === job }
         return !isMigrating && job.attempts.values.none { it.stop != null }
     }
 
-    /** Reserves capacity for the replica; false if there is none. */
+    /** Reserves capacity for the replica on another machine. Returns false if there is none. */
     private fun plan(
         attempt: Attempt,
         now: Long,
     ): Boolean {
         val job = attempt.job
         val spec = job.spec ?: return false
-        // It is gone before it starts elsewhere, so its present place does not count against its zone.
+        // The attempt ends before the replica starts on the target, so the zone rule must not count it.
         val selector =
             MachineSelector(view, job, spec, now, ImagePreference.ONLY_WITH_IMAGE, migrating = attempt)
         val target = selector.next() ?: return false
@@ -177,14 +184,15 @@
     }
 
     /**
-     * A stopped replica starts again only when its intent is durable, so the state store must have answered just before: a
-     * replica that was stopped as an outage of the store began would be away for all of it.
+     * Stops the replica, so that it can be placed on the target. It starts there only once its new intent is durable.
+     * So the state store must have answered just before: a replica that is stopped at the start of a state store outage
+     * would be away for the whole outage.
      */
     private fun carryOut(migration: Migration) {
         val attempt = migration.attempt
         attempt.stop(StopReason.DRAIN, nowMs())
         awaitingPlacement[ReplicaId(attempt.job.jobId, attempt.taskIndex)] = migration.target
-        log.info("task {} moves to {}", attempt, migration.target.name)
+        log.info("task {} is stopped to migrate to machine {}", attempt, migration.target.name)
         actions.requestSync(attempt.machine)
     }
 
@@ -193,8 +201,10 @@
     }
 
     private companion object {
-        /** One replica may be on its way for every so many draining machines, and always at least one. */
+        /** One migration may be in progress for each two draining machines, and always at least one. */
         const val MACHINES_PER_MIGRATION = 2
+
+        /** A heartbeat interval divided by this is the time in which the state store must answer. */
         const val STATE_STORE_TIMEOUTS_PER_HEARTBEAT = 4
     }
 }
--- a/src/main/kotlin/micatally/scheduling/Scheduler.kt
+++ b/src/main/kotlin/micatally/scheduling/Scheduler.kt
@@ -10,9 +10,9 @@
 import micatally.wire.ResourceRequest
 
 /**
- * Runs the scheduling cycles of this controller. A cycle visits the jobs with pending tasks in [JobOrder] and places what
- * finds free capacity. Cycles are started by events, have a time budget, and a cycle that exceeds it is continued by the
- * next one after the job where it stopped.
+ * Runs the scheduling cycles of this controller. A cycle visits the jobs with pending tasks in [JobOrder] and places
+ * the tasks that find free capacity. Events start cycles. Each cycle has a time budget. A cycle that exceeds it stops,
+ * and the next one continues with the following job. Such a sequence of cycles over all jobs is called a pass.
  *
  * @param stateStoreAnswers whether the state store answers now and no write of this controller is queued
  */
@@ -26,13 +26,15 @@
     private val cpuUsage: CpuUsage,
     private val nowMs: () -> Long,
 ) {
-    private val minGapMs = maxOf(MIN_CYCLE_MS, settings.heartbeatIntervalMs / CYCLES_PER_HEARTBEAT)
+    private val minCycleIntervalMs = maxOf(MIN_CYCLE_MS, settings.heartbeatIntervalMs / CYCLES_PER_HEARTBEAT)
     private val cycleBudgetMs = maxOf(MIN_CYCLE_MS, settings.heartbeatIntervalMs / CYCLES_PER_HEARTBEAT)
     private var isCycleRequested = false
-    private var lastCycleAt = 0L
-    private var nextCycleAt = 0L
+    private var lastCycleStartMs = 0L
+    private var nextCycleStartMs = 0L
 
-    /** The job after which the next cycle continues; null: it starts a new pass over all jobs. */
+    /**
+     * The id of the job after which the next cycle continues. If null, the next cycle starts a new pass over all jobs.
+     */
     private var resumeAfter: String? = null
 
     private val order = JobOrder(queues, settings.leaseMs)
@@ -52,24 +54,27 @@
     /** The resource requests of jobs that found no free capacity in the last complete pass, by job id. */
     val pendingRequests: Map<String, ResourceRequest> get() = requests.latest
 
-    /** Moves replicas off draining machines, unless the free capacity is needed for pending tasks. */
+    /** Migrates replicas off draining machines, unless pending tasks need the free capacity. */
     fun migrateReplicas(now: Long) {
         if (pendingRequests.isEmpty()) migration.migrateReplicas(now)
     }
 
-    /** Starts a cycle soon. Requests that come before it has started are served by the same cycle. */
+    /** Starts a cycle soon. Requests that arrive before it has started are served by the same cycle. */
     fun requestCycle() {
         if (isCycleRequested) return
         isCycleRequested = true
         scope.launch {
-            val waitMs = nextCycleAt - nowMs()
+            val waitMs = nextCycleStartMs - nowMs()
             if (waitMs > 0) delay(waitMs)
             isCycleRequested = false
             cpuUsage.of(CpuUsage.Kind.SCHEDULING) { runCycle() }
         }
     }
 
-    /** Places what can be placed of one job at once, outside of a cycle. Nothing is sent before the job is durable. */
+    /**
+     * Places the tasks of one job that find free capacity, outside of a cycle. No command is sent before the job is
+     * durable.
+     */
     fun placeJob(
         job: Job,
         now: Long,
@@ -86,7 +91,7 @@
     private fun runCycle() {
         val now = nowMs()
         addWaitingTime(now)
-        lastCycleAt = now
+        lastCycleStartMs = now
         misses.clear()
         val jobs = order.sorted(actions.openJobs().filter { it.pendingCount > 0 })
         val first = resumeIndex(jobs)
@@ -100,6 +105,7 @@
         if (resumeAfter != null) requestCycle()
     }
 
+    /** The index of the job to start the cycle with; 0 if a new pass begins. */
     private fun resumeIndex(jobs: List<Job>): Int {
         val jobId = resumeAfter ?: return 0
         val index = jobs.indexOfFirst { it.jobId == jobId } + 1
@@ -112,7 +118,7 @@
         preemption.beginPass()
     }
 
-    /** Returns the id of the last job visited if the time budget was used up before the end, or else null. */
+    /** Returns the id of the last job visited if the time budget was used up before the last job, or else null. */
     private fun placeJobs(
         jobs: List<Job>,
         first: Int,
@@ -131,8 +137,8 @@
     private fun isOverBudget(cycleStartMs: Long) = nowMs() - cycleStartMs > cycleBudgetMs
 
     /**
-     * Among arrays of the same queue and priority, free capacity goes first to those whose image is on the machine: pulling an
-     * image takes about a third of a task's run time, during which the capacity is idle.
+     * Places tasks of arrays with the same queue and priority on machines that already have their image. This comes
+     * first because pulling an image takes about a third of a task's run time, during which the capacity is idle.
      */
     private fun placeOnMachinesWithImage(
         jobs: List<Job>,
@@ -155,29 +161,36 @@
         return !misses.isWithoutCapacity(spec, Placement.zoneRule(job, spec))
     }
 
-    /** Jobs that wait without any running task gain waiting time, by which they may be promoted to a higher queue. */
+    /**
+     * Adds the time since the last cycle to the waiting time of each job that has pending tasks and no running one.
+     * Jobs are promoted to a higher queue by their waiting time.
+     */
     private fun addWaitingTime(now: Long) {
-        val elapsedMs = now - lastCycleAt
-        if (lastCycleAt == 0L || elapsedMs <= 0) return
+        val elapsedMs = now - lastCycleStartMs
+        if (lastCycleStartMs == 0L || elapsedMs <= 0) return
         for (job in actions.openJobs()) {
             val isWaiting = job.pendingCount > 0 && job.attempts.values.none { it.state >= AttemptState.RUNNING }
             if (isWaiting) job.waitedMs += elapsedMs
         }
     }
 
-    /** However long cycles take, they use no more than a fixed share of the time. */
+    /**
+     * Sets the earliest start of the next cycle. The pause grows with the time that the cycle took, so that cycles
+     * never use more than a fixed share of the time.
+     */
     private fun scheduleNext(cycleStartMs: Long) {
         val endMs = nowMs()
-        nextCycleAt = maxOf(cycleStartMs + minGapMs, endMs + (endMs - cycleStartMs) * PAUSE_PER_CYCLE_TIME)
+        nextCycleStartMs = maxOf(cycleStartMs + minCycleIntervalMs, endMs + (endMs - cycleStartMs) * PAUSE_RATIO)
     }
 
     private companion object {
+        /** The smallest time between the starts of two cycles, and the smallest time budget of a cycle. */
         const val MIN_CYCLE_MS = 5L
 
-        /** Cycles begin at most this many times in a heartbeat interval, and each may take that share of it. */
+        /** The maximum number of cycles per heartbeat interval. A cycle's time budget is the interval divided by it. */
         const val CYCLES_PER_HEARTBEAT = 40
 
-        /** How many times longer than the cycle the pause after it is. */
-        const val PAUSE_PER_CYCLE_TIME = 3
+        /** How many times as long as the cycle the pause after it is, at least. */
+        const val PAUSE_RATIO = 3
     }
 }
--- a/src/main/kotlin/micatally/scheduling/UnplacedTasks.kt
+++ b/src/main/kotlin/micatally/scheduling/UnplacedTasks.kt
@@ -3,7 +3,7 @@
 import micatally.job.Job
 import micatally.wire.JobSpec
 
-/** Decides what happens for tasks that found no machine: a resource request is recorded, and other tasks may be preempted. */
+/** Handles tasks that found no machine: records a resource request for them, and may preempt other tasks. */
 class UnplacedTasks(
     private val allZones: List<String>,
     private val view: ClusterView,
@@ -12,7 +12,10 @@
     private val misses: CapacityMisses,
     private val pendingRequests: PendingRequests,
 ) {
-    /** Handles [count] tasks of the job, all of which want the same kind of machine. */
+    /**
+     * Records a resource request for all pending tasks of the job, and tries to free capacity for [count] of them by
+     * preemption.
+     */
     fun handle(
         job: Job,
         spec: JobSpec,
@@ -27,7 +30,10 @@
         preemptFor(job, spec, count, now)
     }
 
-    /** For a job that fails everywhere nothing is preempted, and nothing rented while machines of its kind exist. */
+    /**
+     * Handles a job that fails on every machine. Nothing is preempted for it, and it requests machines only while no
+     * usable machine exists that the job allows, whether or not it has free capacity.
+     */
     private fun handleSuspect(
         job: Job,
         spec: JobSpec,
