--- a/src/main/kotlin/micatally/gang/GangPlacement.kt
+++ b/src/main/kotlin/micatally/gang/GangPlacement.kt
@@ -1,11 +1,11 @@
 package micatally.gang
 
 /**
- * A machine that could take tasks of a gang.
+ * A machine that may take tasks of a gang.
  *
- * @property capacity how many of the gang's tasks fit on it
+ * @property capacity how many of the gang's tasks fit on the machine
  * @property imagePullS how many seconds the machine needs to pull the image
- * @property cost what using the machine costs the gang, in seconds; the time to pull the image is part of it
+ * @property cost the cost of using the machine in seconds, including the weighted time to pull the image
  */
 class GangCandidate<M>(
     val machine: M,
@@ -16,32 +16,38 @@
 )
 
 /**
- * Where all tasks of a gang go.
+ * The machines that were chosen for all tasks of a gang.
  *
- * @property machines one machine for each task, in the order of the tasks; several tasks may share one
+ * @property machines one machine for each task, in the order of the tasks; several tasks may share a machine
  */
 class GangAssignment<M>(
     val machines: List<GangCandidate<M>>,
 ) {
-    /** The gang starts when its last machine has the image, and every further machine is one more that may be late. */
+    /**
+     * The cost in seconds. It is that of the most expensive machine, since the gang starts when its last machine has
+     * the image, plus [MACHINE_COST] for each machine, since each one may be late.
+     */
     val cost = machines.maxOf { it.cost } + machines.distinct().size * MACHINE_COST
 
     /** How many seconds pass until the last machine has pulled the image. */
     val imagePullS = machines.maxOf { it.imagePullS }
 
     private companion object {
+        /** What each machine adds to the cost of an assignment, in seconds. */
         const val MACHINE_COST = 0.1
     }
 }
 
-/** Chooses machines for all tasks of a gang at once. Pure decisions: no I/O, no clock and no state. */
+/** Chooses machines for all tasks of a gang at once. All functions are pure: no I/O, no clock and no state. */
 object GangPlacement {
     /**
-     * Chooses the assignment of lowest cost; null if there is no free capacity for all [tasks].
+     * Chooses the assignment with the lowest cost among those considered: for each zone, or for all zones together, the
+     * cheapest single machine that fits all tasks, and the cheapest machines filled one after the other.
      *
-     * @param tasks how many tasks are to be placed
-     * @param together whether all of them must go to one zone
-     * @param remainingInZone how many more tasks a zone may take
+     * @param tasks how many tasks must be placed
+     * @param together whether all tasks must be in one zone
+     * @param remainingInZone returns how many more tasks a zone may take
+     * @return the assignment; null if the candidates have no free capacity for all tasks
      */
     fun <M> choose(
         candidates: List<GangCandidate<M>>,
@@ -67,7 +73,9 @@
         return listOfNotNull(onOneMachine, onSeveralMachines).minByOrNull { it.cost }
     }
 
-    /** Fills the machines in the order of their cost, and of the same cost the largest first. */
+    /**
+     * Fills the machines in ascending order of cost. Among equal costs the machine with the largest capacity is first.
+     */
     private fun <M> spread(
         candidates: List<GangCandidate<M>>,
         tasks: Int,
--- a/src/main/kotlin/micatally/gang/GangPolicy.kt
+++ b/src/main/kotlin/micatally/gang/GangPolicy.kt
@@ -6,18 +6,21 @@
 import micatally.job.Job
 import micatally.wire.ExitReason
 
-/** Decisions about gangs. Pure functions: no I/O, no clock and no state. [GangSupervisor] carries them out. */
+/**
+ * Decides when runs of gangs end and when their tasks may be replaced. All functions are pure: no I/O, no clock and no
+ * state. [GangSupervisor] carries out the decisions.
+ */
 object GangPolicy {
-    /** The exits of a task that never started on the machine it was sent to. */
-    private val REFUSALS = setOf(ExitReason.FULL, ExitReason.IN_USE, ExitReason.UNKNOWN)
+    /** The exit reasons of a task that never started on the machine it was sent to. */
+    private val REFUSAL_REASONS = setOf(ExitReason.FULL, ExitReason.IN_USE, ExitReason.UNKNOWN)
 
     /**
      * Whether the loss of one task ends the whole run.
      *
-     * In a run that has started every loss does. In one that is not known to have started, a task that was refused, or that
-     * was lost without an exit reason, may be replaced under the same number. This is safe even if the run has started
-     * meanwhile: the replacement then waits alone, and is stopped with the rest. All other exits are caused only by a run that
-     * has started or that waited in vain, so they end the run.
+     * If the run has started, every loss ends it. If the run is not known to have started, a task that was refused, or
+     * that was lost without an exit reason, may be replaced under the same number. This is safe even if the run has
+     * started in the meantime: the replacement then waits alone and is stopped with the other tasks. Every other exit
+     * shows that the run has started or that its tasks have waited in vain for the others, so it ends the run.
      */
     fun endsRun(
         phase: GangPhase,
@@ -25,14 +28,15 @@
     ): Boolean =
         when (phase) {
             GangPhase.RUNNING -> true
-            GangPhase.WAITING -> end.reason != null && end.reason !in REFUSALS
+            GangPhase.WAITING -> end.reason != null && end.reason !in REFUSAL_REASONS
             else -> false
         }
 
     /**
-     * Whether missing tasks of the run may be placed again under its number. They may only if the run can't have started: each
-     * of the other tasks is known to wait, or was sent by this very process and has not been reported running. There must also
-     * be time left before the run has to be given up.
+     * Whether missing tasks of the run may be placed again under its number. This is allowed only if the run can't have
+     * started: every other attempt has not been sent yet, was sent by this process and has not been reported running,
+     * or is known to pull its image or to wait. None of them may be stopping, and there must be time left before the
+     * run is given up.
      */
     fun mayReplace(
         job: Job,
@@ -46,7 +50,10 @@
         return job.attempts.values.all { it.stop == null && isKnownNotToRun(it) }
     }
 
-    /** An attempt that a former leader has sent may be running although no heartbeat has said so yet. */
+    /**
+     * Whether the attempt is known not to run. An attempt whose run command a former leader has sent may be running
+     * although no heartbeat has reported it yet.
+     */
     private fun isKnownNotToRun(attempt: Attempt): Boolean =
         when (attempt.state) {
             AttemptState.INTENDED, AttemptState.RECORDED, AttemptState.PULLING, AttemptState.WAITING -> true
@@ -54,7 +61,7 @@
             else -> false
         }
 
-    /** Whether a run that lacks a task has waited so long that no replacement can arrive in time. */
+    /** Whether a run that lacks a task has waited for so long that a replacement can't start in time. */
     fun isOverdue(
         job: Job,
         gang: Gang,
@@ -66,16 +73,16 @@
         return isIncomplete && nowMs - waitingSinceMs >= timing.giveUpAfterMs
     }
 
-    /** Whether a run that has started lacks a task. A new leader may find one that is in this state. */
+    /** Whether a run that has started lacks a task. A new leader may find a run in this state. */
     fun hasLostTask(
         job: Job,
         gang: Gang,
     ): Boolean = gang.phase == GangPhase.RUNNING && job.attempts.size < job.taskCount
 
     /**
-     * Whether a graceful stop of the run may begin. It saves the progress only if every task receives the stop within
-     * [GangTiming.peerMs], so it is not begun while one of the machines is unreachable, while a task is missing or being
-     * stopped, or for tasks that never save a checkpoint.
+     * Whether a graceful stop of the run may begin. It saves the progress only if every task receives the stop command
+     * within [GangTiming.peerMs]. So it must not begin while one of the machines is unreachable, or while a task is
+     * missing or already stopping. It is useless for tasks that never save a checkpoint.
      */
     fun mayStopGracefully(
         job: Job,
--- a/src/main/kotlin/micatally/gang/GangSupervisor.kt
+++ b/src/main/kotlin/micatally/gang/GangSupervisor.kt
@@ -11,8 +11,9 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Follows the runs of this controller's gangs and carries out what [GangPolicy] decides. It only stops attempts; they end as
- * those of any other job do, on termination evidence. Jobs that are no gangs are ignored.
+ * Follows the runs of this controller's gangs and carries out the decisions of [GangPolicy]. It only requests that
+ * attempts stop. They end on termination evidence, like the attempts of any other job. Jobs that are not gangs are
+ * ignored.
  */
 class GangSupervisor(
     private val taskControl: GangTaskControl,
@@ -21,13 +22,16 @@
 ) {
     private val log = LoggerFactory.getLogger("micatally.gang")
 
-    /** To be called after a job was loaded from its record, which shows the run. Heartbeats will show whether it has started. */
+    /**
+     * Called after a job was loaded from its record. The record shows the current run; whether this run has started is
+     * known only after heartbeats have arrived.
+     */
     fun restore(job: Job) {
         val gang = job.gang ?: return
         if (job.attempts.isNotEmpty()) gang.beginRun(job.attempts.values.maxOf { it.number })
     }
 
-    /** To be called when a heartbeat has shown an attempt in a new state. */
+    /** Called when a heartbeat has reported a new state of an attempt. */
     fun onTaskReported(attempt: Attempt) {
         val job = attempt.job
         val gang = job.gang ?: return
@@ -40,7 +44,7 @@
         review(job, nowMs())
     }
 
-    /** To be called when an attempt has ended and is no longer among those of its job. */
+    /** Called when an attempt has ended and has been removed from its job. */
     fun onTaskTerminated(
         attempt: Attempt,
         end: AttemptTermination,
@@ -53,7 +57,7 @@
         if (job.attempts.isEmpty()) gang.onAllTerminated()
     }
 
-    /** To be called regularly: ends a run that lacks a task and has started, or can't get a replacement in time. */
+    /** Called regularly. Ends a run that lacks a task if it has started or can't get a replacement in time. */
     fun review(
         job: Job,
         nowMs: Long,
@@ -61,17 +65,17 @@
         val gang = job.gang ?: return
         if (!job.wantsTasks) return
         if (GangPolicy.hasLostTask(job, gang)) endRun(job, gang, "it runs without all of its tasks")
-        if (GangPolicy.isOverdue(job, gang, timing, nowMs)) endRun(job, gang, "it can't be whole in time")
+        if (GangPolicy.isOverdue(job, gang, timing, nowMs)) endRun(job, gang, "a lost task can't be replaced in time")
     }
 
-    /** Whether missing tasks of the present run may be placed under its number. */
+    /** Whether missing tasks of the current run may be placed under its number. */
     fun mayReplace(
         job: Job,
         gang: Gang,
         nowMs: Long,
     ): Boolean = GangPolicy.mayReplace(job, gang, timing, nowMs)
 
-    /** Ends a run that waits for a task which would come too late. */
+    /** Ends a run that waits for a task which would start too late. */
     fun giveUpRun(
         job: Job,
         reason: String,
@@ -80,7 +84,10 @@
         if (gang.phase == GangPhase.WAITING) endRun(job, gang, reason)
     }
 
-    /** Lets all tasks save a checkpoint and exit, because one of the machines will be taken back, if [GangPolicy] allows. */
+    /**
+     * Lets all tasks save a checkpoint and exit, if [GangPolicy] allows it. Called when the cloud will reclaim one of
+     * the machines.
+     */
     fun stopGracefully(
         job: Job,
         reason: String,
@@ -94,7 +101,10 @@
         stopAll(job, StopReason.DRAIN)
     }
 
-    /** Stops every attempt of the present run. Those of which nothing was sent end at once, the others on evidence. */
+    /**
+     * Stops every attempt of the current run. Attempts whose intent is not durable yet end at once, as no command was
+     * sent for them. The others end on termination evidence.
+     */
     fun stopAll(
         job: Job,
         reason: StopReason,
--- a/src/main/kotlin/micatally/gang/GangTaskControl.kt
+++ b/src/main/kotlin/micatally/gang/GangTaskControl.kt
@@ -4,9 +4,9 @@
 import micatally.job.AttemptTermination
 import micatally.worker.Machine
 
-/** What [GangSupervisor] needs of the manager of the jobs. */
+/** The operations on attempts and machines that [GangSupervisor] uses. */
 interface GangTaskControl {
-    /** Ends an attempt of which no command was ever sent to its machine. */
+    /** Ends an attempt for which no command was ever sent to its machine. */
     fun terminate(
         attempt: Attempt,
         termination: AttemptTermination,
