--- a/src/main/kotlin/micatally/quota/AllotmentAudit.kt
+++ b/src/main/kotlin/micatally/quota/AllotmentAudit.kt
@@ -3,12 +3,14 @@
 import org.slf4j.LoggerFactory
 
 /**
- * An applied change of a shard's allotment, with what it was decided on.
+ * A change of a shard's allotment that the state store has applied, with the data that the decision was based on.
  *
- * @property decidedAtRevision the modRevision of the team's key that the decision rests on; the write was
+ * @property decidedAtRevision the modRevision of the team's key that the decision was based on; the write was
  * conditional on it
  * @property appliedAtRevision the revision of the state store at which the write was applied
- * @property use what the shard used at the time of the decision
+ * @property before the share before the change
+ * @property after the share after the change
+ * @property use the shard's use at the time of the decision
  */
 class AllotmentChange(
     val team: String,
@@ -20,7 +22,7 @@
     val use: Share,
 )
 
-/** Logs every change of an allotment, and each use above an allotment, which must never happen. */
+/** Logs each change of an allotment, and as an error each use above an allotment, which must never happen. */
 class AllotmentAudit {
     private val log = LoggerFactory.getLogger("micatally.quota")
 
--- a/src/main/kotlin/micatally/quota/AllotmentWriter.kt
+++ b/src/main/kotlin/micatally/quota/AllotmentWriter.kt
@@ -19,12 +19,14 @@
 /**
  * Writes the allotments of this controller's shards to the state store, one change per team at a time.
  *
- * A write waits for its turn in the budget, and meanwhile both the stored rows and the use may change. So only the
- * request is kept during the wait: the row is decided when the transaction is built, from the value whose
- * modRevision the transaction compares. A lowered share limits this controller from before the transaction is sent
- * until the cache of the shared keys shows the outcome.
+ * A write waits for the rate limit, and both the stored rows and the use may change during this time. So only the
+ * request is kept while the write waits. The row is decided when the transaction is built, from the value whose
+ * modRevision the transaction compares.
  *
- * @param snapshot takes what a decision about the shard and the team rests on, as it is now
+ * A lowered share limits this controller from before the transaction is sent until the cache of the shared keys shows
+ * the outcome.
+ *
+ * @param snapshot returns the data for a decision about the shard and the team as it is now
  * @param onChanged called after each change has ended, whether it was applied or not
  */
 class AllotmentWriter(
@@ -37,27 +39,27 @@
     private val snapshot: (JobShard, Team) -> AllotmentSnapshot,
     private val onChanged: () -> Unit,
 ) {
-    /** The change in flight of each team. */
+    /** The change in flight by team. */
     private val inFlight = HashMap<String, Change>()
 
-    /** What an allotment is being lowered to. */
+    /** The shares that allotments are being lowered to. They bound the use until the cache shows the outcome. */
     private val pendingBounds = HashMap<AllotmentId, Share>()
 
-    /** Returns what the shard may use of its [stored] share: less while the share is being lowered. */
+    /** Returns what the shard may use of its [stored] share, which is less while the share is being lowered. */
     fun usable(
         id: AllotmentId,
         stored: Share,
     ) = pendingBounds[id]?.let { stored.atMost(it) } ?: stored
 
-    /** Drops what was noted for a shard that this controller does not lead any more. */
+    /** Removes the bounds of a shard that this controller does not lead any more. */
     fun forget(shard: String) {
         pendingBounds.keys.removeIf { it.shard == shard }
     }
 
     /**
-     * A change, from the request until the cache of the shared keys shows the outcome.
+     * A change of an allotment, from the request until the cache of the shared keys shows the outcome.
      *
-     * @property isVisible whether the cache shows the outcome; false as long as there is none
+     * @property isVisible whether the cache shows the outcome; false as long as there is no outcome
      */
     private class Change(
         val shard: JobShard,
@@ -67,16 +69,16 @@
         var isVisible: () -> Boolean = { false }
     }
 
-    /** Starts a change and returns at once. The request is dropped while another change of the team is in flight. */
+    /** Starts a change and returns at once. If another change of the team is in flight, the request is dropped. */
     fun submit(
         shard: JobShard,
         team: Team,
         request: AllotmentRequest,
         urgency: Urgency,
     ) {
-        inFlight[team.name]?.let { former ->
-            if (!former.isVisible()) return
-            end(former)
+        inFlight[team.name]?.let { previous ->
+            if (!previous.isVisible()) return
+            end(previous)
         }
         val change = Change(shard, AllotmentId(shard.name, team.name), request)
         inFlight[team.name] = change
@@ -89,15 +91,15 @@
         }
     }
 
-    /** The one place where a change ends, and with it the bound that it set. Returns false if it had ended before. */
+    /** Ends a change and removes the bound that it has set. Returns false if the change had already ended. */
     private fun end(change: Change): Boolean {
         if (!inFlight.remove(change.id.team, change)) return false
         pendingBounds.remove(change.id)
         return true
     }
 
-    /** The transaction of a change, with the decision and what it rests on. */
-    private class Pending(
+    /** The transaction of a change, with the decision and the data that it is based on. */
+    private class DecidedChange(
         val transaction: Transaction,
         val snapshot: AllotmentSnapshot,
         val decision: AllotmentDecision,
@@ -107,32 +109,33 @@
         change: Change,
         urgency: Urgency,
     ) {
-        var pending: Pending? = null
+        var decided: DecidedChange? = null
         val result =
             state.transact(1, urgency) {
                 pendingBounds.remove(change.id)
-                pending = decide(change)
-                pending?.let { applyBound(change.id, it) }
-                pending?.transaction
+                decided = decide(change)
+                decided?.let { applyBound(change.id, it) }
+                decided?.transaction
             }
-        val sent = pending ?: return
+        val sent = decided ?: return
         when (result) {
             is TransactionResult.Applied -> {
                 logApplied(sent, result.revision)
-                // Until the cache shows it, any other change from here would fail its comparison.
+                // Until the cache shows this change, any other change from this controller would fail its comparison.
                 visibleWhen(change) { sharedKeys.revision >= result.revision }
                 awaitVisible(change)
             }
-            // The transaction may still be applied. A late raise does no harm, since it grants only what was free at
-            // the modRevision that it compares; but a lowered share must not be used again.
+            // The transaction may have been applied or may be applied later. If it raises the share, this does no harm,
+            // since it grants only what was free at the modRevision that it compares. But if it lowers the share, this
+            // controller must not use the former share again.
             is TransactionResult.Unknown ->
                 if (sent.decision.lowers) {
                     visibleWhen(change) { hasNewRevision(sent) }
                     retryUntilAnswered(change, sent)
                     awaitVisible(change)
                 }
-            // The key has changed since the cache was filled: until the cache shows that, any other change would
-            // fail too.
+            // The key has changed since the cache was updated. Until the cache shows this, any other change would fail
+            // too.
             is TransactionResult.Failed -> {
                 visibleWhen(change) { hasNewRevision(sent) }
                 awaitVisible(change)
@@ -141,15 +144,15 @@
         }
     }
 
-    /** Returns null if there is nothing to write any more, or nothing may be written. */
-    private fun decide(change: Change): Pending? {
+    /** Decides the change. Returns null if no write is needed any more, or if nothing may be written now. */
+    private fun decide(change: Change): DecidedChange? {
         val shard = change.shard
         if (shard.state != ShardState.ACTIVE || !teams.isCurrent) return null
         val team = teams.team(change.id.team)?.takeIf { it.isLimited } ?: return null
         val snapshot = snapshot(shard, team)
         val decision = rule.decide(snapshot, change.request)
         if (!decision.isWorthWriting) return null
-        return Pending(buildTransaction(shard, snapshot, decision), snapshot, decision)
+        return DecidedChange(buildTransaction(shard, snapshot, decision), snapshot, decision)
     }
 
     private fun buildTransaction(
@@ -165,13 +168,13 @@
 
     private fun applyBound(
         id: AllotmentId,
-        pending: Pending,
+        decided: DecidedChange,
     ) {
-        if (pending.decision.lowers) pendingBounds[id] = pending.decision.row.share
+        if (decided.decision.lowers) pendingBounds[id] = decided.decision.row.share
     }
 
     private fun logApplied(
-        sent: Pending,
+        sent: DecidedChange,
         revision: Long,
     ) {
         val snapshot = sent.snapshot
@@ -188,9 +191,7 @@
         )
     }
 
-    /**
-     * From now on the change counts as visible when the cache shows it, or when this controller has lost the shard.
-     */
+    /** Sets the condition for the change to be visible: the cache shows it, or this controller has lost the shard. */
     private fun visibleWhen(
         change: Change,
         isShownByCache: () -> Boolean,
@@ -202,30 +203,33 @@
         while (!change.isVisible()) delay(VISIBILITY_POLL_MS)
     }
 
-    private fun hasNewRevision(sent: Pending) =
+    private fun hasNewRevision(sent: DecidedChange) =
         sharedKeys.modRevision(Keys.team(sent.snapshot.team.name)) != sent.snapshot.stored.modRevision
 
     /**
-     * Repeats the transaction until there is an answer, or the change is visible. An answer alone does not end the
-     * change, since the cache may still hold the former allotment.
+     * Repeats the transaction until it is known to be applied or to have failed, or until the change is visible. The
+     * caller must still wait until the change is visible, since the cache may still hold the former allotment.
      */
     private suspend fun retryUntilAnswered(
         change: Change,
-        sent: Pending,
+        sent: DecidedChange,
     ) {
         val shard = change.shard
         while (!change.isVisible()) {
-            val again =
+            val result =
                 state.transact(1, Urgency.SUMMARY) {
                     sent.transaction.takeIf { shard.state == ShardState.ACTIVE }
                 }
-            if (again is TransactionResult.Applied || again is TransactionResult.Failed) return
+            if (result is TransactionResult.Applied || result is TransactionResult.Failed) return
             delay(RETRY_MS)
         }
     }
 
     private companion object {
+        /** The interval of the checks whether the cache shows the outcome of a change. */
         const val VISIBILITY_POLL_MS = 50L
+
+        /** The pause between two repetitions of a transaction with an unknown outcome. */
         const val RETRY_MS = 1000L
     }
 }
--- a/src/main/kotlin/micatally/quota/Quota.kt
+++ b/src/main/kotlin/micatally/quota/Quota.kt
@@ -12,14 +12,14 @@
 import micatally.state.Urgency
 
 /**
- * Keeps teams within their limits. A team's limit is split into one allotment per shard, and the leader of a shard
- * starts tasks only within the shard's allotment and changes no other one. Since the intent to start a task is
- * written on the condition that the shard's term has not changed, a leader that has lost the shard can't use its
- * allotment any more.
+ * Keeps teams within their limits. A team's limit is split into one allotment per shard. The leader of a shard starts
+ * tasks only within the shard's allotment and changes no other allotment. The intent to start a task is written on the
+ * condition that the key of the shard's leader has not changed. So a controller that has lost the shard can't use the
+ * shard's allotment any more.
  *
- * @param ledShards the shards that this controller leads, also those that are still loading
+ * @param ledShards returns the shards that this controller leads, including those that are still loading
  * @param controllers the number of controllers, among which the slack is divided
- * @param onChanged called when an allotment may have changed, so that it is worth trying to schedule again
+ * @param onChanged called when an allotment may have changed, so that scheduling should be tried again
  */
 class Quota(
     scope: CoroutineScope,
@@ -30,10 +30,10 @@
     controllers: Int,
     onChanged: () -> Unit,
 ) {
-    /** Logs changes of allotments, and use above them. */
+    /** Logs changes of allotments and use above allotments. */
     val audit = AllotmentAudit()
     private val usage = ShardUsage()
-    private val rule = AllotmentRule(SLACK / controllers)
+    private val rule = AllotmentRule(TOTAL_SLACK / controllers)
     private val writer =
         AllotmentWriter(
             scope,
@@ -46,29 +46,32 @@
             onChanged,
         )
 
-    /** Returns what the attempts of a team in a shard take for which there is no termination evidence. */
+    /**
+     * Returns what the attempts of the team in the shard take, as long as there is no termination evidence for them.
+     */
     fun used(
         shard: String,
         team: String,
     ) = usage.of(AllotmentId(shard, team))
 
-    /** Counts one more attempt of the job against the allotment of its shard. */
+    /** Adds an attempt of the job to the use of its shard's allotment. */
     fun addUsage(job: Job) = usage.add(job)
 
-    /** Counts one attempt of the job less, once it is proven to have ended. */
+    /** Removes an attempt of the job from the use of its shard's allotment, once it is proven to have ended. */
     fun removeUsage(job: Job) = usage.remove(job)
 
-    /** Drops the usage of a shard that this controller does not lead any more; the next leader counts anew. */
+    /** Drops the use of a shard that this controller does not lead any more. The next leader determines it anew. */
     fun forget(shard: String) {
         usage.forget(shard)
         writer.forget(shard)
     }
 
+    /** The decoded keys of the teams, by team. */
     private val cachedAllotments = HashMap<String, TeamAllotments>()
 
     /**
-     * Needed for each task that is placed, but changed far more rarely: so the key is decoded once for each change
-     * of it.
+     * Returns the allotments of the team. They are needed for each task that is placed, but change far more rarely. So
+     * the team's key is decoded only once per change.
      */
     private fun allotments(team: String): TeamAllotments {
         val key = Keys.team(team)
@@ -89,7 +92,7 @@
 
     /**
      * Returns whether the allotment of the job's shard has free capacity for [tasks] more tasks of the job at once.
-     * If not, a raise is requested, and a later call may return true.
+     * If the allotment is too small, a raise is requested, and a later call may return true.
      */
     fun allows(
         job: Job,
@@ -99,18 +102,21 @@
         val team = teams.team(spec.team) ?: return false
         if (!teams.isCurrent) return false
         if (!team.isLimited) return true
-        // Until the jobs of a shard are loaded it is not known what it uses.
+        // The use of a shard is not known until its jobs are loaded.
         if (job.shard.state != ShardState.ACTIVE) return false
         val stored = allotments(team.name)
         if (stored.exceedsLimit(team)) return false
         val id = AllotmentId(job.shard.name, team.name)
         val need = spec.taskShare * tasks
-        val hasRoom = team.covers(writer.usable(id, stored.of(id.shard).share), usage.of(id) + need)
-        if (!hasRoom) requestRaise(job.shard, team, AllotmentRequest.Raise(need, job.pendingCount / tasks))
-        return hasRoom
+        val hasCapacity = team.covers(writer.usable(id, stored.of(id.shard).share), usage.of(id) + need)
+        if (!hasCapacity) requestRaise(job.shard, team, AllotmentRequest.Raise(need, job.pendingCount / tasks))
+        return hasCapacity
     }
 
-    /** Whether nothing of this team may be started: it was removed, or its limit lowered below what is allotted. */
+    /**
+     * Whether no task of the team may be started, because the team was removed or its limit was lowered below the sum
+     * of its allotments.
+     */
     fun isSuspended(teamName: String): Boolean =
         teams.team(teamName)?.let { allotments(it.name).exceedsLimit(it) } ?: true
 
@@ -125,7 +131,7 @@
         if (decision.isWorthWriting) writer.submit(shard, team, request, Urgency.INTENT)
     }
 
-    /** The number of the review in which a team's limit last had no free capacity for a task of a shard. */
+    /** The value of [reviews] when a team's limit last had no free capacity for a task of a shard. */
     private val starvedAtReview = HashMap<AllotmentId, Int>()
 
     /** How often [releaseUnused] has reviewed the allotments. */
@@ -134,15 +140,16 @@
     private fun isStarved(id: AllotmentId) = starvedAtReview[id]?.let { it >= reviews - 1 } == true
 
     /**
-     * Releases what is not in use, except for a slack that each shard keeps for its next job. While another shard is
-     * starved the slack is released too; otherwise a job would wait although its team's limit has free capacity.
+     * Called regularly. Releases the unused part of all allotments of this controller's shards, except for a slack that
+     * each shard keeps for its next job. While another shard is starved, the slack is released too. Otherwise a job
+     * would wait although its team's limit has free capacity.
      */
     fun releaseUnused() {
         reviews++
         requestRelease()
     }
 
-    /** Limits have changed: where the allotments exceed one, what is not in use is released at once. */
+    /** Called when limits have changed. Where allotments exceed a limit, their unused part is released at once. */
     fun limitsChanged() = requestRelease()
 
     private fun requestRelease() {
@@ -168,13 +175,14 @@
         )
     }
 
-    /** The starved shards of other controllers, by team, at the last change of the team's key. */
+    /** By team, the starved shards of other controllers at the last change of the team's key. */
     private val knownStarved = HashMap<String, Set<String>>()
 
     /**
-     * The key of the team has changed. If a shard has become starved just now, unused shares are released for it at
-     * once. Shards that were starved before wait for the next [releaseUnused]; otherwise two of them would pass the
-     * same share back and forth as fast as the state store can write.
+     * Called when the key of the team has changed. If a shard of another controller has become starved with this
+     * change, unused shares are released for it at once. Shards that were starved before wait for the next
+     * [releaseUnused]. Otherwise two starved shards would pass the same share back and forth as fast as the state store
+     * can write.
      */
     fun allotmentsChanged(team: String) {
         reportOveruse(team)
@@ -184,6 +192,7 @@
         if (!known.containsAll(starved)) requestRelease()
     }
 
+    /** Reports each shard of this controller that uses more than its allotment of the team's limit. */
     private fun reportOveruse(teamName: String) {
         val team = teams.team(teamName)?.takeIf { it.isLimited } ?: return
         val stored = allotments(teamName)
@@ -196,6 +205,6 @@
 
     private companion object {
         /** The slack of all controllers' shards together, as a part of the team's limit. */
-        const val SLACK = 1.0 / 8
+        const val TOTAL_SLACK = 1.0 / 8
     }
 }
--- a/src/main/kotlin/micatally/quota/TeamAllotments.kt
+++ b/src/main/kotlin/micatally/quota/TeamAllotments.kt
@@ -7,7 +7,7 @@
 import micatally.settings.Team
 
 /**
- * The part of a team's limit that is allotted to one shard.
+ * The row of one shard in a team's key: the part of the team's limit that is allotted to the shard.
  *
  * @property isStarved whether the shard has tasks that wait only because the team's limit has no free capacity
  */
@@ -16,15 +16,15 @@
     val isStarved: Boolean,
 )
 
-/** The allotments of one team by shard, as the team's key held them at [modRevision]. */
+/** The allotments of one team by shard, as the team's key held them at revision [modRevision]. */
 class TeamAllotments(
     val modRevision: Long,
     private val rows: Map<String, AllotmentRow>,
 ) {
-    /** Returns the row of a shard, or an empty one if there is none. */
+    /** Returns the row of the shard, or an empty row if there is none. */
     fun of(shard: String) = rows[shard] ?: NO_ROW
 
-    /** Whether there is a row for the shard, even an empty one. */
+    /** Whether there is a row for the shard, even if it is empty. */
     fun has(shard: String) = shard in rows
 
     /** Returns the sum of all shards' shares. */
@@ -40,16 +40,16 @@
     /** Whether some shard other than [shard] is starved. */
     fun isAnotherStarved(shard: String) = rows.any { (name, row) -> row.isStarved && name != shard }
 
-    /** Whether more is allotted than the team's limit, as happens after the limit was lowered. */
+    /** Whether more than the team's limit is allotted, which happens after the limit was lowered. */
     fun exceedsLimit(team: Team) = !team.covers(team.limit + MARGIN, total())
 
-    /** Encodes the value of the team's key, with the row of [shard] replaced. */
+    /** Returns the value of the team's key with the row of [shard] replaced by [row]. */
     fun encodeWith(
         shard: String,
         row: AllotmentRow,
     ) = JsonObject((rows + (shard to row)).mapValues { (_, each) -> encode(each) })
 
-    /** The codec of the value of a team's key. */
+    /** Encodes and decodes the value of a team's key. */
     companion object {
         private val NO_ROW = AllotmentRow(Share.NONE, false)
 
@@ -61,8 +61,8 @@
         private const val STARVED = 2
 
         /**
-         * Decodes the value of a team's key; null stands for a key that does not exist. Unreadable numbers count as
-         * 0.
+         * Decodes the value of a team's key. A null [value] stands for a key that does not exist. Unreadable numbers
+         * are read as 0.
          */
         fun decode(
             modRevision: Long,
