--- a/src/test/kotlin/micatally/quota/FaultyStateStore.kt
+++ b/src/test/kotlin/micatally/quota/FaultyStateStore.kt
@@ -12,12 +12,12 @@
 import kotlin.random.Random
 
 /**
- * Which part of the requests to the state store goes wrong, and how.
+ * The shares of the requests to the state store, from 0 to 1, that fail in each way.
  *
- * @property late there is no answer, and the request is executed long after its sender has given up
+ * @property late there is no answer, and the request is executed long after its sender has stopped waiting
  * @property answerLost the request is executed at once, but its answer is lost
- * @property refused answered 503
- * @property limited answered 429
+ * @property refused the answer is 503, and the request is not executed
+ * @property limited the answer is 429, and the request is not executed
  */
 class StateFaults(
     val late: Double = 0.0,
@@ -31,7 +31,7 @@
     }
 }
 
-/** The emulated state store, with delays and [faults] between it and the controllers. */
+/** The emulated state store. Requests of controllers are delayed and fail as [faults] says. */
 class FaultyStateStore(
     private val random: Random,
     private val scope: CoroutineScope,
@@ -40,7 +40,7 @@
     val service = StateStoreEmulator(nowMs = nowMs)
     var faults = StateFaults.NONE
 
-    /** A client without faults or limits, for what is not under test. */
+    /** A client without faults, delays or rate limits, for requests that are not under test. */
     val reliableClient =
         StateStoreClient(
             HttpCaller { _, method, target, body, _ ->
@@ -53,7 +53,7 @@
             500,
         )
 
-    /** A controller's request, which may go wrong. */
+    /** Handles a controller's request, which may fail. */
     suspend fun call(
         method: String,
         target: String,
@@ -83,6 +83,7 @@
         return Outcome.Answer(response.status, response.body)
     }
 
+    /** Executes the request after [afterMs], and gives no answer within the sender's [timeoutMs]. */
     private suspend fun unanswered(
         request: HttpRequest,
         afterMs: Long,
@@ -97,7 +98,7 @@
     }
 
     companion object {
-        /** A transaction without an answer is executed within this time, or never. */
+        /** A request without an answer is executed within this time. */
         const val MAX_EXECUTION_DELAY_MS = 6000L
     }
 }
--- a/src/test/kotlin/micatally/quota/QuotaFleet.kt
+++ b/src/test/kotlin/micatally/quota/QuotaFleet.kt
@@ -38,12 +38,11 @@
 import kotlin.random.Random
 
 /**
- * Several controllers that share teams' limits through one state store, on simulated time. Only what bears on limits is
- * there: caches of the shared keys that lag, allotments, intents on the condition of a shard's term, ends of tasks that
- * are reported late, failovers.
+ * Several controllers that share teams' limits through one state store, in simulated time. The fleet contains only what
+ * affects limits: caches of the shared keys that lag, allotments, intents whose write is conditional on the leadership
+ * of the shard, ends of tasks that are reported late, and failovers.
  *
- * A task counts as running from the moment at which the state store holds its intent, which is the earliest at which
- * its start command may be sent.
+ * A task counts as running once the state store holds its intent, since its run command may be sent from then on.
  */
 @OptIn(ExperimentalCoroutinesApi::class)
 class QuotaFleet(
@@ -65,7 +64,7 @@
     val controllers = List(controllerCount) { Controller(it) }
     private var nextTask = 0
 
-    /** A job of one task that takes so much of its team's limit. */
+    /** The specification of a job whose one task takes this many cores and GPUs of its team's limit. */
     private fun spec(
         team: String,
         cores: Double,
@@ -88,8 +87,8 @@
     inner class Controller(
         private val index: Int,
     ) {
-        private val thread = Stoppable(dispatcher)
-        private val controllerScope = CoroutineScope(SupervisorJob() + thread + handler)
+        private val pausableDispatcher = Stoppable(dispatcher)
+        private val controllerScope = CoroutineScope(SupervisorJob() + pausableDispatcher + handler)
         private val sharedKeys = SharedKeyCache()
         private val state =
             StateStoreClient(
@@ -112,12 +111,12 @@
             ) {}
 
         var isFrozen: Boolean
-            get() = thread.frozen
+            get() = pausableDispatcher.frozen
             set(value) {
-                thread.frozen = value
+                pausableDispatcher.frozen = value
             }
 
-        /** The cache of the shared keys gets a listing as it is now, after [afterMs]. */
+        /** Updates the cache of the shared keys after [afterMs] with a listing that is taken now. */
         fun refreshCache(afterMs: Long) {
             controllerScope.launch {
                 val listing = store.reliableClient.list(Keys.PREFIX, Urgency.LEASE) ?: return@launch
@@ -155,7 +154,7 @@
             quota.forget(shard.name)
         }
 
-        /** Loads the tasks as they are stored; some of them may have just ended. */
+        /** Loads the stored tasks of the shard after a delay. Some of them may have ended just before. */
         private suspend fun load(shard: JobShard) {
             delay(random.nextLong(20, 400))
             if (!shard.isLedHere) return
@@ -221,7 +220,7 @@
             }
         }
 
-        /** This controller learns that a task does not run any more. */
+        /** Called when this controller learns that a task does not run any more. */
         fun taskEnded(key: String) {
             val task = placed.remove(key) ?: return
             if (task.isReleased) return
@@ -229,7 +228,7 @@
             if (task.job.shard.isLedHere) quota.removeUsage(task.job)
         }
 
-        /** This controller learns of the end of a task after [afterMs]. */
+        /** Lets this controller learn of the end of a task after [afterMs]. */
         fun reportEndLater(
             key: String,
             afterMs: Long,
@@ -249,7 +248,7 @@
 
     private var fencingToken = 0
 
-    /** Makes controller [to] the leader of the shard, whether or not the former leader has learned of it. */
+    /** Makes controller [to] the leader of the shard. The former leader learns of it only from its cache. */
     fun transferShard(
         name: String,
         to: Int,
@@ -265,9 +264,9 @@
         change(Put(Keys.shard(name), leader))
     }
 
-    /** Ends one of the running tasks; its controller learns of it later. */
+    /** Ends one of the running tasks. Its controller learns of this later. */
     fun endRandomTask() {
-        val running = service.keysUnder(RUN)
+        val running = service.keysUnder(RUN_PREFIX)
         if (running.isEmpty()) return
         val key = running.random(random)
         val reportedAfterMs = random.nextLong(1, 1500)
@@ -281,7 +280,7 @@
         failure?.let { throw AssertionError("at $now ms: ${it.message}", it) }
     }
 
-    /** The share that the state store holds for a shard. */
+    /** The share that the state store holds as the allotment of the shard. */
     fun storedRow(
         team: String,
         shard: String,
@@ -290,7 +289,7 @@
         return Share(row[0].jsonPrimitive.double, row[1].jsonPrimitive.double)
     }
 
-    /** What the tasks of a shard take that may be running. */
+    /** What those tasks of the shard take that may be running. */
     fun runningShare(
         team: String,
         shard: String,
@@ -309,9 +308,9 @@
     private fun JsonObject.number(field: String) = getValue(field).jsonPrimitive.double
 
     companion object {
-        private const val RUN = "run/"
+        private const val RUN_PREFIX = "run/"
 
-        private fun runPrefix(shard: String) = "$RUN$shard/"
+        private fun runPrefix(shard: String) = "$RUN_PREFIX$shard/"
 
         private fun teamOf(key: String) = key.split('/')[2]
     }
--- a/src/test/kotlin/micatally/quota/QuotaTest.kt
+++ b/src/test/kotlin/micatally/quota/QuotaTest.kt
@@ -31,7 +31,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Allotments of a team's limit, against the emulator of the state service. */
+/** Tests the allotments of a team's limit with two controllers and the state store emulator. */
 @OptIn(ExperimentalCoroutinesApi::class)
 class QuotaTest {
     private val limits = hashMapOf("vision" to Team("vision", 0.0, 40.0, 0.0, 0.0))
@@ -65,7 +65,7 @@
                 RateBudget(scope.backgroundScope, changesPerSecond, now),
                 500,
             )
-        private val copies = List(2) { SharedKeyCache() }
+        private val caches = List(2) { SharedKeyCache() }
         val shards = ArrayList<JobShard>()
         lateinit var quotas: List<Quota>
 
@@ -83,23 +83,23 @@
             refreshAllCaches()
             for (i in 0..1) {
                 shards.add(
-                    JobShard("l$i", copies[i].leader("l$i")!!).also { it.transitionTo(ShardState.ACTIVE) },
+                    JobShard("l$i", caches[i].leader("l$i")!!).also { it.transitionTo(ShardState.ACTIVE) },
                 )
             }
             quotas =
-                List(2) { i -> Quota(scope.backgroundScope, state, copies[i], teams, { listOf(shards[i]) }, 2) {} }
+                List(2) { i -> Quota(scope.backgroundScope, state, caches[i], teams, { listOf(shards[i]) }, 2) {} }
         }
 
-        /** What the state service holds for a shard. */
+        /** The cores that the state store holds as the allotment of shard [i]. */
         fun allottedCores(i: Int) =
             (service.value(Keys.team("vision"))?.get("l$i") as? JsonArray)?.get(0)?.jsonPrimitive?.double ?: 0.0
 
-        /** The copy of one node catches up. */
+        /** Updates the cache of the shared keys of controller [i]. */
         suspend fun refreshCache(i: Int) {
-            copies[i].load(state.list(Keys.PREFIX, Urgency.LEASE)!!)
+            caches[i].load(state.list(Keys.PREFIX, Urgency.LEASE)!!)
         }
 
-        /** The copies of both nodes catch up. */
+        /** Updates the caches of the shared keys of both controllers. */
         suspend fun refreshAllCaches() {
             refreshCache(0)
             refreshCache(1)
@@ -124,10 +124,13 @@
         test(setup)
     }
 
-    /** After a lowering without an answer the repeat found the key changed, and the former allotment bound again, though
-     * another owner could take what had been given back. */
+    /**
+     * Guards against using a released share again. The write that lowered the allotment had no answer, and its
+     * repetition failed because the key had changed. The controller then used the former allotment although the leader
+     * of another shard could already take the released share.
+     */
     @Test
-    fun `a lowering without an answer binds until it is seen`() =
+    fun `a lowered allotment without an answer limits use until the cache shows it`() =
         withSetup { setup ->
             val big = setup.job(0, 16.0, 1)
             assertFalse(setup.quotas[0].allows(big))
@@ -137,16 +140,18 @@
             setup.losesNextAnswer = true
             setup.quotas[0].releaseUnused()
             advanceTimeBy(5000)
-            assertFalse(setup.quotas[0].allows(big), "given back, whether or not this node has seen it")
+            assertFalse(setup.quotas[0].allows(big), "released, whether or not the cache shows it")
             setup.refreshCache(0)
             advanceTimeBy(200)
-            assertFalse(setup.quotas[0].allows(big), "only what is allotted counts")
+            assertFalse(setup.quotas[0].allows(big), "only the stored allotment counts")
         }
 
-    /** A shard that had just changed hands was taken for unused until its jobs were loaded: its allotment was handed back, and
-     * what was submitted meanwhile was placed on top of what ran (seed 15 of the seeded days). */
+    /**
+     * Guards against treating a shard as unused after a failover until its jobs are loaded. Its allotment was released,
+     * and new tasks were started in addition to those that were still running.
+     */
     @Test
-    fun `a ledger that is not loaded neither uses its allotment nor hands it back`() =
+    fun `a shard that is not loaded neither uses nor releases its allotment`() =
         withSetup { setup ->
             val job = setup.job(0, 16.0, 1)
             assertFalse(setup.quotas[0].allows(job))
@@ -160,9 +165,12 @@
             assertEquals(before, setup.service.value(Keys.team("vision")))
         }
 
-    /** Each owner kept a slack for its next job while another one's job waited for the team's limit, for good. */
+    /**
+     * Guards against a job that waits forever for the team's limit because the leaders of other shards keep a slack for
+     * their next jobs.
+     */
     @Test
-    fun `while an owner is short the others keep nothing that they don't use`() =
+    fun `while a shard is starved the other shards release their slack`() =
         withSetup { setup ->
             val small = setup.job(0, 1.0, 1)
             assertFalse(setup.quotas[0].allows(small))
@@ -184,10 +192,12 @@
             assertEquals(1.0, setup.quotas[0].used("l0", "vision").cores)
         }
 
-    /** Found on a drawn day of hcmc (fresh-5e44): two owners short of one limit handed the same share to and fro as fast as the state
-     * service wrote, twice the writes of the day. */
+    /**
+     * Guards against two shards that are starved of the same limit passing the same share back and forth as fast as the
+     * state store can write, which doubled the number of writes.
+     */
     @Test
-    fun `two owners that are short don't hand a share to and fro`() =
+    fun `two starved shards don't pass a share back and forth`() =
         withSetup { setup ->
             val jobs = listOf(setup.job(0, 25.0, 1), setup.job(1, 25.0, 2))
             val before = setup.service.changesMade
@@ -202,15 +212,18 @@
             assertTrue(setup.service.changesMade - before <= 8, "${setup.service.changesMade - before} writes")
         }
 
-    /** The incident of 2 December: a raise decided before the node saw its former one, and put together after, lowered the
-     * allotment below what had been placed in between; another owner was then given the same cards. */
+    /**
+     * Guards against a raise that lowers the allotment. A second raise was decided before the cache showed the first
+     * one, and its transaction was built afterwards. It lowered the allotment below the use of the tasks that were
+     * placed in between, and the same GPUs were then allotted to another shard.
+     */
     @Test
-    fun `a raise that waited does not lower what was taken meanwhile`() =
+    fun `a delayed raise does not lower the allotment below what is in use`() =
         withSetup(changesPerSecond = 1.0) { setup ->
             val big = setup.job(0, 16.0, 1)
             assertFalse(setup.quotas[0].allows(big))
             advanceTimeBy(100)
-            assertFalse(setup.quotas[0].allows(setup.job(0, 1.0, 2)), "this node has not seen its first raise yet")
+            assertFalse(setup.quotas[0].allows(setup.job(0, 1.0, 2)), "the cache does not show the first raise yet")
             setup.refreshCache(0)
             assertTrue(setup.quotas[0].allows(big))
             setup.quotas[0].addUsage(big)
@@ -218,10 +231,13 @@
             assertTrue(setup.allottedCores(0) >= 16.0, "allotted ${setup.allottedCores(0)}, in use 16")
         }
 
-    /** Found on reading for the incident: with the limit lowered below what two shards held, neither could hand back, since
-     * the sum was still above the limit after each one's change; the team stood still for good. */
+    /**
+     * Guards against a team that can't start any task after its limit was lowered below the allotments of two shards.
+     * Neither shard could release its unused part, since the sum of both was still above the limit after each single
+     * change.
+     */
     @Test
-    fun `a limit lowered below what two ledgers hold brings both to hand back`() =
+    fun `two shards release their unused parts when the limit is lowered below their sum`() =
         withSetup { setup ->
             for (i in 0..1) {
                 assertFalse(setup.quotas[i].allows(setup.job(i, 4.0, i)))
