--- a/src/test/kotlin/micatally/quota/FaultyStateStore.kt
+++ b/src/test/kotlin/micatally/quota/FaultyStateStore.kt
@@ -37,14 +37,14 @@
     private val scope: CoroutineScope,
     nowMs: () -> Long,
 ) {
-    val service = StateStoreEmulator(nowMs = nowMs)
+    val emulator = StateStoreEmulator(nowMs = nowMs)
     var faults = StateFaults.NONE
 
     /** A client without faults, delays or rate limits, for requests that are not under test. */
     val reliableClient =
         StateStoreClient(
             HttpCaller { _, method, target, body, _ ->
-                val response = service.handle(HttpRequest(method, target, body ?: ByteArray(0)))
+                val response = emulator.handle(HttpRequest(method, target, body ?: ByteArray(0)))
                 Outcome.Answer(response.status, response.body)
             },
             "state",
@@ -78,7 +78,7 @@
 
     private suspend fun answered(request: HttpRequest): Outcome {
         delay(random.nextLong(1, 20))
-        val response = service.handle(request)
+        val response = emulator.handle(request)
         delay(random.nextLong(1, 20))
         return Outcome.Answer(response.status, response.body)
     }
@@ -91,7 +91,7 @@
     ): Outcome {
         scope.launch {
             delay(afterMs)
-            service.handle(request)
+            emulator.handle(request)
         }
         delay(timeoutMs)
         return Outcome.Silence
--- a/src/test/kotlin/micatally/quota/QuotaFleet.kt
+++ b/src/test/kotlin/micatally/quota/QuotaFleet.kt
@@ -59,7 +59,7 @@
     private val scope = CoroutineScope(SupervisorJob() + dispatcher + handler)
     val now get() = scheduler.currentTime
     private val store = FaultyStateStore(random, scope) { now }
-    val service get() = store.service
+    val emulator get() = store.emulator
     var faults by store::faults
     val controllers = List(controllerCount) { Controller(it) }
     private var nextTask = 0
@@ -158,8 +158,8 @@
         private suspend fun load(shard: JobShard) {
             delay(random.nextLong(20, 400))
             if (!shard.isLedHere) return
-            val stored = service.keysUnder(runPrefix(shard.name))
-            for (key in stored) adopt(shard, key, service.value(key)!!)
+            val stored = emulator.keysUnder(runPrefix(shard.name))
+            for (key in stored) adopt(shard, key, emulator.value(key)!!)
             shard.transitionTo(ShardState.ACTIVE)
         }
 
@@ -213,7 +213,7 @@
                     is TransactionResult.Applied -> {}
                     is TransactionResult.Unknown -> {
                         delay(FaultyStateStore.MAX_EXECUTION_DELAY_MS)
-                        if (service.value(task.key) == null) taskEnded(task.key)
+                        if (emulator.value(task.key) == null) taskEnded(task.key)
                     }
                     else -> taskEnded(task.key)
                 }
@@ -266,7 +266,7 @@
 
     /** Ends one of the running tasks. Its controller learns of this later. */
     fun endRandomTask() {
-        val running = service.keysUnder(RUN_PREFIX)
+        val running = emulator.keysUnder(RUN_PREFIX)
         if (running.isEmpty()) return
         val key = running.random(random)
         val reportedAfterMs = random.nextLong(1, 1500)
@@ -285,7 +285,7 @@
         team: String,
         shard: String,
     ): Share {
-        val row = service.value(Keys.team(team))?.get(shard) as? JsonArray ?: return Share.NONE
+        val row = emulator.value(Keys.team(team))?.get(shard) as? JsonArray ?: return Share.NONE
         return Share(row[0].jsonPrimitive.double, row[1].jsonPrimitive.double)
     }
 
@@ -294,8 +294,8 @@
         team: String,
         shard: String,
     ): Share =
-        service.keysUnder(runPrefix(shard) + "$team/").fold(Share.NONE) { sum, key ->
-            val value = service.value(key)!!
+        emulator.keysUnder(runPrefix(shard) + "$team/").fold(Share.NONE) { sum, key ->
+            val value = emulator.value(key)!!
             sum + Share(value.number("cores"), value.number("cards"))
         }
 
--- a/src/test/kotlin/micatally/quota/QuotaTest.kt
+++ b/src/test/kotlin/micatally/quota/QuotaTest.kt
@@ -42,11 +42,11 @@
         changesPerSecond: Double = 1000.0,
     ) {
         private val now = { scope.testScheduler.currentTime }
-        val service = StateStoreEmulator(nowMs = now)
+        val emulator = StateStoreEmulator(nowMs = now)
         var losesNextAnswer = false
         private val http =
             HttpCaller { _, method, target, body, timeoutMs ->
-                val response = service.handle(HttpRequest(method, target, body ?: ByteArray(0)))
+                val response = emulator.handle(HttpRequest(method, target, body ?: ByteArray(0)))
                 if (losesNextAnswer &&
                     target == "/txn"
                 ) {
@@ -71,7 +71,7 @@
 
         suspend fun start(scope: TestScope) {
             for (i in 0..1) {
-                service.handle(
+                emulator.handle(
                     HttpRequest(
                         "POST",
                         "/txn",
@@ -92,7 +92,7 @@
 
         /** The cores that the state store holds as the allotment of shard [i]. */
         fun allottedCores(i: Int) =
-            (service.value(Keys.team("vision"))?.get("l$i") as? JsonArray)?.get(0)?.jsonPrimitive?.double ?: 0.0
+            (emulator.value(Keys.team("vision"))?.get("l$i") as? JsonArray)?.get(0)?.jsonPrimitive?.double ?: 0.0
 
         /** Updates the cache of the shared keys of controller [i]. */
         suspend fun refreshCache(i: Int) {
@@ -157,12 +157,12 @@
             assertFalse(setup.quotas[0].allows(job))
             advanceTimeBy(100)
             setup.refreshAllCaches()
-            val before = setup.service.value(Keys.team("vision"))
+            val before = setup.emulator.value(Keys.team("vision"))
             setup.shards[0] = JobShard("l0", setup.shards[0].leader)
             assertFalse(setup.quotas[0].allows(setup.job(0, 1.0, 2)))
             setup.quotas[0].releaseUnused()
             advanceTimeBy(1000)
-            assertEquals(before, setup.service.value(Keys.team("vision")))
+            assertEquals(before, setup.emulator.value(Keys.team("vision")))
         }
 
     /**
@@ -200,7 +200,7 @@
     fun `two starved shards don't pass a share back and forth`() =
         withSetup { setup ->
             val jobs = listOf(setup.job(0, 25.0, 1), setup.job(1, 25.0, 2))
-            val before = setup.service.changesMade
+            val before = setup.emulator.changesMade
             repeat(100) {
                 for (i in 0..1) {
                     setup.quotas[i].allows(jobs[i])
@@ -209,7 +209,7 @@
                     for (quota in setup.quotas) quota.allotmentsChanged("vision")
                 }
             }
-            assertTrue(setup.service.changesMade - before <= 8, "${setup.service.changesMade - before} writes")
+            assertTrue(setup.emulator.changesMade - before <= 8, "${setup.emulator.changesMade - before} writes")
         }
 
     /**
