--- a/src/test/kotlin/micatally/quota/FaultyStateStore.kt
+++ b/src/test/kotlin/micatally/quota/FaultyStateStore.kt
@@ -12,12 +12,12 @@
 import kotlin.random.Random
 
 /**
- * Which part of the requests to the state store goes wrong, and how.
+ * The shares of the requests to the state store, from 0 to 1, that fail in each way.
  *
- * @property late there is no answer, and the request is executed long after its sender has given up
+ * @property late there is no answer, and the request is executed long after its sender has stopped waiting
  * @property answerLost the request is executed at once, but its answer is lost
- * @property refused answered 503
- * @property limited answered 429
+ * @property refused the answer is 503, and the request is not executed
+ * @property limited the answer is 429, and the request is not executed
  */
 class StateFaults(
     val late: Double = 0.0,
@@ -31,20 +31,20 @@
     }
 }
 
-/** The emulated state store, with delays and [faults] between it and the controllers. */
+/** The emulated state store. Requests of controllers are delayed and fail as [faults] says. */
 class FaultyStateStore(
     private val random: Random,
     private val scope: CoroutineScope,
     nowMs: () -> Long,
 ) {
-    val service = StateStoreEmulator(nowMs = nowMs)
+    val emulator = StateStoreEmulator(nowMs = nowMs)
     var faults = StateFaults.NONE
 
-    /** A client without faults or limits, for what is not under test. */
+    /** A client without faults, delays or rate limits, for requests that are not under test. */
     val reliableClient =
         StateStoreClient(
             HttpCaller { _, method, target, body, _ ->
-                val response = service.handle(HttpRequest(method, target, body ?: ByteArray(0)))
+                val response = emulator.handle(HttpRequest(method, target, body ?: ByteArray(0)))
                 Outcome.Answer(response.status, response.body)
             },
             "state",
@@ -53,7 +53,7 @@
             500,
         )
 
-    /** A controller's request, which may go wrong. */
+    /** Handles a controller's request, which may fail. */
     suspend fun call(
         method: String,
         target: String,
@@ -78,11 +78,12 @@
 
     private suspend fun answered(request: HttpRequest): Outcome {
         delay(random.nextLong(1, 20))
-        val response = service.handle(request)
+        val response = emulator.handle(request)
         delay(random.nextLong(1, 20))
         return Outcome.Answer(response.status, response.body)
     }
 
+    /** Executes the request after [afterMs], and gives no answer within the sender's [timeoutMs]. */
     private suspend fun unanswered(
         request: HttpRequest,
         afterMs: Long,
@@ -90,14 +91,14 @@
     ): Outcome {
         scope.launch {
             delay(afterMs)
-            service.handle(request)
+            emulator.handle(request)
         }
         delay(timeoutMs)
         return Outcome.Silence
     }
 
     companion object {
-        /** A transaction without an answer is executed within this time, or never. */
+        /** A request without an answer is executed within this time. */
         const val MAX_EXECUTION_DELAY_MS = 6000L
     }
 }
--- a/src/test/kotlin/micatally/quota/QuotaFleet.kt
+++ b/src/test/kotlin/micatally/quota/QuotaFleet.kt
@@ -38,12 +38,11 @@
 import kotlin.random.Random
 
 /**
- * Several controllers that share teams' limits through one state store, on simulated time. Only what bears on limits is
- * there: caches of the shared keys that lag, allotments, intents on the condition of a shard's term, ends of tasks that
- * are reported late, failovers.
+ * Several controllers that share teams' limits through one state store, in simulated time. The fleet contains only what
+ * affects limits: caches of the shared keys that lag, allotments, intents whose write is conditional on the leadership
+ * of the shard, ends of tasks that are reported late, and failovers.
  *
- * A task counts as running from the moment at which the state store holds its intent, which is the earliest at which
- * its start command may be sent.
+ * A task counts as running once the state store holds its intent, since its run command may be sent from then on.
  */
 @OptIn(ExperimentalCoroutinesApi::class)
 class QuotaFleet(
@@ -60,12 +59,12 @@
     private val scope = CoroutineScope(SupervisorJob() + dispatcher + handler)
     val now get() = scheduler.currentTime
     private val store = FaultyStateStore(random, scope) { now }
-    val service get() = store.service
+    val emulator get() = store.emulator
     var faults by store::faults
     val controllers = List(controllerCount) { Controller(it) }
     private var nextTask = 0
 
-    /** A job of one task that takes so much of its team's limit. */
+    /** The specification of a job whose one task takes this many cores and GPUs of its team's limit. */
     private fun spec(
         team: String,
         cores: Double,
@@ -88,8 +87,8 @@
     inner class Controller(
         private val index: Int,
     ) {
-        private val thread = Stoppable(dispatcher)
-        private val controllerScope = CoroutineScope(SupervisorJob() + thread + handler)
+        private val pausableDispatcher = Stoppable(dispatcher)
+        private val controllerScope = CoroutineScope(SupervisorJob() + pausableDispatcher + handler)
         private val sharedKeys = SharedKeyCache()
         private val state =
             StateStoreClient(
@@ -112,12 +111,12 @@
             ) {}
 
         var isFrozen: Boolean
-            get() = thread.frozen
+            get() = pausableDispatcher.frozen
             set(value) {
-                thread.frozen = value
+                pausableDispatcher.frozen = value
             }
 
-        /** The cache of the shared keys gets a listing as it is now, after [afterMs]. */
+        /** Updates the cache of the shared keys after [afterMs] with a listing that is taken now. */
         fun refreshCache(afterMs: Long) {
             controllerScope.launch {
                 val listing = store.reliableClient.list(Keys.PREFIX, Urgency.LEASE) ?: return@launch
@@ -155,12 +154,12 @@
             quota.forget(shard.name)
         }
 
-        /** Loads the tasks as they are stored; some of them may have just ended. */
+        /** Loads the stored tasks of the shard after a delay. Some of them may have ended just before. */
         private suspend fun load(shard: JobShard) {
             delay(random.nextLong(20, 400))
             if (!shard.isLedHere) return
-            val stored = service.keysUnder(runPrefix(shard.name))
-            for (key in stored) adopt(shard, key, service.value(key)!!)
+            val stored = emulator.keysUnder(runPrefix(shard.name))
+            for (key in stored) adopt(shard, key, emulator.value(key)!!)
             shard.transitionTo(ShardState.ACTIVE)
         }
 
@@ -214,14 +213,14 @@
                     is TransactionResult.Applied -> {}
                     is TransactionResult.Unknown -> {
                         delay(FaultyStateStore.MAX_EXECUTION_DELAY_MS)
-                        if (service.value(task.key) == null) taskEnded(task.key)
+                        if (emulator.value(task.key) == null) taskEnded(task.key)
                     }
                     else -> taskEnded(task.key)
                 }
             }
         }
 
-        /** This controller learns that a task does not run any more. */
+        /** Called when this controller learns that a task does not run any more. */
         fun taskEnded(key: String) {
             val task = placed.remove(key) ?: return
             if (task.isReleased) return
@@ -229,7 +228,7 @@
             if (task.job.shard.isLedHere) quota.removeUsage(task.job)
         }
 
-        /** This controller learns of the end of a task after [afterMs]. */
+        /** Lets this controller learn of the end of a task after [afterMs]. */
         fun reportEndLater(
             key: String,
             afterMs: Long,
@@ -249,7 +248,7 @@
 
     private var fencingToken = 0
 
-    /** Makes controller [to] the leader of the shard, whether or not the former leader has learned of it. */
+    /** Makes controller [to] the leader of the shard. The former leader learns of it only from its cache. */
     fun transferShard(
         name: String,
         to: Int,
@@ -265,9 +264,9 @@
         change(Put(Keys.shard(name), leader))
     }
 
-    /** Ends one of the running tasks; its controller learns of it later. */
+    /** Ends one of the running tasks. Its controller learns of this later. */
     fun endRandomTask() {
-        val running = service.keysUnder(RUN)
+        val running = emulator.keysUnder(RUN_PREFIX)
         if (running.isEmpty()) return
         val key = running.random(random)
         val reportedAfterMs = random.nextLong(1, 1500)
@@ -281,22 +280,22 @@
         failure?.let { throw AssertionError("at $now ms: ${it.message}", it) }
     }
 
-    /** The share that the state store holds for a shard. */
+    /** The share that the state store holds as the allotment of the shard. */
     fun storedRow(
         team: String,
         shard: String,
     ): Share {
-        val row = service.value(Keys.team(team))?.get(shard) as? JsonArray ?: return Share.NONE
+        val row = emulator.value(Keys.team(team))?.get(shard) as? JsonArray ?: return Share.NONE
         return Share(row[0].jsonPrimitive.double, row[1].jsonPrimitive.double)
     }
 
-    /** What the tasks of a shard take that may be running. */
+    /** What those tasks of the shard take that may be running. */
     fun runningShare(
         team: String,
         shard: String,
     ): Share =
-        service.keysUnder(runPrefix(shard) + "$team/").fold(Share.NONE) { sum, key ->
-            val value = service.value(key)!!
+        emulator.keysUnder(runPrefix(shard) + "$team/").fold(Share.NONE) { sum, key ->
+            val value = emulator.value(key)!!
             sum + Share(value.number("cores"), value.number("cards"))
         }
 
@@ -309,9 +308,9 @@
     private fun JsonObject.number(field: String) = getValue(field).jsonPrimitive.double
 
     companion object {
-        private const val RUN = "run/"
+        private const val RUN_PREFIX = "run/"
 
-        private fun runPrefix(shard: String) = "$RUN$shard/"
+        private fun runPrefix(shard: String) = "$RUN_PREFIX$shard/"
 
         private fun teamOf(key: String) = key.split('/')[2]
     }
