--- a/src/main/kotlin/micatally/job/TaskReconciler.kt
+++ b/src/main/kotlin/micatally/job/TaskReconciler.kt
@@ -18,7 +18,7 @@
     private val collaborators: JobCollaborators,
 ) {
     private val log = LoggerFactory.getLogger("micatally.job")
-    private val onceLog = OnceLog(log)
+    private val unknownValueLog = UnknownValueLog(log)
 
     /** The machine has restarted its worker: what an earlier incarnation ran is gone. */
     fun newIncarnation(machine: Machine) {
@@ -112,7 +112,7 @@
             ListedTask.SAVING -> attempts.advance(attempt, AttemptState.SAVING)
             ListedTask.ENDED -> return taskEnded(attempt, task, source)
             // It counts neither as ended nor as running.
-            else -> onceLog.warn("task $attempt is in an unknown state: ${task.status}")
+            else -> unknownValueLog.warn("task $attempt is in an unknown state: ${task.status}")
         }
         return false
     }
@@ -123,7 +123,11 @@
         task: ListedTask,
         source: StatusSource,
     ): Boolean {
-        if (task.exitReason == null) onceLog.warn("task $attempt ended for an unknown reason: ${task.exitReasonText}")
+        if (task.exitReason ==
+            null
+        ) {
+            unknownValueLog.warn("task $attempt ended for an unknown reason: ${task.exitReasonText}")
+        }
         val isUnconfirmed = source != StatusSource.COMMAND_RESPONSE
         if (task.isDone) {
             attempts.terminate(attempt, AttemptTermination(TerminationEvidence.COMPLETED, "done", ExitReason.DONE))
--- a/src/main/kotlin/micatally/job/OnceLog.kt
+++ b/src/main/kotlin/micatally/job/UnknownValueLog.kt
@@ -6,7 +6,7 @@
  * Logs warnings about values that this program does not know, each value once: workers repeat them in every report. Values
  * beyond the first [MAX_VALUES] are not logged.
  */
-class OnceLog(
+class UnknownValueLog(
     private val log: Logger,
 ) {
     private val loggedValues = HashSet<String>()
