--- a/src/main/kotlin/micatally/archive/ArchivePlan.kt
+++ b/src/main/kotlin/micatally/archive/ArchivePlan.kt
@@ -52,7 +52,7 @@
     ): List<Compare> = hosts.map { Compare(Keys.live(it), sharedKeys.modRevision(Keys.live(it))) }
 
     /** How many records one transaction may move: each takes two writes and two conditions, beside [otherConditions]. */
-    fun recordsAtOnce(
+    fun recordsPerTransaction(
         limits: StateLimits,
         otherConditions: Int,
     ): Int {
--- a/src/main/kotlin/micatally/archive/RecordArchive.kt
+++ b/src/main/kotlin/micatally/archive/RecordArchive.kt
@@ -49,7 +49,7 @@
     private val log = LoggerFactory.getLogger("micatally.archive")
     private val sharedKeys get() = membership.sharedKeys
     private val hosts = settings.peers.map { it.host } + settings.host
-    private val recordsAtOnce = ArchivePlan.recordsAtOnce(settings.stateLimits, hosts.size + 1)
+    private val recordsPerTransaction = ArchivePlan.recordsPerTransaction(settings.stateLimits, hosts.size + 1)
 
     /** Jobs whose records the state service does not take at the other place. */
     private val refusedJobIds = HashSet<String>()
@@ -60,7 +60,7 @@
     /** Starts the walks, unless [mode] is [ArchiveMode.OFF]. Returns at once. */
     fun start() {
         if (mode == ArchiveMode.OFF) return
-        if (recordsAtOnce == 0) {
+        if (recordsPerTransaction == 0) {
             log.warn(
                 "records are not archived: {} changes a transaction are too few",
                 settings.maxOperationsPerTransaction,
@@ -69,7 +69,7 @@
         }
         scope.launch {
             while (true) {
-                delay(settings.leaseMs * LEASES_BETWEEN_WALKS)
+                delay(settings.leaseMs * LEASES_BETWEEN_PASSES)
                 if (mode == ArchiveMode.ON) archive() else restore()
             }
         }
@@ -78,12 +78,12 @@
     private suspend fun archive() {
         announce()
         if (!ArchivePlan.mayMove(sharedKeys, hosts)) return
-        val moved = walk(Keys.JOB) { shard, items -> move(shard, items) } ?: return
+        val moved = scan(Keys.JOB) { shard, items -> move(shard, items) } ?: return
         if (moved > 0) log.info("{} records of jobs that are over were archived", moved)
     }
 
     private suspend fun restore() {
-        val copied = walk(Keys.FINAL) { shard, items -> copyBack(shard, items) } ?: return
+        val copied = scan(Keys.FINAL) { shard, items -> copyBack(shard, items) } ?: return
         if (copied == 0 && shards.loaded(settings.host) != null) {
             log.info("all archived records of this node's shards are back")
         } else {
@@ -111,7 +111,7 @@
      * @param process handles a batch and returns how many of its records it dealt with
      * @return how many records were dealt with, or null if not all could be read
      */
-    private suspend fun walk(
+    private suspend fun scan(
         prefix: String,
         process: suspend (JobShard, List<KeyValue>) -> Int,
     ): Int? {
@@ -132,7 +132,7 @@
         process: suspend (JobShard, List<KeyValue>) -> Int,
     ): Int {
         var count = 0
-        for (batch in RecordBatches.split(items, recordsAtOnce)) {
+        for (batch in RecordBatches.split(items, recordsPerTransaction)) {
             if (!shard.isLedHere) break
             count += process(shard, batch)
             delay(pauseMs(batch.size))
@@ -172,7 +172,7 @@
 
     /** The pause that keeps the walk to its share of the writes that this controller may make. */
     private fun pauseMs(records: Int): Long {
-        val writesPerSecond = settings.stateWriteRps / settings.controllers * SHARE_OF_WRITES
+        val writesPerSecond = settings.stateWriteRps / settings.controllers * ARCHIVE_SHARE_OF_WRITES
         return (records * 2 * MS_PER_SECOND / writesPerSecond).toLong()
     }
 
@@ -183,7 +183,7 @@
     ): Int {
         val result =
             state.transact(items.size * 2, Urgency.SUMMARY) {
-                transactionOfMove(
+                moveTransaction(
                     shard,
                     items.flatMap { listOf(Compare(it.key, it.modRevision), Compare(finalKey(it), 0)) },
                     items.flatMap { listOf(Delete(it.key), Put(finalKey(it), it.value)) },
@@ -193,15 +193,15 @@
             is TransactionResult.Applied -> items.size
             is TransactionResult.Failed -> {
                 val restored = items.filter { finalKey(it) in result.keys }
-                restored.count { removeCopy(shard, it) }
+                restored.count { deleteRestoredCopy(shard, it) }
             }
-            is TransactionResult.TooLarge -> moveEach(shard, items)
+            is TransactionResult.TooLarge -> moveOneByOne(shard, items)
             else -> 0
         }
     }
 
     /** Null if records of the shard may not be moved by this process, or not at this time. */
-    private fun transactionOfMove(
+    private fun moveTransaction(
         shard: JobShard,
         recordConditions: List<Compare>,
         writes: List<Write>,
@@ -217,7 +217,7 @@
     private fun leaderCondition(shard: JobShard) = Compare(Keys.shard(shard.name), shard.leader.modRevision)
 
     /** A record that was copied back is in both places. The copy is deleted if the archive has the same value. */
-    private suspend fun removeCopy(
+    private suspend fun deleteRestoredCopy(
         shard: JobShard,
         item: KeyValue,
     ): Boolean {
@@ -225,7 +225,7 @@
         if (archived !is ReadResult.Found || archived.item.value != item.value) return false
         val result =
             state.transact(1, Urgency.SUMMARY) {
-                transactionOfMove(
+                moveTransaction(
                     shard,
                     listOf(
                         Compare(item.key, item.modRevision),
@@ -241,7 +241,7 @@
      * Moves the records one by one. One that is too large even alone stays where it is: the limits may have been lowered since
      * it was written.
      */
-    private suspend fun moveEach(
+    private suspend fun moveOneByOne(
         shard: JobShard,
         items: List<KeyValue>,
     ): Int {
@@ -281,8 +281,8 @@
     private fun jobKey(item: KeyValue) = Keys.job(item.key.removePrefix(Keys.FINAL))
 
     private companion object {
-        const val LEASES_BETWEEN_WALKS = 2
-        const val SHARE_OF_WRITES = 0.125
+        const val LEASES_BETWEEN_PASSES = 2
+        const val ARCHIVE_SHARE_OF_WRITES = 0.125
         const val MS_PER_SECOND = 1000.0
     }
 }
--- a/src/main/kotlin/micatally/job/AttemptLifecycle.kt
+++ b/src/main/kotlin/micatally/job/AttemptLifecycle.kt
@@ -44,7 +44,7 @@
     }
 
     /** The intents of these attempts are durable, so they may be sent. */
-    fun recorded(attempts: List<Attempt>) {
+    fun markRecorded(attempts: List<Attempt>) {
         val touchedMachines = LinkedHashSet<Machine>()
         for (attempt in attempts) {
             if (!attempt.isLive || attempt.state != AttemptState.INTENDED) continue
@@ -110,9 +110,9 @@
     }
 
     /** The end of a job that is done is stored already; that its last attempts have ended may be written a little later. */
-    private fun isWriteUrgent(isEnded: Attempt): Boolean {
-        val job = isEnded.job
-        val wasStopped = job.state == JobState.OPEN && isEnded.stop != null
+    private fun isWriteUrgent(attempt: Attempt): Boolean {
+        val job = attempt.job
+        val wasStopped = job.state == JobState.OPEN && attempt.stop != null
         return job.state == JobState.CANCELLED || wasStopped || job.isEndBeingWritten
     }
 
--- a/src/main/kotlin/micatally/job/Cancellations.kt
+++ b/src/main/kotlin/micatally/job/Cancellations.kt
@@ -23,24 +23,24 @@
     private val nowMs: () -> Long,
 ) {
     /** The tasks of cancelled jobs of all shards, as far as this controller knows them. */
-    val cancelledTasks = CancelledTasks(settings.cancelMs * CANCEL_TIMES_KEPT, nowMs)
+    val cancelledTasks = CancelledTasks(settings.cancelMs * CANCEL_DEADLINES_KEPT, nowMs)
 
     /** Kept up to date instead of searched for, since each message from another controller asks for them. */
-    private val pending = LinkedHashSet<Job>()
+    private val trackedJobs = LinkedHashSet<Job>()
 
     /** The cancelled jobs with attempts that may still be on their machines; a read-only view. */
-    val unfinished: Collection<Job> = Collections.unmodifiableCollection(pending)
+    val unfinishedJobs: Collection<Job> = Collections.unmodifiableCollection(trackedJobs)
 
-    /** The tasks of [unfinished] jobs whose cancellation is durable. */
+    /** The tasks of [unfinishedJobs] whose cancellation is durable. */
     fun unfinishedTasks(): List<CancelledTask> =
-        pending
+        trackedJobs
             .filter {
                 it.durableState == JobState.CANCELLED
             }.flatMap { it.cancelledTasks() }
 
     /** The job has just been cancelled here. */
     fun begin(job: Job) {
-        pending.add(job)
+        trackedJobs.add(job)
         // Machines that no command reaches may still report here.
         cancelledTasks.take(job.cancelledTasks())
     }
@@ -50,8 +50,8 @@
      *
      * @return false if its tasks have yet to be listed in the shared keys
      */
-    fun adopted(job: Job): Boolean {
-        pending.add(job)
+    fun addLoaded(job: Job): Boolean {
+        trackedJobs.add(job)
         val published = sharedKeys.value(Keys.cancelledTasks(job.jobId)) ?: return false
         job.storedCancelledTasksOverflow = RecordPacking.overflowCount(published)
         // They were written together with the record, and the copy of the shared keys is as new as the leadership of the shard.
@@ -100,18 +100,18 @@
      * regularly.
      */
     fun follow(now: Long) {
-        for (job in pending.toList()) if (isOverdue(job, now)) confirm(job)
-        pending.removeIf { it.attempts.isEmpty() || it.state != JobState.CANCELLED }
+        for (job in trackedJobs.toList()) if (isStopOverdue(job, now)) confirm(job)
+        trackedJobs.removeIf { it.attempts.isEmpty() || it.state != JobState.CANCELLED }
         cancelledTasks.prune { sharedKeys.has(Keys.cancelledTasks(it)) }
     }
 
-    private fun isOverdue(
+    private fun isStopOverdue(
         job: Job,
         now: Long,
     ): Boolean {
         if (job.shard.state != ShardState.ACTIVE || job.durableState != JobState.CANCELLED) return false
         if (job.isConfirmableRecorded) return false
-        val stoppedBefore = now - settings.leaseMs / OVERDUE_SHARE
+        val stoppedBefore = now - settings.leaseMs / OVERDUE_LEASE_DIVISOR
         return job.attempts.values.any { it.stop == StopReason.CANCELLED && it.stopSinceMs < stoppedBefore }
     }
 
@@ -137,9 +137,9 @@
          * Tasks are kept for this many times the time that a cancellation may take: their leader may end before it can tell
          * that they are terminated.
          */
-        const val CANCEL_TIMES_KEPT = 2
+        const val CANCEL_DEADLINES_KEPT = 2
 
         /** Within this part of a lease a machine that can be reached confirms the end of its task. */
-        const val OVERDUE_SHARE = 10
+        const val OVERDUE_LEASE_DIVISOR = 10
     }
 }
--- a/src/main/kotlin/micatally/job/FaultJudgement.kt
+++ b/src/main/kotlin/micatally/job/FaultJudgement.kt
@@ -21,17 +21,17 @@
     ) {
         val job = attempt.job
         val health = job.health
-        noteSuccess(job, nowMs)
+        checkForSuccess(job, nowMs)
         val wasSuspect = health.isSuspect
-        val isProven = isProven(attempt.machine, job, nowMs)
-        health.failed(attempt.machine.name, ranMs, isProven)
-        val pauseMs = health.pauseMs(settings.heartbeatIntervalMs, memoryMs)
-        if (pauseMs > 0) job.retryAt = nowMs + pauseMs
+        val isMachineProven = isMachineProven(attempt.machine, job, nowMs)
+        health.failed(attempt.machine.name, ranMs, isMachineProven)
+        val backoffMs = health.backoffMs(settings.heartbeatIntervalMs, memoryMs)
+        if (backoffMs > 0) job.retryAt = nowMs + backoffMs
         if (health.isSuspect) {
-            if (!wasSuspect) suspect(job)
+            if (!wasSuspect) onJobSuspected(job)
             return
         }
-        val runsElsewhere = health.hasSucceeded && !isProven
+        val runsElsewhere = health.hasSucceeded && !isMachineProven
         val isNewlyFaulty = attempt.machine.health.accuse(job.jobId, runsElsewhere, nowMs, memoryMs)
         if (isNewlyFaulty) log.info("machine {} fails what it starts", attempt.machine.name)
     }
@@ -47,15 +47,15 @@
         jobs: List<Job>,
         nowMs: Long,
     ) {
-        for (job in jobs) if (job.health.isSuspect) noteSuccess(job, nowMs)
+        for (job in jobs) if (job.health.isSuspect) checkForSuccess(job, nowMs)
     }
 
-    private fun noteSuccess(
+    private fun checkForSuccess(
         job: Job,
         nowMs: Long,
     ) {
-        val isProven = job.attempts.values.any { job.health.isProvenBy(ranMs(it, nowMs), settings.leaseMs) }
-        if (!isProven) return
+        val canRun = job.attempts.values.any { job.health.isProvenBy(ranMs(it, nowMs), settings.leaseMs) }
+        if (!canRun) return
         if (job.health.isSuspect) log.info("job {} runs after all", job.jobId)
         job.health.succeeded()
     }
@@ -69,7 +69,7 @@
     }
 
     /** Whether the machine runs other jobs well: a task of another job that runs on there counts as one that completed. */
-    private fun isProven(
+    private fun isMachineProven(
         machine: Machine,
         job: Job,
         nowMs: Long,
@@ -77,7 +77,7 @@
         machine.attempts.any { it.job !== job && ranMs(it, nowMs) > settings.leaseMs }
 
     /** The job itself is at fault, so its failures no longer count against machines. */
-    private fun suspect(job: Job) {
+    private fun onJobSuspected(job: Job) {
         log.warn(
             "job {} fails wherever it starts: {} failures on {} machines; tried with one task at a time",
             job.jobId,
--- a/src/main/kotlin/micatally/job/JobAdoption.kt
+++ b/src/main/kotlin/micatally/job/JobAdoption.kt
@@ -31,7 +31,7 @@
         shard.jobs[record.jobId] = job
         for (attempt in plain.attempts) adoptAttempt(job, attempt)
         gangs.restore(job)
-        if (job.state == JobState.CANCELLED && !cancellations.adopted(job)) store.requestWrite(job)
+        if (job.state == JobState.CANCELLED && !cancellations.addLoaded(job)) store.requestWrite(job)
     }
 
     /** Whichever shard the job is in: a controller that has just started must stop its tasks where machines report them. */
--- a/src/main/kotlin/micatally/job/JobCancellation.kt
+++ b/src/main/kotlin/micatally/job/JobCancellation.kt
@@ -41,7 +41,7 @@
     /** Stops the attempts of cancelled jobs that were loaded after a failover, whose stop is not stored with them. */
     fun stopUnfinished() {
         val now = nowMs()
-        for (job in cancellations.unfinished) {
+        for (job in cancellations.unfinishedJobs) {
             if (job.shard.state != ShardState.ACTIVE) continue
             for (attempt in job.attempts.values) attempt.stop(StopReason.CANCELLED, now)
         }
--- a/src/main/kotlin/micatally/job/JobHealth.kt
+++ b/src/main/kotlin/micatally/job/JobHealth.kt
@@ -39,8 +39,8 @@
         failures++
         failuresInRow++
         longestFailedRunMs = maxOf(longestFailedRunMs, ranMs)
-        if (failedOn.size >= MAX_MACHINES || !failedOn.add(machine)) return
-        evidence += if (isMachineProven) EVIDENCE_OF_PROVEN else 1
+        if (failedOn.size >= MAX_REMEMBERED_MACHINES || !failedOn.add(machine)) return
+        evidence += if (isMachineProven) EVIDENCE_ON_PROVEN_MACHINE else 1
     }
 
     /** A task of the job has completed, or has run for long enough. */
@@ -53,21 +53,21 @@
     fun isProvenBy(
         ranMs: Long,
         minMs: Long,
-    ) = ranMs > maxOf(longestFailedRunMs * LONGER_THAN_FAILURES, minMs)
+    ) = ranMs > maxOf(longestFailedRunMs * MIN_RATIO_TO_FAILED_RUN, minMs)
 
     /**
      * Whether the next task should rather be tried on another machine. Once the job itself is suspected, its failures say nothing
      * about machines, and it may go back to those that have its image already.
      */
-    fun avoids(machine: String) = !isSuspect && failedOn.size <= FEW_MACHINES && machine in failedOn
+    fun avoids(machine: String) = !isSuspect && failedOn.size <= MAX_AVOIDED_MACHINES && machine in failedOn
 
     /** How long to wait before the next try: nothing at first, then exponentially longer up to [maxMs]. */
-    fun pauseMs(
+    fun backoffMs(
         heartbeatIntervalMs: Long,
         maxMs: Long,
     ): Long {
-        if (failuresInRow <= FAILURES_TO_PAUSE) return 0L
-        return minOf(maxMs, heartbeatIntervalMs shl minOf(failuresInRow - FAILURES_TO_PAUSE, MAX_DOUBLINGS))
+        if (failuresInRow <= FAILURES_WITHOUT_BACKOFF) return 0L
+        return minOf(maxMs, heartbeatIntervalMs shl minOf(failuresInRow - FAILURES_WITHOUT_BACKOFF, MAX_DOUBLINGS))
     }
 
     private companion object {
@@ -76,16 +76,16 @@
          * which other jobs succeed counts twice.
          */
         const val EVIDENCE_TO_SUSPECT = 3
-        const val EVIDENCE_OF_PROVEN = 2
+        const val EVIDENCE_ON_PROVEN_MACHINE = 2
 
         /** Once the job has failed on more machines than this, there is no use in avoiding them. */
-        const val FEW_MACHINES = 6
+        const val MAX_AVOIDED_MACHINES = 6
 
-        /** Bounds the memory used; beyond [FEW_MACHINES] nothing depends on the names. */
-        const val MAX_MACHINES = 64
+        /** Bounds the memory used; beyond [MAX_AVOIDED_MACHINES] nothing depends on the names. */
+        const val MAX_REMEMBERED_MACHINES = 64
 
-        const val LONGER_THAN_FAILURES = 2
-        const val FAILURES_TO_PAUSE = 3
+        const val MIN_RATIO_TO_FAILED_RUN = 2
+        const val FAILURES_WITHOUT_BACKOFF = 3
         const val MAX_DOUBLINGS = 7
     }
 }
--- a/src/main/kotlin/micatally/job/JobStore.kt
+++ b/src/main/kotlin/micatally/job/JobStore.kt
@@ -127,26 +127,26 @@
         var snapshot: Snapshot? = null
         val result =
             state.transact(expectedChanges(job), urgency) {
-                snapshot = if (job.state == JobState.DROPPED || !job.shard.isLedHere) null else snapshot(job)
+                snapshot = if (job.state == JobState.DROPPED || !job.shard.isLedHere) null else takeSnapshot(job)
                 snapshot?.let { Transaction(conditions(job), it.write.changes) }
             }
         return when (result) {
             is TransactionResult.Applied -> {
-                applied(checkNotNull(snapshot) { "a transaction without changes was applied" }, result.revision)
+                onApplied(checkNotNull(snapshot) { "a transaction without changes was applied" }, result.revision)
                 true
             }
-            is TransactionResult.Failed -> conditionFailed(job, result)
+            is TransactionResult.Failed -> onConditionFailed(job, result)
             is TransactionResult.Unknown -> {
                 if (job.modRevision == 0L) job.mayHaveBeenCreated = true
                 delay(retryMs)
                 true
             }
-            is TransactionResult.TooLarge -> notWritten(job, retryMs * RETRIES_SKIPPED_IF_TOO_LARGE)
-            else -> notWritten(job, retryMs)
+            is TransactionResult.TooLarge -> onNotWritten(job, retryMs * TOO_LARGE_PAUSE_FACTOR)
+            else -> onNotWritten(job, retryMs)
         }
     }
 
-    private suspend fun conditionFailed(
+    private suspend fun onConditionFailed(
         job: Job,
         result: TransactionResult.Failed,
     ): Boolean {
@@ -170,12 +170,12 @@
         )
 
     /** Ends attempts for which the record has no room, before anything of them is sent; null if it does not fit even so. */
-    private fun snapshot(job: Job): Snapshot? {
+    private fun takeSnapshot(job: Job): Snapshot? {
         while (true) {
             val fit = forms.fit(job)
             val intended = job.attempts.values.filter { it.state == AttemptState.INTENDED }
             if (intended.isNotEmpty() && (fit is RecordFit.TooLarge || forms.isFull(job))) {
-                listener.recordFull(job, intended.takeLast(maxOf(1, intended.size / SHARE_GIVEN_UP)))
+                listener.recordFull(job, intended.takeLast(maxOf(1, intended.size / INTENTS_GIVEN_UP_DIVISOR)))
                 continue
             }
             if (fit is RecordFit.Fits) return Snapshot(job, fit.write)
@@ -184,7 +184,7 @@
         }
     }
 
-    private fun applied(
+    private fun onApplied(
         snapshot: Snapshot,
         revision: Long,
     ) {
@@ -203,7 +203,7 @@
     }
 
     /** It is certain that nothing was carried out. A new job is then refused; any other is written again after a pause. */
-    private suspend fun notWritten(
+    private suspend fun onNotWritten(
         job: Job,
         pauseMs: Long,
     ): Boolean {
@@ -229,13 +229,13 @@
                     job.modRevision = 0L
                     return true
                 }
-                is ReadResult.Found -> return resumeFrom(job, read.item)
+                is ReadResult.Found -> return continueFrom(job, read.item)
             }
         }
         return false
     }
 
-    private fun resumeFrom(
+    private fun continueFrom(
         job: Job,
         stored: KeyValue,
     ): Boolean {
@@ -259,9 +259,9 @@
 
     private companion object {
         /** A value that is too large stays so until attempts have ended or the format is raised. */
-        const val RETRIES_SKIPPED_IF_TOO_LARGE = 4
+        const val TOO_LARGE_PAUSE_FACTOR = 4
 
         /** This part of the attempts that are not stored is given up at a time. */
-        const val SHARE_GIVEN_UP = 4
+        const val INTENTS_GIVEN_UP_DIVISOR = 4
     }
 }
--- a/src/main/kotlin/micatally/job/JobStoreOutcomes.kt
+++ b/src/main/kotlin/micatally/job/JobStoreOutcomes.kt
@@ -18,7 +18,7 @@
         job: Job,
         written: List<Attempt>,
     ) {
-        lifecycle.recorded(written)
+        lifecycle.markRecorded(written)
         val isOver = job.durableState == JobState.DONE || job.durableState == JobState.CANCELLED
         if (!isOver) return
         if (cancellations.mayConfirm(job)) finalAnswers.remember(job.answer())
--- a/src/main/kotlin/micatally/job/RecordWrite.kt
+++ b/src/main/kotlin/micatally/job/RecordWrite.kt
@@ -45,10 +45,10 @@
     fun fit(job: Job): RecordFit {
         val record = JobRecordCodec.encode(job)
         val listsTasks = job.state == JobState.CANCELLED && job.attempts.isNotEmpty()
-        val main = form(record) { JobRecordCodec.summary(job, record) } ?: return RecordFit.TooLarge
+        val main = packIfTooLarge(record) { JobRecordCodec.summary(job, record) } ?: return RecordFit.TooLarge
         val cancelledTasks =
             if (listsTasks) {
-                form(CancelledTasksValue.encode(job.cancelledTasks())) { EMPTY } ?: return RecordFit.TooLarge
+                packIfTooLarge(CancelledTasksValue.encode(job.cancelledTasks())) { EMPTY } ?: return RecordFit.TooLarge
             } else {
                 null
             }
@@ -58,7 +58,7 @@
     /** Whether new attempts have to wait: a plain record is kept within [limits] from now on, though a larger one is still taken. */
     fun isFull(job: Job): Boolean = !mayPack() && RecordPacking.size(JobRecordCodec.encode(job)) > limits.valueBytes
 
-    private fun form(
+    private fun packIfTooLarge(
         value: JsonObject,
         plainFields: () -> JsonObject,
     ): PackedValue? =
--- a/src/main/kotlin/micatally/job/ServiceArrivals.kt
+++ b/src/main/kotlin/micatally/job/ServiceArrivals.kt
@@ -24,28 +24,28 @@
         arrivals.addLast(Arrival(nowMs(), spec))
     }
 
-    /** What the services of the last [THIRDS_OF_A_BOOT] thirds of a boot need, as one request for each shape. */
+    /** What the services of the last [PERIOD_BOOT_THIRDS] thirds of a boot need, as one request for each shape. */
     fun recent(): List<ResourceRequest> {
-        val sinceMs = nowMs() - bootMs() * THIRDS_OF_A_BOOT / THIRDS
+        val sinceMs = nowMs() - bootMs() * PERIOD_BOOT_THIRDS / THIRDS
         while (arrivals.isNotEmpty() && arrivals.first().atMs < sinceMs) arrivals.removeFirst()
         return arrivals.groupBy { it.spec.resources to it.spec.types }.values.map { requestOf(it) }
     }
 
-    private fun requestOf(alike: List<Arrival>): ResourceRequest {
-        val spec = alike.first().spec
+    private fun requestOf(sameShape: List<Arrival>): ResourceRequest {
+        val spec = sameShape.first().spec
         return ResourceRequest(
             spec.resources.cores,
             spec.resources.gpus,
             spec.resources.memoryGb,
             spec.types?.toList() ?: emptyList(),
-            count = alike.sumOf { it.spec.taskCount },
+            count = sameShape.sumOf { it.spec.taskCount },
             isService = true,
         )
     }
 
     private companion object {
         /** The period that is counted is somewhat longer than a boot: this many thirds of one. */
-        const val THIRDS_OF_A_BOOT = 4
+        const val PERIOD_BOOT_THIRDS = 4
         const val THIRDS = 3
     }
 }
--- a/src/main/kotlin/micatally/job/ShardLoader.kt
+++ b/src/main/kotlin/micatally/job/ShardLoader.kt
@@ -18,14 +18,14 @@
     /** Whether the shard's jobs should be known by now and are not: a new job of it might never be started. */
     fun isOverdue(shard: JobShard): Boolean {
         if (shard.state != ShardState.LOADING) return false
-        return shard.isUnreadable || nowMs() - shard.leaderSinceMs > settings.leaseMs / LOADS_PER_LEASE
+        return shard.isUnreadable || nowMs() - shard.leaderSinceMs > settings.leaseMs / LOAD_DEADLINES_PER_LEASE
     }
 
     /** Tries until the shard is loaded, and returns then or when it is lost. */
     suspend fun load(shard: JobShard) {
         while (shard.isLedHere) {
             if (tryLoad(shard)) return
-            delay(settings.heartbeatIntervalMs / TRIES_PER_HEARTBEAT)
+            delay(settings.heartbeatIntervalMs / RETRIES_PER_HEARTBEAT)
         }
     }
 
@@ -38,7 +38,7 @@
     private suspend fun tryLoad(shard: JobShard): Boolean {
         try {
             val stored =
-                records.of(shard) { jobId, record -> adoption.rememberSettled(shard, jobId, record) } ?: return false
+                records.read(shard) { jobId, record -> adoption.rememberSettled(shard, jobId, record) } ?: return false
             if (!shard.isLedHere) return true
             for (record in stored) readable(record.jobId) { adoption.adopt(shard, record) }
         } catch (e: UnreadableRecord) {
@@ -61,8 +61,8 @@
 
     private companion object {
         /** A shard is to be loaded in this part of a worker's lease. */
-        const val LOADS_PER_LEASE = 4
+        const val LOAD_DEADLINES_PER_LEASE = 4
 
-        const val TRIES_PER_HEARTBEAT = 8
+        const val RETRIES_PER_HEARTBEAT = 8
     }
 }
--- a/src/main/kotlin/micatally/job/ShardRecords.kt
+++ b/src/main/kotlin/micatally/job/ShardRecords.kt
@@ -68,15 +68,15 @@
      * @return null if the state service could not be read, or changed meanwhile
      * @throws UnreadableRecord if a record of the shard can't be understood
      */
-    suspend fun of(
+    suspend fun read(
         shard: JobShard,
         onSettled: (jobId: String, record: JobRecord) -> Unit,
     ): List<ShardRecord>? {
-        val open = ArrayList<KeyValue>()
+        val toLoad = ArrayList<KeyValue>()
         state.eachPage(Keys.JOB, Urgency.LEASE) { page ->
-            for (item in page) visit(item, shard, open, onSettled)
+            for (item in page) visit(item, shard, toLoad, onSettled)
         } ?: return null
-        return unpacked(open, shard)
+        return unpackAll(toLoad, shard)
     }
 
     /**
@@ -86,27 +86,27 @@
     private fun visit(
         item: KeyValue,
         shard: JobShard,
-        open: MutableList<KeyValue>,
+        toLoad: MutableList<KeyValue>,
         onSettled: (jobId: String, record: JobRecord) -> Unit,
     ) {
         try {
-            readable(jobIdOf(item)) { sort(item, shard, open, onSettled) }
+            readable(jobIdOf(item)) { classify(item, shard, toLoad, onSettled) }
         } catch (e: UnreadableRecord) {
             if (JobRecord(item.value).shardOrNull == shard.name) throw e
             if (loggedJobIds.add(jobIdOf(item))) log.error("{}", e.message)
         }
     }
 
-    private fun sort(
+    private fun classify(
         item: KeyValue,
         shard: JobShard,
-        open: MutableList<KeyValue>,
+        toLoad: MutableList<KeyValue>,
         onSettled: (jobId: String, record: JobRecord) -> Unit,
     ) {
         val record = JobRecord(item.value)
         val isOwn = record.shard == shard.name
         if (!record.isSettled) {
-            if (isOwn || record.state == JobState.CANCELLED) open.add(item)
+            if (isOwn || record.state == JobState.CANCELLED) toLoad.add(item)
         } else if (isOwn) {
             onSettled(jobIdOf(item), record)
         }
@@ -120,18 +120,18 @@
      *
      * @return null if they don't, so that they are to be read again
      */
-    private suspend fun unpacked(
+    private suspend fun unpackAll(
         items: List<KeyValue>,
         shard: JobShard,
     ): List<ShardRecord>? {
-        val isSplit = items.any { RecordPacking.overflowCount(it.value) > 0 }
-        val parts = if (isSplit) state.list(Keys.JOB_PART, Urgency.LEASE) ?: return null else null
-        val partOf = parts?.items?.associateBy { it.key } ?: emptyMap()
+        val hasOverflow = items.any { RecordPacking.overflowCount(it.value) > 0 }
+        val parts = if (hasOverflow) state.list(Keys.JOB_PART, Urgency.LEASE) ?: return null else null
+        val partByKey = parts?.items?.associateBy { it.key } ?: emptyMap()
         return items.map { item ->
             val jobId = jobIdOf(item)
             val isOwn = JobRecord(item.value).shard == shard.name
             val partCount = RecordPacking.overflowCount(item.value)
-            val overflow = (0 until partCount).mapNotNull { partOf[Keys.jobPart(jobId, it)] }
+            val overflow = (0 until partCount).mapNotNull { partByKey[Keys.jobPart(jobId, it)] }
             val isWhole = overflow.size == partCount && overflow.all { it.modRevision == item.modRevision }
             if (!isWhole && isOwn && jobId !in shard.jobs) return null
             val plain =
--- a/src/test/kotlin/micatally/job/RecordPackingTest.kt
+++ b/src/test/kotlin/micatally/job/RecordPackingTest.kt
@@ -86,9 +86,10 @@
             ),
         )
         val scope = CoroutineScope(SupervisorJob())
-        val nothing = HttpCaller { _, _, _, _, _ -> Outcome.NotSent }
-        val state = StateStoreClient(nothing, "state", RateBudget(scope, 1.0, { 0 }), RateBudget(scope, 1.0, { 0 }), 10)
-        val store = JobStore(scope, state, RecordForms(limits) { true }, 1, 1, IgnoresOutcomes) { 0 }
+        val unreachable = HttpCaller { _, _, _, _, _ -> Outcome.NotSent }
+        val state =
+            StateStoreClient(unreachable, "state", RateBudget(scope, 1.0, { 0 }), RateBudget(scope, 1.0, { 0 }), 10)
+        val store = JobStore(scope, state, RecordForms(limits) { true }, 1, 1, NoOpListener) { 0 }
         val cancellations =
             Cancellations(
                 scope,
@@ -105,7 +106,7 @@
         )
     }
 
-    private object IgnoresOutcomes : JobStoreListener {
+    private object NoOpListener : JobStoreListener {
         override fun recordWritten(
             job: Job,
             written: List<Attempt>,
--- a/src/test/kotlin/micatally/job/ShardRecordsTest.kt
+++ b/src/test/kotlin/micatally/job/ShardRecordsTest.kt
@@ -58,7 +58,10 @@
                 }
             val budget = RateBudget(backgroundScope, 10_000.0, { testScheduler.currentTime })
             var settled = 0
-            val kept = ShardRecords(StateStoreClient(http, "state", budget, budget, 500)).of(own) { _, _ -> settled++ }
+            val kept =
+                ShardRecords(
+                    StateStoreClient(http, "state", budget, budget, 500),
+                ).read(own) { _, _ -> settled++ }
             read = Read(kept, settled, largest)
         }
         return read
