--- a/src/main/kotlin/micatally/job/Attempt.kt
+++ b/src/main/kotlin/micatally/job/Attempt.kt
@@ -3,21 +3,21 @@
 import micatally.wire.ExitReason
 import micatally.worker.Machine
 
-/** The state of one attempt to run a task. An attempt only moves forward through these, though it may skip some. */
+/** The state of an attempt to run a task. An attempt moves through the states in this order only, and may skip some. */
 enum class AttemptState {
-    /** Decided, but not stored yet, so no command may be sent for it. */
+    /** Placed on a machine, but not stored yet, so no command may be sent for it. */
     INTENDED,
 
-    /** The intent is durable; no run command has been sent. */
+    /** The job's record with the attempt is durable; no run command has been sent. */
     RECORDED,
 
-    /** A run command may have been sent. From here on the attempt ends only on [TerminationEvidence]. */
+    /** A run command may have been sent, by this leader or a former one. A stop alone no longer ends the attempt. */
     DISPATCHED,
 
     /** The worker pulls the image. */
     PULLING,
 
-    /** The worker holds a gang's task until the others are ready too. */
+    /** The worker holds the task of a gang back until the other tasks are ready too. */
     WAITING,
 
     /** The worker runs the task. */
@@ -26,33 +26,33 @@
     /** The worker saves a checkpoint before it stops the task. */
     SAVING,
 
-    /** Proven to be neither on its machine nor able to start there any more. */
+    /** There is [TerminationEvidence] that the attempt neither runs on its machine nor can start there any more. */
     TERMINATED,
 }
 
-/** What proves that an attempt has ended. Nothing else does; in particular not a heartbeat that does not list it. */
+/** What proves that an attempt has ended. Nothing else does. A heartbeat that does not list the attempt is no proof. */
 enum class TerminationEvidence {
-    /** No command to run it was sent. */
+    /** No run command was ever sent for the attempt. */
     NEVER_SENT,
 
-    /** The machine's response to a command of this controller shows it. */
+    /** The machine's response to a command request of this controller shows that the attempt has ended. */
     DIRECT_RESPONSE,
 
-    /** The machine has started anew since. */
+    /** The machine has a newer incarnation than the one on which the attempt was placed. */
     NEWER_INCARNATION,
 
-    /** The machine does not exist any more. */
+    /** The machine was deleted. */
     MACHINE_DELETED,
 
-    /** The task is done, which can't change, so that a heartbeat is enough. */
+    /** The task is reported as done. That never changes, so a heartbeat is enough to prove it. */
     COMPLETED,
 }
 
 /**
  * How an attempt ended.
  *
- * @property detail for the log
- * @property reason the worker's reason, if it gave one
+ * @property detail explanation for the log
+ * @property reason the worker's exit reason; null if there is none, or none that this program knows
  * @property isSaved whether the worker saved a checkpoint
  */
 class AttemptTermination(
@@ -64,15 +64,15 @@
     override fun toString() = "$proof $detail" + if (isSaved) " saved" else ""
 }
 
-/** Why an attempt is to be stopped. A reason that stands earlier here replaces one that stands later. */
+/** Why an attempt is to be stopped. An attempt's reason is replaced only by one that is declared earlier here. */
 enum class StopReason { CANCELLED, DRAIN, PREEMPTED, GANG_ENDED, STRAY }
 
 /**
  * One attempt to run a task of a job on a machine.
  *
- * @property number distinguishes the attempts of a task
- * @property incarnation the machine's incarnation that it was placed on
- * @property inherited the job's service ([Job.service]) when the attempt began, in seconds
+ * @property number distinguishes the attempts of a task; all attempts of one run of a gang have the same number
+ * @property incarnation the incarnation of the machine on which the attempt was placed
+ * @property inherited the job's attained service ([Job.service]) when the attempt was created, in seconds
  */
 class Attempt(
     val job: Job,
@@ -90,14 +90,14 @@
     var stop: StopReason? = null
         private set
 
-    /** When it was first to be stopped. */
+    /** When [stop] was first set, in ms of this controller's monotonic clock; 0 if it is not set. */
     var stopSinceMs = 0L
         private set
 
-    /** When it was first reported as running, on this controller's clock. */
+    /** When it was first reported as running, in ms of this controller's monotonic clock; null if it was not. */
     var runningSince: Long? = null
 
-    /** When this process last sent a command to run it; null if it sent none. */
+    /** When this process last sent a run command for it, in ms of the monotonic clock; null if it sent none. */
     var sentAt: Long? = null
 
     /** Moves the attempt forward to [next]; the only way to change its state. */
@@ -114,9 +114,10 @@
     }
 
     /**
-     * Has the attempt stopped; the commands for it follow with the machine's next sync.
+     * Marks the attempt to be stopped for [reason]. Sends nothing: the kill command follows with the machine's next
+     * sync.
      *
-     * @return false if it is to be stopped already, for this reason or one that replaces it
+     * @return false if nothing changes because the attempt has this reason already, or one that is declared earlier
      */
     fun stop(
         reason: StopReason,
@@ -129,7 +130,7 @@
         return true
     }
 
-    /** Whether commands may be sent for it. */
+    /** Whether commands may be sent for it, as far as its state is concerned. */
     val maySend get() = state >= AttemptState.RECORDED && state != AttemptState.TERMINATED
     val isLive get() = state != AttemptState.TERMINATED
 
--- a/src/main/kotlin/micatally/job/AttemptLifecycle.kt
+++ b/src/main/kotlin/micatally/job/AttemptLifecycle.kt
@@ -6,7 +6,10 @@
 import micatally.worker.Machine
 import org.slf4j.LoggerFactory
 
-/** Begins and ends attempts. Each attempt counts on its machine and against its team's limit from [attach] to [terminate]. */
+/**
+ * Creates attempts, moves them forward and ends them. Each attempt uses capacity of its machine and of its team's quota
+ * from [attach] until [terminate].
+ */
 class AttemptLifecycle(
     private val settings: Settings,
     private val store: JobStore,
@@ -18,10 +21,11 @@
     private val log = LoggerFactory.getLogger("micatally.job")
 
     /**
-     * Decides that the task starts on [machine]. Nothing is sent before the job's record is stored with the attempt.
+     * Creates an attempt to run the task on [machine]. No command is sent before the job's record is stored with the
+     * attempt.
      *
-     * @param number names the attempt; each number is used once for a task of the job. The members of a gang share one, by
-     * which they find each other.
+     * @param number distinguishes the attempts of a task. It must not be used twice for the same task and machine. All
+     * attempts of one run of a gang have the same number, by which the gang's tasks find each other.
      */
     fun place(
         job: Job,
@@ -32,18 +36,20 @@
         val attempt = Attempt(job, taskIndex, number, machine, machine.incarnation, job.service, AttemptState.INTENDED)
         job.gang?.addTriedMachine(taskIndex, machine.name)
         attach(attempt)
-        log.info("task {}/{} attempt {} intended for {}", job.jobId, taskIndex, attempt.number, machine.name)
+        log.info("task {}/{} attempt {} placed on {}, not sent yet", job.jobId, taskIndex, attempt.number, machine.name)
         return attempt
     }
 
-    /** Makes [attempt] the one of its task; it counts on its machine and against the limit of its team from now on. */
+    /**
+     * Makes [attempt] the current one of its task. It uses capacity of its machine and of its team's quota from now on.
+     */
     fun attach(attempt: Attempt) {
         attempt.job.attempts[attempt.taskIndex] = attempt
         attempt.machine.attach(attempt)
         collaborators.quota.addUsage(attempt.job)
     }
 
-    /** The intents of these attempts are durable, so they may be sent. */
+    /** Marks those of [attempts] that are intended as durable, and requests syncs that send their run commands. */
     fun markRecorded(attempts: List<Attempt>) {
         val touchedMachines = LinkedHashSet<Machine>()
         for (attempt in attempts) {
@@ -55,10 +61,10 @@
     }
 
     /**
-     * Takes the attempt forward to the [next] state that its machine reports. A report never takes it back, since reports
-     * may arrive out of order.
+     * Moves the attempt forward to the [next] state, which its machine has reported. Reports may arrive out of order,
+     * so one of an earlier state is ignored.
      *
-     * @return whether the state changed
+     * @return whether the attempt's state has changed
      */
     fun advance(
         attempt: Attempt,
@@ -71,8 +77,10 @@
     }
 
     /**
-     * The one place where an attempt ends. Its task may start elsewhere only after this, so it takes evidence that the
-     * attempt neither runs nor can start any more. Does nothing if the attempt has ended already.
+     * Ends the attempt. This is the only place where an attempt ends.
+     *
+     * The task may be started elsewhere from then on. So the caller must have evidence that the attempt neither runs
+     * nor can start any more. Does nothing if the attempt has ended already.
      */
     fun terminate(
         attempt: Attempt,
@@ -89,7 +97,7 @@
         if (termination.proof == TerminationEvidence.COMPLETED) {
             taskCompleted(attempt, ranMs)
         } else if (ranMs > 0 && job.spec?.isService == false) {
-            // Preempted or lost: its run time counts as service that the job has had.
+            // The attempt was stopped or lost. Its run time still counts as service that the job has attained.
             raiseService(job, attempt, ranMs)
         }
         applyExitReason(attempt, termination.reason, ranMs, now)
@@ -105,18 +113,26 @@
         val job = attempt.job
         attempt.machine.detach(attempt, now)
         job.attempts.remove(attempt.taskIndex, attempt)
-        // What a lost shard used was forgotten as a whole; its next leader has counted anew.
+        // When a shard is lost, its usage is dropped as a whole, and the next leader counts it anew.
         if (job.shard.isLedHere) collaborators.quota.removeUsage(job)
     }
 
-    /** The end of a job that is done is stored already; that its last attempts have ended may be written a little later. */
+    /**
+     * Whether the end of [attempt] has to be written at once: if its job is cancelled, if the attempt was stopped while
+     * its job is open, or if the end of the job is being written. All else may wait, such as the last attempts of a job
+     * that is stored as done.
+     */
     private fun isWriteUrgent(attempt: Attempt): Boolean {
         val job = attempt.job
         val wasStopped = job.state == JobState.OPEN && attempt.stop != null
         return job.state == JobState.CANCELLED || wasStopped || job.isEndBeingWritten
     }
 
-    /** What the worker's reason for an exit says about the machine, and about when to try the task again. */
+    /**
+     * Draws conclusions from the worker's exit [reason]: an error counts against the job or the machine, a machine
+     * without room gets no tasks for one heartbeat interval, and after any other refusal no task of the job is placed
+     * for as long.
+     */
     private fun applyExitReason(
         attempt: Attempt,
         reason: ExitReason?,
@@ -143,10 +159,10 @@
     }
 
     /**
-     * Marks a task of the job as done, and the job as well if it was the last one. The tasks of a gang complete together: if
-     * one is done, all are.
+     * Marks a task of the job as done, and the job too if all of its tasks are done. The tasks of a gang complete
+     * together, so if one of them is done, all of them are.
      *
-     * @return false if the task was done already
+     * @return false if the task was done already or is not one of the job's
      */
     fun markDone(
         job: Job,
@@ -161,7 +177,10 @@
         return true
     }
 
-    /** The job's service is that of its longest path of attempts, not the sum over its tasks. */
+    /**
+     * Raises the job's attained service to what this attempt inherited plus its own run time, if that is more. So the
+     * service is that of the longest chain of attempts that followed each other, not the sum over all tasks.
+     */
     private fun raiseService(
         job: Job,
         attempt: Attempt,
--- a/src/main/kotlin/micatally/job/Cancellations.kt
+++ b/src/main/kotlin/micatally/job/Cancellations.kt
@@ -10,7 +10,8 @@
 import java.util.Collections
 
 /**
- * The cancelled jobs of the shards led here, and when their users may be told that they are cancelled.
+ * Keeps the cancelled jobs of the shards led here until their tasks have ended, and decides when their users may be
+ * told that the jobs are cancelled.
  *
  * @property requestConfirmations see [JobCollaborators.requestConfirmations]
  */
@@ -25,7 +26,9 @@
     /** The tasks of cancelled jobs of all shards, as far as this controller knows them. */
     val cancelledTasks = CancelledTasks(settings.cancelMs * CANCEL_DEADLINES_KEPT, nowMs)
 
-    /** Kept up to date instead of searched for, since each message from another controller asks for them. */
+    /**
+     * Kept up to date rather than searched for among all jobs, because the response to each peer message lists them.
+     */
     private val trackedJobs = LinkedHashSet<Job>()
 
     /** The cancelled jobs with attempts that may still be on their machines; a read-only view. */
@@ -38,23 +41,27 @@
                 it.durableState == JobState.CANCELLED
             }.flatMap { it.cancelledTasks() }
 
-    /** The job has just been cancelled here. */
+    /**
+     * Adds a job that has just been cancelled here. Its tasks are stopped from now on also where their machines report
+     * here.
+     */
     fun begin(job: Job) {
         trackedJobs.add(job)
-        // Machines that no command reaches may still report here.
+        // A machine that can't be reached by commands may still send heartbeats here.
         cancelledTasks.take(job.cancelledTasks())
     }
 
     /**
-     * A cancelled job was loaded after a failover.
+     * Adds a cancelled job that was loaded with its shard.
      *
-     * @return false if its tasks have yet to be listed in the shared keys
+     * @return false if its tasks are not listed in the shared keys yet, so that the job has to be written once more
      */
     fun addLoaded(job: Job): Boolean {
         trackedJobs.add(job)
         val published = sharedKeys.value(Keys.cancelledTasks(job.jobId)) ?: return false
         job.storedCancelledTasksOverflow = RecordPacking.overflowCount(published)
-        // They were written together with the record, and the copy of the shared keys is as new as the leadership of the shard.
+        // The list was written in one transaction with the record, and the copy of the shared keys is at least as new
+        // as the acquisition of the shard.
         job.publishedAt = nowMs()
         return true
     }
@@ -62,13 +69,19 @@
     /**
      * Whether the user may be told that the job is cancelled.
      *
-     * That takes either a confirmation of every other controller that may answer workers: it knows the job's tasks then, and
-     * stops them where machines report them. Or it takes [Settings.cancellationDelayMs] since the tasks were listed in the
-     * state service: a controller that has lost contact with it has lost its leadership early enough by then. If users were
-     * told earlier, the tasks in a zone that is cut off would have only until their workers' leases expire.
+     * Workers may report to any controller, so the others have to know of the cancellation too. Either of these is
+     * enough:
+     *  - Every other controller has confirmed that it knows the job's tasks. It then stops them where machines report
+     *    them.
+     *  - [Settings.cancellationDelayMs] have passed since the tasks were listed in the state store. A controller that
+     *    has lost contact with the state store has lost its leadership early enough by then, and answers no worker.
+     *
+     * In a zone that is cut off, tasks stop only when their workers' leases expire. If users were told earlier, such a
+     * task could run for longer than [Settings.cancelMs] after that.
      *
-     * A confirmation counts only after the tasks are listed: the process that gave it may end, and its successor reads the
-     * list at its start.
+     * A confirmation counts only if it was given after the tasks were listed in the state store: the process that gave
+     * it may end, and the next process on that host learns of the tasks only from the list, which it reads at its
+     * start.
      */
     fun mayConfirm(job: Job): Boolean {
         if (job.durableState != JobState.CANCELLED || job.attempts.isEmpty() ||
@@ -82,7 +95,10 @@
         return job.isCancellationConfirmable
     }
 
-    /** The shared [key] has changed, one of the values that list the cancelled tasks of a job of any shard. */
+    /**
+     * Reads the list of a job's cancelled tasks again. Called when the shared [key] has changed, which is one of the
+     * values of such a list. The job may be in any shard. Does nothing if the list was deleted or is not complete.
+     */
     fun published(key: String) {
         val jobId = key.removePrefix(Keys.CANCELLED_TASKS).substringBefore('/')
         val main = sharedKeys.value(Keys.cancelledTasks(jobId)) ?: return
@@ -95,9 +111,9 @@
     }
 
     /**
-     * Follows up the cancelled jobs whose machines do not confirm the stop in time: asks the other controllers, which nobody
-     * else does again after a failover, and records that the user may be told, so that any controller may do so. Called
-     * regularly.
+     * Takes care of the cancelled jobs whose machines do not confirm the stop in time. The other controllers are asked
+     * to confirm the cancelled tasks: after a failover nothing else repeats that request. Once the user may be told,
+     * this is stored in the job's record, so that any controller may answer. Called regularly.
      */
     fun follow(now: Long) {
         for (job in trackedJobs.toList()) if (isStopOverdue(job, now)) confirm(job)
@@ -134,12 +150,14 @@
 
     private companion object {
         /**
-         * Tasks are kept for this many times the time that a cancellation may take: their leader may end before it can tell
-         * that they are terminated.
+         * Cancelled tasks are remembered for this many times [Settings.cancelMs]: their leader may end before it can
+         * report that they are terminated.
          */
         const val CANCEL_DEADLINES_KEPT = 2
 
-        /** Within this part of a lease a machine that can be reached confirms the end of its task. */
+        /**
+         * A stop is overdue after a lease divided by this. A machine that can be reached confirms it within that time.
+         */
         const val OVERDUE_LEASE_DIVISOR = 10
     }
 }
--- a/src/main/kotlin/micatally/job/CancelledTasksValue.kt
+++ b/src/main/kotlin/micatally/job/CancelledTasksValue.kt
@@ -8,7 +8,10 @@
 import micatally.wire.asText
 import micatally.wire.listOrNull
 
-/** The value that lists the tasks of a cancelled job which are not proven terminated, for all controllers to watch. */
+/**
+ * Encodes the stored list of a cancelled job's tasks that are not proven to have ended. It is one of the shared keys,
+ * so that every controller learns of it.
+ */
 object CancelledTasksValue {
     private const val ROWS = "tasks"
 
@@ -30,7 +33,7 @@
             ),
         )
 
-    /** The tasks in an unpacked [value] of the job. */
+    /** Decodes the list of the job's cancelled tasks from [value], which must be unpacked ([RecordPacking.unpack]). */
     fun decode(
         jobId: String,
         value: JsonObject,
--- a/src/main/kotlin/micatally/job/Clock.kt
+++ b/src/main/kotlin/micatally/job/Clock.kt
@@ -1,7 +1,7 @@
 package micatally.job
 
 /**
- * The time of a controller; a simulation brings its own.
+ * The clocks of a controller. A simulation passes simulated ones.
  *
  * @property nowMs monotonic milliseconds, for durations and deadlines within this process
  * @property wallMs milliseconds since the epoch, for times that are stored
--- a/src/main/kotlin/micatally/job/DurabilityWaiter.kt
+++ b/src/main/kotlin/micatally/job/DurabilityWaiter.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.coroutines.CompletableDeferred
 
-/** One caller of [JobStore.awaitDurable], which waits until this [version] of its job is durable. */
+/** A call of [JobStore.awaitDurable] that waits until this [version] of its job is durable. */
 class DurabilityWaiter(
     val version: Long,
 ) {
--- a/src/main/kotlin/micatally/job/FaultJudgement.kt
+++ b/src/main/kotlin/micatally/job/FaultJudgement.kt
@@ -5,7 +5,11 @@
 import micatally.worker.MachineRegistry
 import org.slf4j.LoggerFactory
 
-/** Tells jobs that were submitted with a mistake from faulty machines, by which jobs fail where and what succeeds beside them. */
+/**
+ * Decides whether the failure of a task is the fault of its job or of its machine. A job that was submitted with a
+ * mistake fails on every machine, while a faulty machine fails the tasks of every job. So the decision rests on which
+ * jobs fail on which machines, and which tasks succeed there.
+ */
 class FaultJudgement(
     private val settings: Settings,
     private val machines: MachineRegistry,
@@ -13,7 +17,10 @@
     private val log = LoggerFactory.getLogger("micatally.job")
     private val memoryMs = settings.leaseMs * MEMORY_LEASES
 
-    /** The attempt's task exited with an error after it had run for [ranMs]. */
+    /**
+     * Counts a task that exited with an error after it had run for [ranMs], and may delay the job's next attempt. The
+     * failure counts against the machine unless the job itself is suspected of being faulty.
+     */
     fun taskFailed(
         attempt: Attempt,
         ranMs: Long,
@@ -36,13 +43,16 @@
         if (isNewlyFaulty) log.info("machine {} fails what it starts", attempt.machine.name)
     }
 
-    /** The attempt's task is done, which speaks for its machine. */
+    /** Counts a task that is done as a success on its machine. */
     fun taskCompleted(
         attempt: Attempt,
         nowMs: Long,
     ) = attempt.machine.health.succeeded(nowMs)
 
-    /** Clears suspected jobs whose tasks run on by now; a service has no other way to prove itself. Called regularly. */
+    /**
+     * Clears those of [jobs] that are suspected and have a task which has run for long enough by now. The tasks of a
+     * service never complete, so this is the only way to clear it. Called regularly.
+     */
     fun review(
         jobs: List<Job>,
         nowMs: Long,
@@ -50,16 +60,18 @@
         for (job in jobs) if (job.health.isSuspect) checkForSuccess(job, nowMs)
     }
 
+    /** Counts a success of the job if one of its tasks has run for long enough to prove that the job can run. */
     private fun checkForSuccess(
         job: Job,
         nowMs: Long,
     ) {
         val canRun = job.attempts.values.any { job.health.isProvenBy(ranMs(it, nowMs), settings.leaseMs) }
         if (!canRun) return
-        if (job.health.isSuspect) log.info("job {} runs after all", job.jobId)
+        if (job.health.isSuspect) log.info("job {} runs and is no longer suspected to be faulty", job.jobId)
         job.health.succeeded()
     }
 
+    /** For how long the attempt has been running, in ms; 0 if it does not run. */
     private fun ranMs(
         attempt: Attempt,
         nowMs: Long,
@@ -68,7 +80,10 @@
         return attempt.runningSince?.let { nowMs - it } ?: 0L
     }
 
-    /** Whether the machine runs other jobs well: a task of another job that runs on there counts as one that completed. */
+    /**
+     * Whether tasks succeed on the machine: one completed there lately, or one of another job has been running there
+     * for longer than a lease.
+     */
     private fun isMachineProven(
         machine: Machine,
         job: Job,
@@ -76,7 +91,7 @@
     ) = machine.health.hasSucceeded(nowMs, memoryMs) ||
         machine.attempts.any { it.job !== job && ranMs(it, nowMs) > settings.leaseMs }
 
-    /** The job itself is at fault, so its failures no longer count against machines. */
+    /** The job itself is likely at fault, so its failures so far no longer count against the machines. */
     private fun onJobSuspected(job: Job) {
         log.warn(
             "job {} fails wherever it starts: {} failures on {} machines; tried with one task at a time",
@@ -87,12 +102,14 @@
         for (name in job.health.machines) {
             val machine = machines.of(name) ?: continue
             val isCleared = machine.health.cancel(job.jobId)
-            if (isCleared) log.info("machine {} is used again: it was {} that failed", name, job.jobId)
+            if (isCleared) log.info("machine {} is used again: its failures were those of job {}", name, job.jobId)
         }
     }
 
     private companion object {
-        /** For how many leases a failure counts against a machine; no retry waits for longer. */
+        /**
+         * For how many leases a failure or a success on a machine counts. Also the longest backoff of a job, in leases.
+         */
         const val MEMORY_LEASES = 6
     }
 }
--- a/src/main/kotlin/micatally/job/JobAdoption.kt
+++ b/src/main/kotlin/micatally/job/JobAdoption.kt
@@ -4,7 +4,7 @@
 import micatally.wire.CancelledTask
 import micatally.worker.MachineRegistry
 
-/** Puts the stored jobs of a shard that this controller has acquired into memory. */
+/** Puts the stored jobs of a shard that this controller has acquired into memory, with their attempts. */
 class JobAdoption(
     private val machines: MachineRegistry,
     private val store: JobStore,
@@ -13,7 +13,11 @@
     private val cancellations: Cancellations,
     private val finalAnswers: FinalAnswers,
 ) {
-    /** Puts the job with its attempts into [shard], unless it is another shard's, present already, or over. */
+    /**
+     * Puts the job of [record] with its attempts into [shard], unless the job belongs to another shard, is present
+     * already, or is over without attempts. Of such a job of the shard only the final answer is remembered. The tasks
+     * of a cancelled job are noted in any case.
+     */
     fun adopt(
         shard: JobShard,
         record: ShardRecord,
@@ -34,7 +38,10 @@
         if (job.state == JobState.CANCELLED && !cancellations.addLoaded(job)) store.requestWrite(job)
     }
 
-    /** Whichever shard the job is in: a controller that has just started must stop its tasks where machines report them. */
+    /**
+     * Remembers the tasks of a cancelled job, whichever shard it is in: a controller that has just started must stop
+     * them too if their machines report to it.
+     */
     private fun noteCancelledTasks(record: ShardRecord) {
         if (record.plain == null || record.stored.state != JobState.CANCELLED) return
         val tasks = record.plain.attempts
@@ -43,7 +50,7 @@
         )
     }
 
-    /** Remembers the answer about a job of the shard that is over, with nothing left to do. */
+    /** Remembers the final answer about a job of the shard that is over and has no attempts left. */
     fun rememberSettled(
         shard: JobShard,
         jobId: String,
@@ -54,9 +61,10 @@
     }
 
     /**
-     * Whether the job is in the shard already, since it was accepted here while the records were read. One that is present
-     * only as a repeat of an earlier submission, and not stored yet, is dropped in favour of the record: otherwise no
-     * controller would lead the job.
+     * Whether the job is in the shard already, because it was accepted here while the records were read.
+     *
+     * A job in memory that is not stored yet, while the record is from another term of leadership, is only a repeat of
+     * that earlier submission. It is dropped in favour of the record, as otherwise no controller would lead the job.
      */
     private fun isPresent(
         shard: JobShard,
@@ -69,7 +77,10 @@
         return false
     }
 
-    /** Whether the attempt was sent is not known, so it counts as sent. */
+    /**
+     * Adds a stored attempt to the job. It counts as dispatched, because it is not known whether a run command was
+     * sent.
+     */
     private fun adoptAttempt(
         job: Job,
         stored: StoredAttempt,
--- a/src/main/kotlin/micatally/job/JobCancellation.kt
+++ b/src/main/kotlin/micatally/job/JobCancellation.kt
@@ -3,7 +3,7 @@
 import micatally.worker.Machine
 import org.slf4j.LoggerFactory
 
-/** Cancels jobs and stops their attempts. When a user may be told of it is decided by [Cancellations]. */
+/** Cancels jobs and stops their attempts. [Cancellations] decides when a user may be told that a job is cancelled. */
 class JobCancellation(
     private val cancellations: Cancellations,
     private val attempts: AttemptLifecycle,
@@ -13,7 +13,10 @@
 ) {
     private val log = LoggerFactory.getLogger("micatally.job")
 
-    /** Cancels the job unless it is over. Returns at once; the record is written and the machines are synced afterwards. */
+    /**
+     * Cancels the job unless it is over. Returns at once: the write of the record and the syncs of the machines are
+     * only requested here.
+     */
     fun cancel(job: Job) {
         if (job.state != JobState.OPEN && job.state != JobState.NEW) return
         job.transitionTo(JobState.CANCELLED)
@@ -24,6 +27,11 @@
         for (machine in machinesToSync) collaborators.requestSync(machine)
     }
 
+    /**
+     * Ends the attempts that were never stored, and marks the others to be stopped.
+     *
+     * @return the machines that have attempts to be stopped
+     */
     private fun stopAttempts(job: Job): Set<Machine> {
         val now = nowMs()
         val stoppedOn = LinkedHashSet<Machine>()
@@ -38,7 +46,11 @@
         return stoppedOn
     }
 
-    /** Stops the attempts of cancelled jobs that were loaded after a failover, whose stop is not stored with them. */
+    /**
+     * Marks the attempts of the cancelled jobs of active shards to be stopped. A job's record does not tell which
+     * attempts were marked, so those of a job that was loaded after a failover have to be marked again. Called
+     * regularly.
+     */
     fun stopUnfinished() {
         val now = nowMs()
         for (job in cancellations.unfinishedJobs) {
--- a/src/main/kotlin/micatally/job/JobCollaborators.kt
+++ b/src/main/kotlin/micatally/job/JobCollaborators.kt
@@ -4,22 +4,28 @@
 import micatally.worker.Machine
 
 /**
- * The parts of a controller that the jobs need and that are themselves built on the jobs. Nothing here is called before the
- * controller is complete.
+ * What this package needs of parts of the controller that are themselves built on [JobManager]. Nothing here is called
+ * before the controller is completely constructed.
  */
 interface JobCollaborators {
-    /** Counts what attempts use of the limits of their teams. */
+    /** Counts what attempts use of their teams' quotas. */
     val quota: Quota
 
-    /** Brings the machine in line with its attempts, see [micatally.worker.CommandDispatcher.requestSync]. Returns at once. */
+    /**
+     * Requests that the commands which the machine's attempts need are sent. Returns at once; see
+     * [micatally.worker.CommandDispatcher.requestSync].
+     */
     fun requestSync(machine: Machine)
 
-    /** Asks for a scheduling cycle soon, since machines or tasks may have become free. Returns at once. */
+    /**
+     * Requests a scheduling cycle, because machines may have free capacity again or tasks may be pending. Returns at
+     * once.
+     */
     fun requestCycle()
 
     /**
-     * Asks those other controllers that have not confirmed the cancelled tasks of [job] yet to do so, and returns once each
-     * of them has answered or timed out; [Job.confirmedBy] then holds those that did confirm.
+     * Asks the other controllers that have not confirmed the cancelled tasks of [job] yet to do so. Suspends until each
+     * of them has answered or timed out. [Job.confirmedBy] then holds all that have confirmed.
      */
     suspend fun requestConfirmations(job: Job)
 }
--- a/src/main/kotlin/micatally/job/JobManager.kt
+++ b/src/main/kotlin/micatally/job/JobManager.kt
@@ -16,8 +16,9 @@
 import micatally.worker.StatusSource
 
 /**
- * The jobs of the shards that this controller leads, and all that happens to their tasks. Puts the parts of this package
- * together and offers to the rest of the controller what it needs of them. All of it runs on the controller's event loop.
+ * Manages the jobs of the shards that this controller leads, and the attempts to run their tasks. Connects the classes
+ * of this package, and is the interface through which the rest of the controller uses them. Used from the controller's
+ * event loop only.
  */
 class JobManager(
     scope: CoroutineScope,
@@ -34,14 +35,14 @@
     private val directory = ShardDirectory(settings.host)
     private val finalAnswers = FinalAnswers()
 
-    /** Tells faulty machines from faulty jobs. */
+    /** Decides whether jobs or machines are at fault when tasks fail. */
     val faults = FaultJudgement(settings, machines)
 
     /** Starts and ends the runs of gangs. */
     val gangs =
         GangSupervisor(this, GangTiming(settings.gangWaitMs, settings.gangPeerMs, settings.heartbeatIntervalMs), nowMs)
 
-    /** The cancelled jobs until their tasks are terminated. */
+    /** The cancelled jobs whose tasks have not all ended yet. */
     val cancellations =
         Cancellations(scope, settings, membership.sharedKeys, store, collaborators::requestConfirmations, nowMs)
 
@@ -55,11 +56,11 @@
     private val suspension = TeamSuspension(directory, attempts, collaborators)
     private val submissions = JobSubmissions(machines, clock)
 
-    /** What has to follow the writes of [JobStore]. */
+    /** Handles the outcomes of the writes of [JobStore]. */
     val storeOutcomes: JobStoreListener =
         JobStoreOutcomes(scope, settings, leadership, attempts, cancellations, finalAnswers)
 
-    /** What the attempts of this controller's shards use of the limits of their teams. */
+    /** Counts what the attempts of this controller's shards use of their teams' quotas. */
     val quota get() = collaborators.quota
 
     /** The shards that this controller leads, by name; a read-only view. */
@@ -144,7 +145,10 @@
     /** @see JobCancellation.cancel */
     fun cancel(job: Job) = cancellation.cancel(job)
 
-    /** Brings about what still has to follow from the state of the jobs: stops of cancelled tasks, and syncs of machines. */
+    /**
+     * Marks the tasks of cancelled jobs to be stopped, and requests a sync of each machine that does not match its
+     * attempts yet. Called regularly.
+     */
     fun sweep() {
         cancellation.stopUnfinished()
         reconciler.syncUnsettledMachines()
--- a/src/main/kotlin/micatally/job/JobRecord.kt
+++ b/src/main/kotlin/micatally/job/JobRecord.kt
@@ -9,24 +9,31 @@
 import micatally.wire.text
 
 /**
- * A job's record as it is stored, see [JobRecordCodec]. Fields are read when they are asked for; each property but
- * [shardOrNull] throws [MalformedMessage] if its field is not what this program knows.
+ * A job's record as it is stored, see [JobRecordCodec]. Each property decodes its fields when it is read, and throws
+ * [MalformedMessage] if this program can't decode them. Only [shardOrNull] never throws.
  *
- * A compressed record ([RecordPacking]) has all properties but [attempts], which need its unpacked form.
+ * All properties can be read from a compressed record ([RecordPacking]), except [attempts]: these need the unpacked
+ * record.
  */
 @JvmInline
 value class JobRecord(
     val json: JsonObject,
 ) {
-    /** The shard that the job belongs to for good. */
+    /** The name of the shard that the job belongs to. It never changes. */
     val shard: String get() = json.text(JobRecordField.SHARD)
 
-    /** As [shard], also of a record that can't be read otherwise; null if it names none. */
+    /**
+     * The name of the job's shard, or null if the record names none. Also works for a record that can't be decoded
+     * otherwise.
+     */
     val shardOrNull: String? get() = (json[JobRecordField.SHARD] as? JsonPrimitive)?.content
 
-    /** The term of leadership in which the record was written ([JobShard.term]); empty in records without it. */
+    /**
+     * The term of leadership in which the record was written ([JobShard.term]); empty if the record does not state it.
+     */
     val term: String get() = json[JobRecordField.TERM]?.asText() ?: ""
 
+    /** The stored state: [JobState.OPEN], [JobState.DONE] or [JobState.CANCELLED]. */
     val state: JobState
         get() =
             when (val name = json.text(JobRecordField.STATE)) {
@@ -36,15 +43,19 @@
                 else -> throw MalformedMessage("a job's state can't be $name")
             }
 
-    /** Whether the job is over and has no attempts left, so that the record never changes any more. */
+    /** Whether the job is over and has no attempts left. Such a record never changes any more. */
     val isSettled: Boolean get() = state != JobState.OPEN && !mayHaveAttempts
 
-    /** Whether a user may be told of the end that the record states, see [Cancellations.mayConfirm]. */
+    /**
+     * Whether a user may be told the state that the record shows. False only for a cancelled job that may have attempts
+     * left and whose cancellation may not be confirmed yet, see [Cancellations.mayConfirm].
+     */
     val isCancellationConfirmable: Boolean
         get() = state != JobState.CANCELLED || !mayHaveAttempts || json[JobRecordField.CONFIRMABLE] != null
 
     private val mayHaveAttempts get() = json[JobRecordField.ATTEMPTS] != null || RecordPacking.isPacked(json)
 
+    /** The job's attempts. Needs the unpacked record. */
     val attempts: List<StoredAttempt> get() = JobRecordCodec.decodeAttempts(json)
 
     /** How many attempts the record has. */
@@ -60,14 +71,17 @@
         }
 }
 
-/** An attempt as the record of its job has it. */
+/** An attempt as stored in the record of its job. */
 class StoredAttempt(
     val machine: StoredMachine,
     val taskIndex: Int,
     val number: Long,
 )
 
-/** What the record says about an attempt's machine: enough for a new leader to contact it before it reports. */
+/**
+ * What a record states of an attempt's machine. It lets a new leader contact the machine before that has sent a
+ * heartbeat.
+ */
 class StoredMachine(
     val name: String,
     val incarnation: Long,
--- a/src/main/kotlin/micatally/job/JobRecordCodec.kt
+++ b/src/main/kotlin/micatally/job/JobRecordCodec.kt
@@ -18,35 +18,49 @@
 import micatally.worker.Machine
 import java.util.BitSet
 
-/** The names of a record's fields. */
+/** The names of a record's fields, and what they hold. */
 internal object JobRecordField {
     const val SHARD = "l"
     const val STATE = "e"
     const val TASK_COUNT = "k"
+
+    /** The term of leadership in which the record was written, see [JobShard.term]. */
     const val TERM = "c"
+
+    /** The submission as the user sent it. Missing if the job is over and has no attempts left. */
     const val SPEC = "s"
+
+    /** The indices of the done tasks as bounds of ranges: the first index of a range, then the one after its last. */
     const val DONE_RANGES = "d"
+
+    /** 1 if the job is cancelled, has attempts left, and its user may be told so all the same; missing otherwise. */
     const val CONFIRMABLE = "x"
     const val NEXT_ATTEMPT = "n"
+
+    /** In ms of the wall clock. */
     const val SUBMITTED_AT = "t"
+
+    /** The job's attained service, rounded to seconds. */
     const val SERVICE = "v"
     const val QUEUE = "q"
+
+    /** One row for each machine and incarnation, with all attempts there. */
     const val ATTEMPTS = "a"
 
-    /** Only in a compressed record: the number of done tasks, and that of attempts. */
+    /** Only in a compressed record: the number of done tasks, then the number of attempts. */
     const val COUNTS = "m"
 
-    /** The fields that a compressed record has in plain form. */
+    /** The fields of a record that are also stored uncompressed beside the compressed form. */
     val SUMMARY = listOf(SHARD, STATE, TASK_COUNT, TERM, CONFIRMABLE)
 }
 
-/** Writes a job as its stored record, and reads it back. */
+/** Encodes a job as its stored record, and decodes it. */
 object JobRecordCodec {
     internal const val OPEN = "o"
     internal const val DONE = "d"
     internal const val CANCELLED = "w"
 
-    // The elements of a row of attempts: a machine, then two for each of its attempts.
+    // Indices of a row of attempts. The machine comes first, then task index and number of each attempt in turn.
     private const val MACHINE_NAME = 0
     private const val INCARNATION = 1
     private const val ADDRESS = 2
@@ -55,7 +69,7 @@
     private const val IS_SPOT = 5
     private const val FIRST_ATTEMPT = 6
 
-    /** The plain record of the job as it is now; [RecordForms] decides in which form it is stored. */
+    /** The uncompressed record of the job as it is now. [RecordForms] decides in which form it is stored. */
     fun encode(job: Job): JsonObject =
         buildJsonObject {
             put(JobRecordField.SHARD, job.shard.name)
@@ -112,7 +126,10 @@
             }
         }
 
-    /** The fields that are stored beside the compressed [record], with the counts that users are told. */
+    /**
+     * The fields that are stored uncompressed beside the compressed [record], with the counts from which users are
+     * answered.
+     */
     fun summary(
         job: Job,
         record: JsonObject,
@@ -125,7 +142,7 @@
             )
         }
 
-    /** The set bits as bounds of ranges: the first of a range, then the one after its last. */
+    /** The set bits as bounds of ranges: the first bit of a range, then the one after its last. */
     private fun ranges(bits: BitSet): JsonArray =
         buildJsonArray {
             var from = bits.nextSetBit(0)
@@ -138,9 +155,10 @@
         }
 
     /**
-     * The job of an unpacked record, without its attempts, which need machines.
+     * Decodes the job of an unpacked record, without its attempts: these refer to machines, which [JobAdoption] looks
+     * up.
      *
-     * @throws micatally.wire.MalformedMessage if the record is not what this program knows
+     * @throws micatally.wire.MalformedMessage if this program can't decode the record
      */
     fun decode(
         jobId: String,
--- a/src/main/kotlin/micatally/job/JobShard.kt
+++ b/src/main/kotlin/micatally/job/JobShard.kt
@@ -2,9 +2,9 @@
 
 import micatally.membership.ShardLeader
 
-/** The state of a shard in this controller's memory; it only moves forward. */
+/** The state of a shard in this controller's memory. A shard moves through the states in this order only. */
 enum class ShardState {
-    /** Its jobs are being read. New jobs may be accepted, but nothing is started or stopped yet. */
+    /** The records of its jobs are being read. New jobs may be accepted, but no task is started or stopped yet. */
     LOADING,
 
     /** All its jobs are in memory, and their tasks may be started and stopped. */
@@ -15,9 +15,10 @@
 }
 
 /**
- * A shard during one term of leadership of this controller: the jobs that one host has accepted.
+ * A shard during one term of leadership of this controller. A shard holds the jobs that were accepted by one host, and
+ * has the name of that host.
  *
- * @property leaderSinceMs when the term began, on this controller's monotonic clock
+ * @property leaderSinceMs when the term began, in ms of this controller's monotonic clock
  */
 class JobShard(
     val name: String,
@@ -30,7 +31,10 @@
     /** The jobs by id. */
     val jobs = HashMap<String, Job>()
 
-    /** Whether one of its records can't be understood, so that it is not loaded before an operator mends that. */
+    /**
+     * Whether a record of the shard can't be decoded. The shard then stays unloaded until an operator repairs the
+     * record.
+     */
     var isUnreadable = false
 
     /** Moves the shard forward to [next]; the only way to change its state. */
@@ -40,11 +44,11 @@
     }
 
     /**
-     * Identifies the term of leadership by the process and the fencing token at which it acquired the shard: a process may
-     * lose a shard and acquire it again.
+     * Identifies the term of leadership: the name of the process, and the fencing token at which it acquired the shard.
+     * The process alone is not enough, because it may lose a shard and acquire it again.
      */
     val term = "${leader.process}:${leader.fencingToken}"
 
-    /** Whether this term of leadership goes on, as far as this controller knows. */
+    /** Whether this controller still leads the shard, as far as it knows. */
     val isLedHere get() = state != ShardState.LOST
 }
--- a/src/main/kotlin/micatally/job/JobStore.kt
+++ b/src/main/kotlin/micatally/job/JobStore.kt
@@ -15,11 +15,12 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Writes the records of jobs. A record is always written as a whole, on the condition that the shard still has this leader and
- * that the stored record is the one last seen: a write whose answer was lost and that arrives late then changes nothing.
+ * Writes the records of jobs to the state store. A record is always written as a whole, by a transaction on the
+ * conditions that the shard still has this leader and that the stored record is the one last seen. So a write whose
+ * response was lost, and which arrives late, changes nothing.
  *
- * @property retryMs the pause after a write that failed or whose outcome is unknown
- * @property batchMs how long counts of finished tasks wait for more of them
+ * @property retryMs the pause after a write that failed or whose outcome is unknown, in ms
+ * @property batchMs how long ends of tasks wait for more of them before they are written, in ms
  * @property mayBeArchived whether the record of a job that is over may have been moved to the archive
  */
 class JobStore(
@@ -36,15 +37,17 @@
     private val lookup = RecordLookup(state, mayBeArchived)
 
     /**
-     * Has the job's present version written at once: new jobs, intents, stops and ends. Returns at once; writes of one job
-     * never overlap, and one that is under way is followed by another.
+     * Requests that the job is written without delay. For new jobs, new attempts, stopped attempts and ends of jobs.
+     * Returns at once. Writes of one job never overlap: if one is under way, another one follows it.
      */
     fun requestWrite(job: Job) {
         job.version++
         if (!job.isWriting) write(job)
     }
 
-    /** As [requestWrite], for counts of finished tasks: they may wait a little, so that one write brings several. */
+    /**
+     * As [requestWrite], but waits for [batchMs] first, so that one write stores several changes. For ends of tasks.
+     */
     fun requestWriteLater(job: Job) {
         job.version++
         if (job.isWriting || job.isWriteScheduled) return
@@ -57,9 +60,10 @@
     }
 
     /**
-     * Suspends until the job's present version is durable.
+     * Suspends until the job as it is now is durable.
      *
-     * @return false if the job is not led here any more, or was refused before any write of it can have been carried out
+     * @return false if the job is not led here any more, or was refused while it was certain that no write of it was
+     * carried out
      */
     suspend fun awaitDurable(job: Job): Boolean {
         if (job.state == JobState.DROPPED) return false
@@ -69,9 +73,10 @@
         return waiter.isDurable.await()
     }
 
-    /** Resumes those that wait for what is durable by now. */
+    /** Resumes the callers of [awaitDurable] that wait for a version which is durable by now. */
     private fun resumeDurable(job: Job) = resume(job, true) { it.version <= job.durableVersion }
 
+    /** Resumes the callers of [awaitDurable] for which [isAffected] holds, with [isDurable] as their result. */
     private fun resume(
         job: Job,
         isDurable: Boolean,
@@ -86,7 +91,7 @@
         }
     }
 
-    /** Gives the job up in memory: another controller leads it, or it was never stored. Nothing of it is written any more. */
+    /** Gives up a job that another controller leads, or that was never stored. It is not written any more. */
     fun drop(job: Job) {
         job.transitionTo(JobState.DROPPED)
         resume(job, false) { true }
@@ -110,7 +115,7 @@
         }
     }
 
-    /** What one transaction brings to the state service, as it was when the transaction was put together. */
+    /** A write of a job, and the state of the job when the write was put together. */
     private class Snapshot(
         val job: Job,
         val write: RecordWrite,
@@ -120,7 +125,11 @@
         val intended = job.attempts.values.filter { it.state == AttemptState.INTENDED }
     }
 
-    /** @return whether to go on, with what is left to write; false if the job is dropped or its shard lost */
+    /**
+     * Tries to write the job once, and handles the result.
+     *
+     * @return whether to go on with what is left to write; false if the job was dropped or its shard lost
+     */
     private suspend fun writeOnce(job: Job): Boolean {
         val needsAcceptance = job.modRevision == 0L || job.durableState != job.state
         val urgency = if (needsAcceptance) Urgency.ACCEPTANCE else Urgency.INTENT
@@ -146,6 +155,11 @@
         }
     }
 
+    /**
+     * Handles a write that was not carried out because one of its conditions did not hold.
+     *
+     * @return whether to go on writing
+     */
     private suspend fun onConditionFailed(
         job: Job,
         result: TransactionResult.Failed,
@@ -155,13 +169,19 @@
         return false
     }
 
-    /** The budget is asked before the transaction is put together, so its size is that of the last one. */
+    /**
+     * How many writes to take from the write budget. They are taken before the transaction is put together, so this is
+     * an estimate from what is stored now.
+     */
     private fun expectedChanges(job: Job): Int {
         val cancelledTasks = if (job.state == JobState.CANCELLED) 1 + job.storedCancelledTasksOverflow else 0
         return 1 + job.storedOverflow + cancelledTasks
     }
 
-    /** A new job must not be stored anywhere: the record of one that is over may have been archived. */
+    /**
+     * The conditions of a write of the job. A new job must not have an archived record either, as it may repeat the
+     * submission of a job that is over.
+     */
     private fun conditions(job: Job) =
         listOfNotNull(
             Compare(Keys.shard(job.shard.name), job.shard.leader.modRevision),
@@ -169,7 +189,12 @@
             if (job.modRevision == 0L && mayBeArchived()) Compare(Keys.final(job.jobId), 0L) else null,
         )
 
-    /** Ends attempts for which the record has no room, before anything of them is sent; null if it does not fit even so. */
+    /**
+     * Puts together the next write. If the record has no room for all attempts, those that are not stored yet are given
+     * up first, a part at a time.
+     *
+     * @return null if the record does not fit even without them
+     */
     private fun takeSnapshot(job: Job): Snapshot? {
         while (true) {
             val fit = forms.fit(job)
@@ -179,7 +204,11 @@
                 continue
             }
             if (fit is RecordFit.Fits) return Snapshot(job, fit.write)
-            log.warn("job {} does not fit in the state service with {} attempts", job.jobId, job.attempts.size)
+            log.warn(
+                "job {}: record with {} attempts too large for the state store; a new job is refused, others are retried",
+                job.jobId,
+                job.attempts.size,
+            )
             return null
         }
     }
@@ -194,15 +223,21 @@
         job.storedCancelledTasksOverflow = snapshot.write.cancelledTasksOverflow
         job.durableVersion = snapshot.version
         job.durableState = if (snapshot.state == JobState.NEW) JobState.OPEN else snapshot.state
-        // The tasks of a cancelled job are listed in the shared keys for as long as its record has any: once a cancellation is
-        // durable, every controller that may be in contact with machines knows it, also one that starts later.
+        // The tasks of a cancelled job are listed in the shared keys as long as its record has attempts. So once a
+        // cancellation is durable, every controller that may be in contact with machines learns of it, also one that
+        // starts later.
         job.publishedAt = if (snapshot.write.listsTasks) job.publishedAt ?: nowMs() else null
         if (job.state == JobState.NEW) job.transitionTo(JobState.OPEN)
         if (job.state != JobState.DROPPED) listener.recordWritten(job, snapshot.intended)
         resumeDurable(job)
     }
 
-    /** It is certain that nothing was carried out. A new job is then refused; any other is written again after a pause. */
+    /**
+     * Handles a write that was certainly not carried out. A new job that can't have been stored before either is
+     * dropped, so that its submission is refused. Any other job is written again after [pauseMs].
+     *
+     * @return whether to go on writing
+     */
     private suspend fun onNotWritten(
         job: Job,
         pauseMs: Long,
@@ -216,10 +251,12 @@
     }
 
     /**
-     * The stored record is not the one last seen: an earlier write of this process was carried out after all, or, for a new
-     * job, another controller has accepted it. Reads until the record is known.
+     * Reads the stored record after a write failed because the record is not the one last seen. Either an earlier write
+     * of this process was carried out although its outcome was unknown, or a new job was accepted by another
+     * controller. Retries until the record could be read.
      *
-     * @return whether the job is led here still, so that it is to be written on what was read
+     * @return whether the job still belongs to this controller, so that it is to be written again on top of what was
+     * read
      */
     private suspend fun reread(job: Job): Boolean {
         while (job.shard.isLedHere && job.state != JobState.DROPPED) {
@@ -235,20 +272,25 @@
         return false
     }
 
+    /**
+     * Decides from the [stored] record whether the job belongs to this controller. If so, the next write is based on
+     * that record; if not, the job is dropped.
+     */
     private fun continueFrom(
         job: Job,
         stored: KeyValue,
     ): Boolean {
         if (stored.key == Keys.final(job.jobId)) {
-            log.info("job {} is over and was archived", job.jobId)
+            log.info("job {} is over and its record is archived, so it is dropped here", job.jobId)
             drop(job)
             return false
         }
         val record = JobRecord(stored.value)
         val isOtherShard = record.shard != job.shard.name
-        // The record of a new job is this process's own only if it was written in the same term of leadership.
+        // The record of a job that this process has never seen stored is its own only if the term of leadership is the
+        // same.
         if (isOtherShard || job.modRevision == 0L && record.term != job.shard.term) {
-            log.info("job {} was accepted elsewhere", job.jobId)
+            log.info("job {} was accepted by another leader, so it is dropped here", job.jobId)
             drop(job)
             return false
         }
@@ -258,10 +300,13 @@
     }
 
     private companion object {
-        /** A value that is too large stays so until attempts have ended or the format is raised. */
+        /**
+         * The pause after a write that was too large is this many times the usual one: the record stays too large until
+         * attempts have ended or the format is raised.
+         */
         const val TOO_LARGE_PAUSE_FACTOR = 4
 
-        /** This part of the attempts that are not stored is given up at a time. */
+        /** If the record has no room, the attempts that are not stored, divided by this, are given up at a time. */
         const val INTENTS_GIVEN_UP_DIVISOR = 4
     }
 }
--- a/src/main/kotlin/micatally/job/JobStoreOutcomes.kt
+++ b/src/main/kotlin/micatally/job/JobStoreOutcomes.kt
@@ -5,7 +5,7 @@
 import kotlinx.coroutines.launch
 import micatally.settings.Settings
 
-/** Carries the outcomes of record writes on to the jobs and their attempts. */
+/** Applies the outcomes of record writes to the jobs, their attempts and their shards. */
 class JobStoreOutcomes(
     private val scope: CoroutineScope,
     private val settings: Settings,
@@ -25,7 +25,10 @@
         if (job.attempts.isEmpty() && job.durableVersion == job.version) removeLater(job)
     }
 
-    /** The job stays in memory for a while, so that the entries of its ended tasks are still cleared from the machines. */
+    /**
+     * Removes the job from memory after [LEASES_KEPT] leases. It is kept until then, because the entries of its ended
+     * tasks are cleared from the machines' task lists only while the job is known.
+     */
     private fun removeLater(job: Job) {
         val shard = job.shard
         scope.launch {
@@ -34,7 +37,10 @@
         }
     }
 
-    /** A gang can't run in part, so all its attempts that are not stored end together. */
+    /**
+     * Ends [attempts], and limits the job to the attempts that are left. A gang can't run in part, so all of its
+     * attempts that are not stored are ended.
+     */
     override fun recordFull(
         job: Job,
         attempts: List<Attempt>,
@@ -44,7 +50,7 @@
         job.attemptLimit = job.attempts.size
     }
 
-    /** None of its tasks was ever sent, since that takes a durable record. */
+    /** Ends the job's attempts. None of them was ever sent, because that requires a durable record. */
     override fun jobDropped(job: Job) {
         for (attempt in job.attempts.values.toList()) endUnsent(attempt, "job not accepted")
         job.shard.jobs.remove(job.jobId, job)
--- a/src/main/kotlin/micatally/job/JobSubmissions.kt
+++ b/src/main/kotlin/micatally/job/JobSubmissions.kt
@@ -5,7 +5,7 @@
 import micatally.worker.MachineRegistry
 import org.slf4j.LoggerFactory
 
-/** Creates the jobs that users submit here. */
+/** Creates the jobs that users submit to this controller. */
 class JobSubmissions(
     machines: MachineRegistry,
     private val clock: Clock,
@@ -13,7 +13,10 @@
     private val log = LoggerFactory.getLogger("micatally.job")
     private val arrivals = ServiceArrivals(clock.nowMs) { machines.bootMs(null) }
 
-    /** Creates a job of [shard] in memory. The caller has it written, and waits for [JobStore.awaitDurable] before it answers. */
+    /**
+     * Creates a job of [shard] in memory only. The caller requests its write, and answers the user when
+     * [JobStore.awaitDurable] has returned.
+     */
     fun create(
         spec: JobSpec,
         shard: JobShard,
@@ -33,6 +36,6 @@
         return job
     }
 
-    /** What the services submitted here lately need, by shape: as much may arrive while a machine boots. */
+    /** The requests of the services that were submitted here lately, see [ServiceArrivals.recent]. */
     fun recentServices(): List<ResourceRequest> = arrivals.recent()
 }
--- a/src/main/kotlin/micatally/job/RecordPacking.kt
+++ b/src/main/kotlin/micatally/job/RecordPacking.kt
@@ -13,9 +13,10 @@
 import java.util.zip.InflaterInputStream
 
 /**
- * A value in the form in which it is stored.
+ * A value in the form in which it is stored, compressed or not.
  *
- * @property overflow further values, if the value is too large for one
+ * @property main the value under the main key
+ * @property overflow the values under further keys, if the value is too large for one; in their order
  */
 class PackedValue(
     val main: JsonObject,
@@ -23,31 +24,34 @@
 )
 
 /**
- * Compresses values beyond the limit of the state service. The main value keeps the fields that are read without the
- * rest; the overflow values are written in the same transaction, so they have the same revision as the main one.
- * Only read by programs of the current format.
+ * Compresses values that are larger than the state store allows, and splits them into a main value and overflow values
+ * if they are still too large. The main value also has some fields uncompressed, so that these can be read alone. The
+ * overflow values are written in the same transaction as the main value, so they have the same revision.
+ *
+ * Programs from before [micatally.upgrade.FormatVersion.PACKED_RECORDS] can't read this form.
  */
 object RecordPacking {
     private const val DATA = "z"
     private const val OVERFLOW_COUNT = "p"
     private const val CHUNK = "b"
 
-    /** An upper bound of the bytes that the names of the fields take in a value. */
+    /** An upper bound of the bytes that the names of the fields added here take in a value. */
     private const val FIELD_BYTES = 32
 
-    /** The bytes that the value takes in the state service. */
+    /** The size of the value in the state store, in bytes. */
     fun size(value: JsonObject): Int = value.toString().encodeToByteArray().size
 
-    /** Whether [value] is the main value of a compressed one. */
+    /** Whether [value] is the main value of a compressed value. */
     fun isPacked(value: JsonObject): Boolean = DATA in value
 
-    /** How many further values belong to the main [value]. */
+    /** How many overflow values belong to the main [value]. */
     fun overflowCount(value: JsonObject): Int = value.longOrNull(OVERFLOW_COUNT)?.toInt() ?: 0
 
     /**
-     * Compresses [value] beside [plainFields], which stay readable without unpacking; no value is larger than [valueBytes].
+     * Compresses [value]. The main value also has [plainFields], which can be read without unpacking. No resulting
+     * value is larger than [valueBytes].
      *
-     * @return null if it does not fit in one value and [maxOverflow] further ones
+     * @return null if [value] does not fit in the main value and [maxOverflow] overflow values
      */
     fun pack(
         value: JsonObject,
@@ -70,7 +74,10 @@
         return PackedValue(main, rest.map { chunk -> buildJsonObject { put(CHUNK, JsonPrimitive(chunk)) } })
     }
 
-    /** The value that was packed into [main] and all of its [overflow], in their order; [main] itself if it is not packed. */
+    /**
+     * The value that was packed into [main] and all of its [overflow] values, in their order; [main] itself if not
+     * packed.
+     */
     fun unpack(
         main: JsonObject,
         overflow: List<JsonObject>,
--- a/src/main/kotlin/micatally/job/RecordWrite.kt
+++ b/src/main/kotlin/micatally/job/RecordWrite.kt
@@ -8,10 +8,11 @@
 import micatally.state.Write
 
 /**
- * The writes of one transaction that store a job's record and, if the job is cancelled, the list of its cancelled tasks.
+ * The writes of one transaction that stores a job's record and, if the job is cancelled, the list of its cancelled
+ * tasks.
  *
- * @property overflow how many further values the record takes
- * @property cancelledTasksOverflow how many further values the list takes
+ * @property overflow how many overflow values the record takes
+ * @property cancelledTasksOverflow how many overflow values the list takes
  * @property listsTasks whether the transaction writes such a list
  */
 class RecordWrite(
@@ -21,27 +22,30 @@
     val listsTasks: Boolean,
 )
 
-/** Whether a job's record, as the job is now, fits in the state service. */
+/** Whether the record of a job as it is now fits in the state store. */
 sealed interface RecordFit {
-    /** It does, by this write. */
+    /** It fits, and [write] stores it. */
     class Fits(
         val write: RecordWrite,
     ) : RecordFit
 
-    /** It does not, in any form that may be written; the job must have fewer attempts. */
+    /** It does not fit in any form that may be written. The job has to have fewer attempts. */
     data object TooLarge : RecordFit
 }
 
 /**
- * Chooses the form in which a job is stored: plain while it fits in one value, as every version reads it; compressed and
- * split beyond that, once all controllers understand this. Until then a record that an older program has made larger
- * stays plain, which the state service still takes.
+ * Chooses the form in which a job is stored. A record that fits in one value is stored uncompressed, which every
+ * version of the program can read. A larger one is compressed, and split if need be, once all controllers can read that
+ * form. Until then it stays uncompressed: the state store still accepts a record that an older program has let grow
+ * beyond [limits].
+ *
+ * @property mayPack whether all controllers can read compressed records
  */
 class RecordForms(
     val limits: StateLimits,
     private val mayPack: () -> Boolean,
 ) {
-    /** Puts together what stores the job as it is now. */
+    /** Puts together the writes that store the job as it is now. */
     fun fit(job: Job): RecordFit {
         val record = JobRecordCodec.encode(job)
         val listsTasks = job.state == JobState.CANCELLED && job.attempts.isNotEmpty()
@@ -55,9 +59,13 @@
         return RecordFit.Fits(write(job, main, cancelledTasks))
     }
 
-    /** Whether new attempts have to wait: a plain record is kept within [limits] from now on, though a larger one is still taken. */
+    /**
+     * Whether the job must not get new attempts, because its record is larger than [limits] allow and may not be
+     * compressed. Such a record is still written ([fit]), but must not grow further.
+     */
     fun isFull(job: Job): Boolean = !mayPack() && RecordPacking.size(JobRecordCodec.encode(job)) > limits.valueBytes
 
+    /** Returns null if [value] does not fit even in compressed form. */
     private fun packIfTooLarge(
         value: JsonObject,
         plainFields: () -> JsonObject,
@@ -89,6 +97,7 @@
         return RecordWrite(changes, main.overflow.size, cancelledTasks?.overflow?.size ?: 0, cancelledTasks != null)
     }
 
+    /** Writes the overflow values of [value], and deletes those of the [stored] ones that are no longer needed. */
     private fun overflowChanges(
         value: PackedValue,
         stored: Int,
--- a/src/main/kotlin/micatally/job/ServiceArrivals.kt
+++ b/src/main/kotlin/micatally/job/ServiceArrivals.kt
@@ -4,9 +4,10 @@
 import micatally.wire.ResourceRequest
 
 /**
- * The services that were submitted to this controller lately, as an estimate of those that will arrive while a machine boots.
+ * The services that were submitted to this controller lately. They are an estimate of the services that will be
+ * submitted while a machine boots.
  *
- * @property bootMs how long the slowest machine type takes to boot
+ * @property bootMs how long a machine of the slowest type takes to boot, in ms
  */
 class ServiceArrivals(
     private val nowMs: () -> Long,
@@ -19,12 +20,15 @@
 
     private val arrivals = ArrayDeque<Arrival>()
 
-    /** Counts a service that is submitted now. */
+    /** Adds a service that is submitted now. */
     fun add(spec: JobSpec) {
         arrivals.addLast(Arrival(nowMs(), spec))
     }
 
-    /** What the services of the last [PERIOD_BOOT_THIRDS] thirds of a boot need, as one request for each shape. */
+    /**
+     * The resources that the services of the last [PERIOD_BOOT_THIRDS] thirds of a boot time need: one request for each
+     * combination of resources and machine types.
+     */
     fun recent(): List<ResourceRequest> {
         val sinceMs = nowMs() - bootMs() * PERIOD_BOOT_THIRDS / THIRDS
         while (arrivals.isNotEmpty() && arrivals.first().atMs < sinceMs) arrivals.removeFirst()
@@ -44,7 +48,7 @@
     }
 
     private companion object {
-        /** The period that is counted is somewhat longer than a boot: this many thirds of one. */
+        /** Services are counted for this many thirds of a boot time, which is somewhat longer than a boot. */
         const val PERIOD_BOOT_THIRDS = 4
         const val THIRDS = 3
     }
--- a/src/main/kotlin/micatally/job/ShardDirectory.kt
+++ b/src/main/kotlin/micatally/job/ShardDirectory.kt
@@ -8,13 +8,16 @@
 ) {
     private val shards = HashMap<String, JobShard>()
 
-    /** A read-only view by name. */
+    /** The shards by name; a read-only view. */
     val byName: Map<String, JobShard> = Collections.unmodifiableMap(shards)
 
-    /** Whether this controller's own shard and all others that it leads are loaded, so that all their jobs are known here. */
+    /**
+     * Whether this controller leads its own shard, and has loaded all shards that it leads. Only then does it know all
+     * jobs that it is responsible for.
+     */
     val areAllLoaded get() = ownShard() != null && shards.values.all { it.state == ShardState.ACTIVE }
 
-    /** Adds [shard], in place of a former term of leadership of the same shard. */
+    /** Adds [shard], and replaces a former term of leadership of the same shard. */
     fun add(shard: JobShard) {
         shards[shard.name] = shard
     }
@@ -24,12 +27,12 @@
         shards.remove(shard.name, shard)
     }
 
-    /** The shard that belongs to this host and takes its new jobs, or null while another controller leads it. */
+    /** The shard of this host, to which new jobs are added; null while this controller does not lead it. */
     fun ownShard(): JobShard? = byName[localHost]?.takeIf { it.isLedHere }
 
     /**
-     * The job, or null if no shard led here has it. A submission that was repeated at another controller may stand in two
-     * shards until it turns out which of them is stored; the stored one is preferred.
+     * The job, or null if no shard led here has it. If a submission was repeated at another controller, the job may be
+     * in two shards until it is known which one is stored. The stored one is returned if there is one.
      */
     fun job(jobId: String): Job? {
         var notStored: Job? = null
@@ -49,9 +52,9 @@
             .flatMap { shard -> shard.jobs.values.filter { it.wantsTasks } }
 
     /**
-     * Whether the job is stored in a loaded shard that is led here, so that any of its tasks without an attempt here is a
-     * stray. A job that is not stored yet may turn out to belong to another controller, if it was submitted there before and
-     * is repeated here; its tasks are then no strays.
+     * Whether the job is stored in a loaded shard that is led here. If so, any of its tasks that a machine lists
+     * without an attempt here must be stopped. A job that is not stored yet may be a repeated submission that belongs
+     * to another controller, whose tasks must go on.
      */
     fun isLedHere(jobId: String): Boolean =
         shards.values.any { shard ->
--- a/src/main/kotlin/micatally/job/ShardLeadership.kt
+++ b/src/main/kotlin/micatally/job/ShardLeadership.kt
@@ -7,7 +7,9 @@
 import micatally.settings.Settings
 import org.slf4j.LoggerFactory
 
-/** Follows which shards this controller leads: loads those that it has acquired and gives up those that it has lost. */
+/**
+ * Watches which shards this controller leads: loads those that it has acquired, and gives up those that it has lost.
+ */
 class ShardLeadership(
     private val scope: CoroutineScope,
     private val settings: Settings,
@@ -20,7 +22,9 @@
 ) {
     private val log = LoggerFactory.getLogger("micatally.job")
 
-    /** Brings the shards here in line with the shared keys. To be called after each change of the shared keys. */
+    /**
+     * Acquires and loses shards in memory, as the shared keys show. To be called after each change of the shared keys.
+     */
     fun reconcile() {
         for (shard in shards.byName.values.toList()) {
             if (!shard.isLedHere) continue
@@ -44,7 +48,9 @@
         scope.launch { loader.load(shard) }
     }
 
-    /** Drops the shard's jobs, which are another controller's from now on. Nothing is written or sent for them any more. */
+    /**
+     * Drops the shard and its jobs, because another controller leads it. Nothing is written or sent for them any more.
+     */
     fun lose(shard: JobShard) {
         if (!shard.isLedHere) return
         log.info("shard {} lost with {} jobs", shard.name, shard.jobs.size)
@@ -58,15 +64,19 @@
         collaborators.quota.forget(shard.name)
     }
 
-    /** A write has failed since the shard has another leader, which the copy of the shared keys does not show yet. */
+    /**
+     * Drops the shard after a write has failed because it has another leader. The copy of the shared keys may not show
+     * that yet, so it is read again.
+     */
     fun loseAndRefresh(shard: JobShard) {
         lose(shard)
         scope.launch { membership.refresh() }
     }
 
     /**
-     * The attempt's capacity stays reserved while the new leader loads the shard: until then, all that see this controller's
-     * capacity summary would take it for free.
+     * Detaches the attempt from its machine, and reserves its capacity for [Settings.handOverMs]. In that time the new
+     * leader loads the shard and announces what it uses. Without the reservation, other controllers would read in this
+     * one's capacity summary that the capacity is free.
      */
     private fun release(attempt: Attempt) {
         val job = attempt.job
--- a/src/main/kotlin/micatally/job/ShardLoader.kt
+++ b/src/main/kotlin/micatally/job/ShardLoader.kt
@@ -4,7 +4,7 @@
 import micatally.settings.Settings
 import org.slf4j.LoggerFactory
 
-/** Loads the jobs of a shard that this controller has just acquired from the state service. */
+/** Loads the jobs of a shard that this controller has just acquired from the state store. */
 class ShardLoader(
     private val settings: Settings,
     private val records: ShardRecords,
@@ -15,13 +15,16 @@
 ) {
     private val log = LoggerFactory.getLogger("micatally.job")
 
-    /** Whether the shard's jobs should be known by now and are not: a new job of it might never be started. */
+    /**
+     * Whether the shard should have been loaded by now and is not, or can't be loaded at all. New jobs are then better
+     * refused, as they might never be started.
+     */
     fun isOverdue(shard: JobShard): Boolean {
         if (shard.state != ShardState.LOADING) return false
         return shard.isUnreadable || nowMs() - shard.leaderSinceMs > settings.leaseMs / LOAD_DEADLINES_PER_LEASE
     }
 
-    /** Tries until the shard is loaded, and returns then or when it is lost. */
+    /** Tries to load the shard until that succeeds or the shard is lost. */
     suspend fun load(shard: JobShard) {
         while (shard.isLedHere) {
             if (tryLoad(shard)) return
@@ -30,10 +33,11 @@
     }
 
     /**
-     * Loads the shard unless it is lost meanwhile.
+     * Tries to load the shard once.
      *
-     * @return false if the records can't be read from the state service, or one of them can't be understood. In that case the
-     * log names the record, and no task of the shard is started or stopped until it is mended.
+     * @return true if the shard is loaded, or was lost meanwhile. False if the records can't be read from the state
+     * store, or if one of them can't be decoded. In the latter case the log names the record, and no task of the shard
+     * is started or stopped until an operator has repaired it.
      */
     private suspend fun tryLoad(shard: JobShard): Boolean {
         try {
@@ -60,9 +64,10 @@
     }
 
     private companion object {
-        /** A shard is to be loaded in this part of a worker's lease. */
+        /** A load is overdue after a worker's lease divided by this. */
         const val LOAD_DEADLINES_PER_LEASE = 4
 
+        /** The pause after a failed load is the heartbeat interval divided by this. */
         const val RETRIES_PER_HEARTBEAT = 8
     }
 }
--- a/src/main/kotlin/micatally/job/ShardRecords.kt
+++ b/src/main/kotlin/micatally/job/ShardRecords.kt
@@ -10,11 +10,12 @@
 import java.io.IOException
 
 /**
- * A job's record as it was read for the load of a shard.
+ * A job's record as it was read to load a shard.
  *
- * @property stored the main value
- * @property plain its unpacked form; null for a job of another shard, or one present already, whose values are not all of one
- * revision
+ * @property stored the main value of the record, which may be compressed
+ * @property plain the unpacked record; null if the values that were read are not all of one revision. That happens only
+ * for jobs of other shards, and for jobs that are in memory already
+ * @property modRevision the revision of the main value
  */
 class ShardRecord(
     val jobId: String,
@@ -23,7 +24,7 @@
     val modRevision: Long,
 )
 
-/** Thrown if the record of a job can't be understood: it is damaged, or of a form that this program does not know. */
+/** Thrown if the record of a job can't be decoded: it is damaged, or has a form that this program does not know. */
 class UnreadableRecord(
     jobId: String,
     cause: Exception,
@@ -32,7 +33,8 @@
 /**
  * Runs [read], which decodes the record of a job, and returns its result.
  *
- * @throws UnreadableRecord if [read] throws what the decoders throw for a record that they can't understand
+ * @throws UnreadableRecord if [read] throws one of the exceptions that the decoders throw for a record they can't
+ * decode
  */
 inline fun <T> readable(
     jobId: String,
@@ -45,28 +47,30 @@
     } catch (e: MalformedMessage) {
         throw UnreadableRecord(jobId, e)
     } catch (e: IllegalArgumentException) {
-        // Also what the decoders of JSON and of Base64 throw.
+        // The decoders of JSON and of Base64 throw subclasses of this, or this itself.
         throw UnreadableRecord(jobId, e)
     } catch (e: IOException) {
         throw UnreadableRecord(jobId, e)
     }
 
-/** Reads the records of jobs for a shard that has just been acquired. */
+/** Reads the records of jobs from the state store to load a shard that has just been acquired. */
 class ShardRecords(
     private val state: StateStoreClient,
 ) {
     private val log = LoggerFactory.getLogger("micatally.job")
 
-    /** Jobs of other shards whose unreadable records have been logged. */
+    /** The ids of the jobs of other shards whose unreadable records were logged; each is logged only once. */
     private val loggedJobIds = HashSet<String>()
 
     /**
-     * Reads the records that need action: those of the shard's jobs that are not settled, and those of cancelled jobs of other
-     * shards. Jobs that are over stay in the state service for good, so there are far more of them than fit in memory: those
-     * of the shard are passed to [onSettled] as they are read, and not kept.
+     * Reads the records of the jobs that still need action: those of the shard that are not settled
+     * ([JobRecord.isSettled]), and those of cancelled jobs of other shards that may have attempts left.
      *
-     * @return null if the state service could not be read, or changed meanwhile
-     * @throws UnreadableRecord if a record of the shard can't be understood
+     * The records of jobs that are over are never deleted, so there may be more of them than fit in memory. Those of
+     * the shard are passed to [onSettled] as they are read, and are not kept.
+     *
+     * @return null if the state store could not be read, or if its records changed while they were read
+     * @throws UnreadableRecord if a record of the shard can't be decoded
      */
     suspend fun read(
         shard: JobShard,
@@ -80,8 +84,8 @@
     }
 
     /**
-     * An unreadable record of another shard is its leader's concern, and only logged: the tasks of cancelled jobs are listed in
-     * the shared keys too.
+     * Handles one record. An unreadable record of another shard is only logged: the leader of that shard has to deal
+     * with it, and the tasks of cancelled jobs are also listed in the shared keys.
      */
     private fun visit(
         item: KeyValue,
@@ -97,6 +101,9 @@
         }
     }
 
+    /**
+     * Adds the record to [toLoad] if its job needs action, or passes it to [onSettled] if its job is over, see [read].
+     */
     private fun classify(
         item: KeyValue,
         shard: JobShard,
@@ -115,10 +122,12 @@
     private fun jobIdOf(item: KeyValue) = item.key.removePrefix(Keys.JOB)
 
     /**
-     * Unpacks the records. The further values of a record have its revision, since one transaction writes them. Nobody else
-     * writes records of a shard that is led here, so for those the two listings agree.
+     * Unpacks the records. Their overflow values are read by a second listing. One transaction writes all values of a
+     * record, so they have the same revision unless the record was written between the two listings. Only this
+     * controller writes records of a shard that it leads, so for a job of the shard that is not in memory the revisions
+     * agree.
      *
-     * @return null if they don't, so that they are to be read again
+     * @return null if they do not agree for such a job, so that all has to be read again
      */
     private suspend fun unpackAll(
         items: List<KeyValue>,
--- a/src/main/kotlin/micatally/job/TaskReconciler.kt
+++ b/src/main/kotlin/micatally/job/TaskReconciler.kt
@@ -8,7 +8,7 @@
 import micatally.worker.StatusSource
 import org.slf4j.LoggerFactory
 
-/** Reconciles the attempts of this controller's jobs with what their machines report. */
+/** Reconciles the attempts of this controller's jobs with the task lists that their machines report. */
 class TaskReconciler(
     private val shards: ShardDirectory,
     private val attempts: AttemptLifecycle,
@@ -20,7 +20,7 @@
     private val log = LoggerFactory.getLogger("micatally.job")
     private val unknownValueLog = UnknownValueLog(log)
 
-    /** The machine has restarted its worker: what an earlier incarnation ran is gone. */
+    /** Ends the attempts of earlier incarnations of the machine: they ended when the machine's worker was restarted. */
     fun newIncarnation(machine: Machine) {
         for (attempt in machine.attempts.toList()) {
             if (attempt.incarnation >= machine.incarnation) continue
@@ -31,7 +31,7 @@
         }
     }
 
-    /** The machine is known to be deleted, and all its tasks with it. */
+    /** Marks the machine as deleted, and ends all attempts on it. */
     fun machineDeleted(machine: Machine) {
         machine.deleted = true
         machine.channel.forgetUnansweredRuns()
@@ -41,8 +41,8 @@
     }
 
     /**
-     * Applies a newer task list of the machine. One that is not a [StatusSource.COMMAND_RESPONSE] proves only what can't
-     * change any more: that a task has completed.
+     * Applies a newer task list of the machine. A list that is not from a [StatusSource.COMMAND_RESPONSE] does not
+     * prove that an attempt has ended, unless its task has completed, because that never changes.
      */
     fun tasksReported(
         machine: Machine,
@@ -59,7 +59,8 @@
                 if (task.isDone) formerAttemptCompleted(job, task.taskIndex)
             }
         }
-        // That a task is missing proves nothing, since it is not known who removed it; but the machine is asked.
+        // A task that is missing in the list is no proof that it has ended: it is not known who removed it. So the
+        // machine is asked by a command request.
         if (source != StatusSource.COMMAND_RESPONSE && machine.attempts.any { isMissing(it, machine) }) {
             machine.channel.needsStatus = true
             needsSync = true
@@ -75,6 +76,7 @@
         return number == task.attempt && isSameMachine
     }
 
+    /** Whether the machine has listed the attempt before and does not list it now. */
     private fun isMissing(
         attempt: Attempt,
         machine: Machine,
@@ -86,7 +88,11 @@
             }
     }
 
-    /** A task completed under an attempt that had been given up for good reasons: the result counts all the same. */
+    /**
+     * Marks a task as done that has completed under an attempt which is not the current one of the task. The result
+     * counts although that attempt was given up. It does not count if the task of an array or a service has been
+     * started again.
+     */
     private fun formerAttemptCompleted(
         job: Job,
         taskIndex: Int,
@@ -94,12 +100,16 @@
         if (job.state != JobState.OPEN) return
         val isRestarted = taskIndex in job.attempts
         if (isRestarted && job.gang == null || !attempts.markDone(job, taskIndex)) return
-        // The next run of a gang has nothing left to do; the other tasks of an array go on.
+        // The gang is done, so its next run is stopped. The other tasks of an array go on.
         if (job.gang != null) gangs.stopAll(job, StopReason.GANG_ENDED)
         if (job.state == JobState.DONE) store.requestWrite(job) else store.requestWriteLater(job)
     }
 
-    /** @return whether a command has to follow */
+    /**
+     * Applies what a task list says about the attempt.
+     *
+     * @return whether the machine needs a sync
+     */
     private fun applyReport(
         attempt: Attempt,
         task: ListedTask,
@@ -111,13 +121,19 @@
             ListedTask.RUNNING -> if (attempts.advance(attempt, AttemptState.RUNNING)) taskStarted(attempt)
             ListedTask.SAVING -> attempts.advance(attempt, AttemptState.SAVING)
             ListedTask.ENDED -> return taskEnded(attempt, task, source)
-            // It counts neither as ended nor as running.
+            // A task in an unknown state counts neither as ended nor as running.
             else -> unknownValueLog.warn("task $attempt is in an unknown state: ${task.status}")
         }
         return false
     }
 
-    /** An end other than completion counts only from a command response; after a heartbeat the machine is asked for one. */
+    /**
+     * Handles an attempt that is listed as ended. A completion ends the attempt here. Any other end counts only in the
+     * response to a command request, and ends the attempt where that response is handled. After a heartbeat the machine
+     * is asked for one.
+     *
+     * @return whether the machine needs a sync
+     */
     private fun taskEnded(
         attempt: Attempt,
         task: ListedTask,
@@ -137,6 +153,7 @@
         return task.isDone || isUnconfirmed
     }
 
+    /** Notes that the machine has the task's image now. */
     private fun taskStarted(attempt: Attempt) {
         val machine = attempt.machine
         attempt.job.spec?.let {
@@ -145,7 +162,10 @@
         log.info("task {} runs", attempt)
     }
 
-    /** Applies what is known of the machines already to the attempts of a shard that has just been loaded. */
+    /**
+     * Applies what is known of the machines to all attempts. Called when a shard was loaded, whose attempts are new
+     * here.
+     */
     fun reconcileAll() {
         for (machine in machines.byName.values.toList()) {
             if (machine.incarnation > 0) newIncarnation(machine)
@@ -157,7 +177,7 @@
         }
     }
 
-    /** Requests a sync of each machine that is not known to be as its attempts want it. Called regularly. */
+    /** Requests a sync of each machine that is not known to match its attempts. Called regularly. */
     fun syncUnsettledMachines() {
         for (machine in machines.byName.values) if (isUnsettled(machine)) collaborators.requestSync(machine)
     }
--- a/src/main/kotlin/micatally/job/TeamSuspension.kt
+++ b/src/main/kotlin/micatally/job/TeamSuspension.kt
@@ -1,20 +1,25 @@
 package micatally.job
 
-/** Keeps jobs of suspended teams from starting tasks, see [micatally.quota.Quota.isSuspended]. */
+/**
+ * Keeps the jobs of suspended teams from starting tasks. See [micatally.quota.Quota.isSuspended] for when a team is
+ * suspended.
+ */
 class TeamSuspension(
     private val shards: ShardDirectory,
     private val attempts: AttemptLifecycle,
     private val collaborators: JobCollaborators,
 ) {
-    /** Whether the job's team may not start anything; false for a job that is not known here. */
+    /**
+     * Whether no task of the job may be started because its team is suspended; false for a job that is not known here.
+     */
     fun isSuspended(jobId: String): Boolean {
         val team = shards.job(jobId)?.spec?.team ?: return false
         return collaborators.quota.isSuspended(team)
     }
 
     /**
-     * Ends what has been decided and not sent for those suspended teams that [isAffected] names, after their limit was
-     * lowered or they were removed. What was sent counts as started and runs on.
+     * Ends the attempts that were not sent yet, for the suspended teams among those that [isAffected] selects. Called
+     * after limits were lowered or teams removed. Attempts that were sent count as started and run on.
      */
     fun endUnsent(isAffected: (team: String) -> Boolean) {
         for (job in shards.openJobs()) {
