--- a/src/main/kotlin/micatally/archive/RecordArchive.kt
+++ b/src/main/kotlin/micatally/archive/RecordArchive.kt
@@ -24,19 +24,21 @@
 import micatally.state.Write
 import org.slf4j.LoggerFactory
 
-/** The shards that this controller leads, as the archive sees them. */
+/** Gives the archive access to the loaded shards that this controller leads. */
 fun interface LoadedShards {
-    /** The shard if this controller leads it and has loaded it, else null. */
+    /** The shard with this name if this controller leads it and has loaded it, else null. */
     fun loaded(name: String): JobShard?
 }
 
 /**
- * Moves the records of jobs that are over from `job/`, which is listed at each start and failover, to `final/`, which is not; or
- * copies them back, see [ArchiveMode]. It walks through all records again and again, at a small share of the writes that this
- * controller may make, and so continues where another process has stopped.
+ * Moves the records of jobs that are over from `job/`, which is listed at each start and failover, to `final/`, which
+ * is not. Or copies them back, see [ArchiveMode].
  *
- * Each move is one transaction, on the conditions that the shard still has this leader, that the record is the one read, and
- * that no other process has started: a transaction that is late or repeated changes nothing.
+ * All records are scanned again and again, so the work of a process that has ended is continued. The writes are limited
+ * to a small share of those that this controller may make.
+ *
+ * Records are moved by transactions with the conditions that the shard still has this leader, that each record is the
+ * one read, and that no other process has started meanwhile. So a transaction that is late or repeated changes nothing.
  */
 class RecordArchive(
     private val scope: CoroutineScope,
@@ -51,30 +53,36 @@
     private val hosts = settings.peers.map { it.host } + settings.host
     private val recordsPerTransaction = ArchivePlan.recordsPerTransaction(settings.stateLimits, hosts.size + 1)
 
-    /** Jobs whose records the state service does not take at the other place. */
+    /**
+     * The ids of the jobs whose records the state store refuses to write under `final/`, because they are too large.
+     */
     private val refusedJobIds = HashSet<String>()
 
-    /** Whether a record may be in `final/`: no controller moves any before this host, too, has announced that it looks there. */
+    /**
+     * Whether records may be in `final/`. No controller moves any before this host has announced too that it looks
+     * there.
+     */
     val mayBeUsed get() = mode == ArchiveMode.ON || ArchivePlan.isAnnounced(sharedKeys, settings.host)
 
-    /** Starts the walks, unless [mode] is [ArchiveMode.OFF]. Returns at once. */
+    /** Starts the regular scans, unless [mode] is [ArchiveMode.OFF]. Returns at once. */
     fun start() {
         if (mode == ArchiveMode.OFF) return
         if (recordsPerTransaction == 0) {
             log.warn(
-                "records are not archived: {} changes a transaction are too few",
+                "records are neither archived nor restored: a limit of {} changes a transaction is too low",
                 settings.maxOperationsPerTransaction,
             )
             return
         }
         scope.launch {
             while (true) {
-                delay(settings.leaseMs * LEASES_BETWEEN_PASSES)
+                delay(settings.leaseMs * LEASES_BETWEEN_SCANS)
                 if (mode == ArchiveMode.ON) archive() else restore()
             }
         }
     }
 
+    /** Moves all records to the archive that may be moved now. */
     private suspend fun archive() {
         announce()
         if (!ArchivePlan.mayMove(sharedKeys, hosts)) return
@@ -82,16 +90,20 @@
         if (moved > 0) log.info("{} records of jobs that are over were archived", moved)
     }
 
+    /** Copies all archived records of the shards led here back that are not back yet. */
     private suspend fun restore() {
         val copied = scan(Keys.FINAL) { shard, items -> copyBack(shard, items) } ?: return
         if (copied == 0 && shards.loaded(settings.host) != null) {
             log.info("all archived records of this node's shards are back")
         } else {
-            log.info("{} archived records were copied back, or are still to be", copied)
+            log.info("{} archived records were copied back, or are retried by the next scan", copied)
         }
     }
 
-    /** Only a process that leads its own shard announces: a late write of a former process then fails on that condition. */
+    /**
+     * Announces that this host looks for records in both places. Only a process that leads its host's own shard does
+     * so, on the condition that it still leads it: a late write of a former process then fails.
+     */
     private suspend fun announce() {
         if (ArchivePlan.isAnnounced(sharedKeys, settings.host)) return
         val key = Keys.archive(settings.host)
@@ -106,10 +118,11 @@
     }
 
     /**
-     * Passes the settled records under [prefix] to [process] in batches of one shard each, with pauses between them.
+     * Passes the settled records under [prefix] whose shards are loaded here to [process]. They come in batches of one
+     * shard each, with pauses between them.
      *
-     * @param process handles a batch and returns how many of its records it dealt with
-     * @return how many records were dealt with, or null if not all could be read
+     * @param process handles a batch, and returns how many of its records it counts
+     * @return the sum of what [process] returned, or null if not all records could be read
      */
     private suspend fun scan(
         prefix: String,
@@ -140,6 +153,7 @@
         return count
     }
 
+    /** The settled records of [page] that may be moved or copied, by their shards. */
     private fun settledByShard(
         page: List<KeyValue>,
         prefix: String,
@@ -148,14 +162,17 @@
         for (item in page) {
             val jobId = item.key.removePrefix(prefix)
             val shard = shardOf(jobId, item) ?: continue
-            // A job that is still in memory may be written once more.
+            // The record of a job that is still in memory may be written once more.
             if (jobId in shard.jobs || jobId in refusedJobIds) continue
             found.getOrPut(shard) { ArrayList() }.add(item)
         }
         return found
     }
 
-    /** Null if the job is open, its record unreadable, or its shard not loaded here. */
+    /**
+     * The shard of the job; null if the job is not settled, its record can't be decoded, or its shard is not loaded
+     * here.
+     */
     private fun shardOf(
         jobId: String,
         item: KeyValue,
@@ -166,17 +183,21 @@
                 if (record.isSettled) shards.loaded(record.shard) else null
             }
         } catch (e: UnreadableRecord) {
-            log.debug("not archived: {}", e.message)
+            log.debug("neither archived nor restored: {}", e.message)
             null
         }
 
-    /** The pause that keeps the walk to its share of the writes that this controller may make. */
+    /** The pause after [records] records, in ms. It keeps the scan within its share of this controller's writes. */
     private fun pauseMs(records: Int): Long {
         val writesPerSecond = settings.stateWriteRps / settings.controllers * ARCHIVE_SHARE_OF_WRITES
         return (records * 2 * MS_PER_SECOND / writesPerSecond).toLong()
     }
 
-    /** @return how many of the records are in the archive alone now */
+    /**
+     * Moves the records to the archive.
+     *
+     * @return how many of the records are only in the archive now
+     */
     private suspend fun move(
         shard: JobShard,
         items: List<KeyValue>,
@@ -200,7 +221,7 @@
         }
     }
 
-    /** Null if records of the shard may not be moved by this process, or not at this time. */
+    /** A transaction that moves records of the shard; null if this process may not move them now. */
     private fun moveTransaction(
         shard: JobShard,
         recordConditions: List<Compare>,
@@ -213,10 +234,15 @@
         )
     }
 
-    /** Holds while the shard has the leader that it has now, which is this process. */
+    /** The condition that this process still leads the shard in the same term of leadership. */
     private fun leaderCondition(shard: JobShard) = Compare(Keys.shard(shard.name), shard.leader.modRevision)
 
-    /** A record that was copied back is in both places. The copy is deleted if the archive has the same value. */
+    /**
+     * Deletes a record under `job/` that was copied back from the archive, where it still is, if both have the same
+     * value.
+     *
+     * @return whether it was deleted
+     */
     private suspend fun deleteRestoredCopy(
         shard: JobShard,
         item: KeyValue,
@@ -238,8 +264,9 @@
     }
 
     /**
-     * Moves the records one by one. One that is too large even alone stays where it is: the limits may have been lowered since
-     * it was written.
+     * Moves the records one by one, after a transaction with all of them was too large. A record that is too large even
+     * alone stays where it is, and is not tried again by this process: the limits may have been lowered since it was
+     * written.
      */
     private suspend fun moveOneByOne(
         shard: JobShard,
@@ -250,7 +277,11 @@
         return 0
     }
 
-    /** @return how many of the records were copied, or may still have to be */
+    /**
+     * Copies the records back to `job/`. Those that are there already are left as they are.
+     *
+     * @return how many of the records were copied, or may still have to be copied
+     */
     private suspend fun copyBack(
         shard: JobShard,
         items: List<KeyValue>,
@@ -268,7 +299,7 @@
                 when {
                     missing.isEmpty() -> 0
                     missing.size < items.size -> copyBack(shard, missing)
-                    // The shard has another leader now; whether the records are there is not known.
+                    // The shard has another leader now, so it is not known whether the records are back.
                     else -> items.size
                 }
             }
@@ -281,7 +312,9 @@
     private fun jobKey(item: KeyValue) = Keys.job(item.key.removePrefix(Keys.FINAL))
 
     private companion object {
-        const val LEASES_BETWEEN_PASSES = 2
+        const val LEASES_BETWEEN_SCANS = 2
+
+        /** The share of this controller's writes a second that a scan may use. */
         const val ARCHIVE_SHARE_OF_WRITES = 0.125
         const val MS_PER_SECOND = 1000.0
     }
--- a/src/main/kotlin/micatally/archive/RecordBatches.kt
+++ b/src/main/kotlin/micatally/archive/RecordBatches.kt
@@ -3,12 +3,15 @@
 import micatally.state.KeyValue
 import micatally.state.StateLimits
 
-/** Splits records among transactions. */
+/** Splits a list of records into batches that fit in one transaction each. */
 object RecordBatches {
-    /** The bytes that the keys and conditions of one record take in a transaction, at most. */
+    /** An upper bound of the bytes that the keys and conditions of one record take in a transaction. */
     private const val KEY_BYTES = 250
 
-    /** As few batches as keep the order and have [maxRecords] records, and the bytes of one transaction, at most. */
+    /**
+     * Splits [items], in their order, into as few batches as possible. A batch has at most [maxRecords] records, and at
+     * most [StateLimits.TRANSACTION_BYTES] unless it is a single record.
+     */
     fun split(
         items: List<KeyValue>,
         maxRecords: Int,
--- a/src/main/kotlin/micatally/archive/RecordLookup.kt
+++ b/src/main/kotlin/micatally/archive/RecordLookup.kt
@@ -6,18 +6,19 @@
 import micatally.state.Urgency
 
 /**
- * Reads a job's record, archived or not. A record moves from `job/` to `final/` in one transaction and is never deleted there,
- * so one that the first read misses since it was just moved is found by the second.
+ * Reads a job's record from `job/` or, if it may be archived, from `final/`. A record is moved by one transaction, and
+ * is never deleted from `final/`. So a record that was moved just before the first read is found by the second one.
  */
 class RecordLookup(
     private val state: StateStoreClient,
     private val mayBeArchived: () -> Boolean,
 ) {
     /**
-     * Suspends until the record is read from one place or the other.
+     * Reads the record from the state store.
      *
-     * @param beforeSecond runs before the second request, where one is needed
-     * @param onSend runs when the first request is sent: questions asked after that may be about something newer than the result
+     * @param beforeSecond runs before the second request, if one is needed
+     * @param onSend runs when the first request is sent. The result may be older than what is written from then on, so
+     * it must not answer queries that arrive later
      */
     suspend fun read(
         jobId: String,
