--- a/src/test/kotlin/micatally/job/RecordPackingTest.kt
+++ b/src/test/kotlin/micatally/job/RecordPackingTest.kt
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test
 import kotlin.random.Random
 
-/** Records and kill lists that are larger than a value of the state service. */
+/** Records and lists of cancelled tasks that are larger than one value of the state store may be. */
 class RecordPackingTest {
     private val limits = StateLimits(100.0, 20.0, 1024, 6)
     private val shard =
@@ -53,7 +53,7 @@
 
     private fun values(write: RecordWrite) = write.changes.filterIsInstance<Put>().associate { it.key to it.value }
 
-    /** Guard: all values of a write keep to the limits, and together they are the record. */
+    /** All values of a write are within the limits, and together they hold the whole record. */
     @Test
     fun `a record in several values is read as it was`() {
         val job = job(150, JobState.OPEN)
@@ -70,9 +70,11 @@
         assertEquals(false, JobRecord(main).isSettled)
     }
 
-    /** Guard: [Cancellations.published] puts the values together; with the first alone no task is known. */
+    /**
+     * [Cancellations.published] has to join all values of the list. From the first value alone it could read no task.
+     */
     @Test
-    fun `a kill list in several values is known whole`() {
+    fun `a list of cancelled tasks in several values is read whole`() {
         val job = job(180, JobState.CANCELLED)
         val write = write(job)
         assertTrue(write.cancelledTasksOverflow > 0 && write.changes.size <= limits.maxOperationsPerTransaction)
@@ -122,9 +124,9 @@
         override fun shardLost(shard: JobShard) = Unit
     }
 
-    /** Guard: values that a smaller record does not need are deleted with it. */
+    /** Overflow values that the record no longer needs are deleted by the write that makes it smaller. */
     @Test
-    fun `what a record no longer needs is deleted`() {
+    fun `overflow values that a record no longer needs are deleted`() {
         val job = job(150, JobState.OPEN)
         job.storedOverflow = write(job).overflow
         assertTrue(job.storedOverflow > 0)
@@ -136,7 +138,7 @@
         assertEquals((0 until job.storedOverflow).map { Keys.jobPart(job.jobId, it) }, deleted)
     }
 
-    /** Guard: [JobStore] gives attempts up that are not stored; a record that is too large stays as it is. */
+    /** [JobStore] then gives up attempts that are not stored yet. */
     @Test
     fun `a job whose record can't hold its attempts does not fit`() {
         assertEquals(
@@ -145,7 +147,7 @@
         )
     }
 
-    /** The format of both programs: plain, whatever its size, while an old one may run. */
+    /** While a controller may still run the previous version, records are stored uncompressed, whatever their size. */
     @Test
     fun `nothing is compressed before the upgrade is finished`() {
         val job = job(150, JobState.OPEN)
--- a/src/test/kotlin/micatally/job/ShardRecordsTest.kt
+++ b/src/test/kotlin/micatally/job/ShardRecordsTest.kt
@@ -18,8 +18,9 @@
 import org.junit.jupiter.api.Test
 
 /**
- * Found in a scale run: with the jobs of three days at the target size, 87,000, no controller could load its shard any more;
- * each ran out of memory on the records of jobs that were over long ago, and nothing was started.
+ * Guards against a load that keeps the records of all jobs in memory, also of those that were over long ago. With
+ * 87,000 jobs, those of three days at the target size, every controller ran out of memory before its shard was loaded,
+ * and no task was started.
  */
 class ShardRecordsTest {
     private val own = JobShard("own", ShardLeader("own", "p", 1, 1))
@@ -68,7 +69,7 @@
     }
 
     @Test
-    fun `of thousands of jobs that are over none is kept, and all others are`() {
+    fun `records of jobs that are over are not kept, and those that need action are`() {
         val over = (0 until 4000).associate { "j-1%05d".format(it) to record(if (it % 2 == 0) "own" else "other", "d") }
         val open =
             mapOf(
@@ -84,7 +85,7 @@
     }
 
     @Test
-    fun `a page that can't be had makes the whole unknown`() {
+    fun `a load fails if one page can't be read`() {
         val records = (0 until 1200).associate { "j-1%05d".format(it) to record("own", "o") }
         assertNull(read(records, refuseFrom = 2).kept)
         assertEquals(1200, read(records).kept!!.size)
