--- a/src/main/kotlin/micatally/job/JobManager.kt
+++ b/src/main/kotlin/micatally/job/JobManager.kt
@@ -67,7 +67,7 @@
     val shards: Map<String, JobShard> get() = directory.byName
 
     /** @see ShardDirectory.areAllLoaded */
-    val settled get() = directory.areAllLoaded
+    val areShardsLoaded get() = directory.areAllLoaded
 
     /** @see FinalAnswers.get */
     fun final(jobId: String): JobAnswer? = finalAnswers.get(jobId)
--- a/src/main/kotlin/micatally/peer/CancellationBroadcast.kt
+++ b/src/main/kotlin/micatally/peer/CancellationBroadcast.kt
@@ -33,7 +33,7 @@
      */
     fun confirmedByPeersAt(): Long {
         val fencingToken = membership.sharedKeys.fencingToken
-        if (connections.isEmpty() || !jobManager.settled) return NEVER_MS
+        if (connections.isEmpty() || !jobManager.areShardsLoaded) return NEVER_MS
         if (connections.any { it.confirmedFencingToken != fencingToken }) return NEVER_MS
         return connections.minOf { it.cancellationsConfirmedAt }
     }
--- a/src/main/kotlin/micatally/peer/DeltaReceiver.kt
+++ b/src/main/kotlin/micatally/peer/DeltaReceiver.kt
@@ -51,7 +51,7 @@
     private fun response(isSummaryComplete: Boolean): PeerDeltaResponse {
         val cancelledTasks = jobManager.cancellations.unfinishedTasks()
         val maxTasks = maxOf(MIN_CANCELLED_TASKS, machines.byName.size)
-        val isListComplete = jobManager.settled && cancelledTasks.size <= maxTasks
+        val isListComplete = jobManager.areShardsLoaded && cancelledTasks.size <= maxTasks
         return PeerDeltaResponse(
             needsFullSummary = !isSummaryComplete,
             fencingToken = if (isListComplete) membership.sharedKeys.fencingToken else 0,
--- a/src/main/kotlin/micatally/peer/Peers.kt
+++ b/src/main/kotlin/micatally/peer/Peers.kt
@@ -86,7 +86,7 @@
             peerSummaries.removeOrphans()
             // Before its shards are loaded a controller does not know what it holds, and an empty summary reads as free
             // capacity.
-            if (jobManager.settled) localSummary.refresh()
+            if (jobManager.areShardsLoaded) localSummary.refresh()
             for (connection in connections) if (deltaSender.isDeltaDue(connection)) startExchange(connection)
         }
     }
