--- a/src/main/kotlin/micatally/job/Job.kt
+++ b/src/main/kotlin/micatally/job/Job.kt
@@ -78,7 +78,7 @@
     val health = JobHealth()
 
     /** The indices of the tasks that were preempted here. A task is not preempted again by the same leader. */
-    val stoppedOnce = HashSet<Int>()
+    val preemptedTasks = HashSet<Int>()
 
     /**
      * Since when the cancelled tasks are known to be listed in the state store, in monotonic ms; null if they are not.
--- a/src/main/kotlin/micatally/scheduling/Preemption.kt
+++ b/src/main/kotlin/micatally/scheduling/Preemption.kt
@@ -116,7 +116,7 @@
         val spec = attempt.job.spec ?: return false
         val isArray = !spec.isService && !spec.isGang
         if (!isArray || attempt.stop != null || attempt.state != AttemptState.RUNNING) return false
-        if (attempt.taskIndex in attempt.job.stoppedOnce || spec.priority.ordinal <= request.priority) return false
+        if (attempt.taskIndex in attempt.job.preemptedTasks || spec.priority.ordinal <= request.priority) return false
         val runS = (now - (attempt.runningSince ?: now)) / MS_PER_S
         if (!queues.hasPassedBound(attempt.inherited, runS)) return false
         if (queues.queueOf(attempt.inherited + runS) < request.queue + QUEUES_ABOVE_VICTIM) return false
@@ -131,7 +131,7 @@
         now: Long,
     ) {
         for (attempt in victims) {
-            attempt.job.stoppedOnce.add(attempt.taskIndex)
+            attempt.job.preemptedTasks.add(attempt.taskIndex)
             attempt.stop(StopReason.PREEMPTED, now)
             log.info("task {} preempted for {}", attempt, request.name)
         }
