--- a/src/main/kotlin/micatally/job/JobStore.kt
+++ b/src/main/kotlin/micatally/job/JobStore.kt
@@ -205,7 +205,7 @@
             }
             if (fit is RecordFit.Fits) return Snapshot(job, fit.write)
             log.warn(
-                "job {}: record with {} attempts too large for the state store; a new job is refused, others are retried",
+                "job {}: record with {} attempts too large for the state store; refused if new, else retried",
                 job.jobId,
                 job.attempts.size,
             )
--- a/src/main/kotlin/micatally/job/TaskReconciler.kt
+++ b/src/main/kotlin/micatally/job/TaskReconciler.kt
@@ -18,7 +18,7 @@
     private val collaborators: JobCollaborators,
 ) {
     private val log = LoggerFactory.getLogger("micatally.job")
-    private val unknownValueLog = UnknownValueLog(log)
+    private val valueLog = UnknownValueLog(log)
 
     /** Ends the attempts of earlier incarnations of the machine: they ended when the machine's worker was restarted. */
     fun newIncarnation(machine: Machine) {
@@ -122,7 +122,7 @@
             ListedTask.SAVING -> attempts.advance(attempt, AttemptState.SAVING)
             ListedTask.ENDED -> return taskEnded(attempt, task, source)
             // A task in an unknown state counts neither as ended nor as running.
-            else -> unknownValueLog.warn("task $attempt is in an unknown state: ${task.status}")
+            else -> valueLog.warn("task $attempt is in an unknown state: ${task.status}")
         }
         return false
     }
@@ -139,11 +139,7 @@
         task: ListedTask,
         source: StatusSource,
     ): Boolean {
-        if (task.exitReason ==
-            null
-        ) {
-            unknownValueLog.warn("task $attempt ended for an unknown reason: ${task.exitReasonText}")
-        }
+        if (task.exitReason == null) valueLog.warn("task $attempt ended for an unknown reason: ${task.exitReasonText}")
         val isUnconfirmed = source != StatusSource.COMMAND_RESPONSE
         if (task.isDone) {
             attempts.terminate(attempt, AttemptTermination(TerminationEvidence.COMPLETED, "done", ExitReason.DONE))
