--- a/src/main/kotlin/micatally/peer/DeltaReceiver.kt
+++ b/src/main/kotlin/micatally/peer/DeltaReceiver.kt
@@ -11,7 +11,7 @@
 import micatally.wire.PeerDeltaResponse
 import micatally.worker.MachineRegistry
 
-/** Takes in the deltas of peers and answers them. */
+/** Applies the deltas that peers send, and builds the responses. */
 internal class DeltaReceiver(
     private val connections: List<PeerConnection>,
     private val membership: Membership,
@@ -28,7 +28,7 @@
      */
     fun receiveDelta(body: ByteArray): ByteArray {
         val delta = ProtoBuf.decodeFromByteArray<PeerDelta>(body)
-        connections.find { it.peer.host == delta.host }?.received(nowMs(), delta.hasStateStoreContact)
+        connections.find { it.peer.host == delta.host }?.deltaReceived(nowMs(), delta.hasStateStoreContact)
         val hasNewStatus = applyStatuses(delta)
         val isSummaryComplete = delta.summary?.let { peerSummaries.apply(it) } ?: true
         if (delta.deletionRequests.isNotEmpty()) listener.deletionRequested(delta.deletionRequests)
@@ -36,21 +36,24 @@
         return ProtoBuf.encodeToByteArray(response(isSummaryComplete))
     }
 
-    /** Returns whether any status was newer than what is known here. */
+    /** Returns whether any of the forwarded statuses was newer than what this controller knew. */
     private fun applyStatuses(delta: PeerDelta): Boolean {
         var hasNewStatus = false
         for (status in delta.machineStatuses) if (machines.applyForwarded(status)) hasNewStatus = true
         for (status in delta.heartbeatAcknowledgements) {
             machines.applyAcknowledgement(status)
-            machines.of(status.machine)?.heardBy(delta.host, nowMs() - status.ageMs)
+            machines.of(status.machine)?.recordHeardBy(delta.host, nowMs() - status.ageMs)
         }
         return hasNewStatus
     }
 
-    /** The fencing token is named only if the list of cancelled tasks is complete: the peer takes it as confirmation. */
+    /**
+     * The fencing token is 0 unless the list of cancelled tasks is complete, because the peer takes the token as
+     * confirmation that it knows all of them.
+     */
     private fun response(isSummaryComplete: Boolean): PeerDeltaResponse {
         val cancelledTasks = jobManager.cancellations.unfinishedTasks()
-        val maxTasks = maxOf(MIN_CANCELLED_TASKS, machines.byName.size)
+        val maxTasks = maxOf(MIN_CANCELLED_TASK_LIMIT, machines.byName.size)
         val isListComplete = jobManager.settled && cancelledTasks.size <= maxTasks
         return PeerDeltaResponse(
             needsFullSummary = !isSummaryComplete,
@@ -60,7 +63,7 @@
     }
 
     private companion object {
-        /** A response lists at least so many cancelled tasks; in a large fleet one for each machine. */
-        const val MIN_CANCELLED_TASKS = 500
+        /** A response lists at most this many cancelled tasks, or as many as there are machines if that is more. */
+        const val MIN_CANCELLED_TASK_LIMIT = 500
     }
 }
--- a/src/main/kotlin/micatally/peer/PeerCapacitySummaries.kt
+++ b/src/main/kotlin/micatally/peer/PeerCapacitySummaries.kt
@@ -11,13 +11,14 @@
 import micatally.worker.Machine
 import micatally.worker.MachineRegistry
 
-/** Whether its owner holds anything on the machine. */
+/** Whether the controller holds any capacity on the machine. */
 internal val HeldCapacity.isHeld get() = cores > 0 || gpus > 0 || memoryGb > 0
 
 /**
- * What the other controllers hold on machines and which requests wait there, as received directly or through the state
- * store.
- * What is held is entered in the [MachineRegistry], so that placement counts it as used.
+ * The capacity summaries of the other controllers: the capacity that they hold on machines, and their pending resource
+ * requests. Summaries arrive directly or through the state store.
+ *
+ * The held capacity is entered in the [MachineRegistry], so that placement counts it as used.
  */
 internal class PeerCapacitySummaries(
     private val settings: Settings,
@@ -25,11 +26,11 @@
     private val machines: MachineRegistry,
     private val nowMs: () -> Long,
 ) {
-    /** The summary of one process of a peer, put together from what has arrived. */
+    /** The summary of one process of a peer, assembled from the messages and partitions received. */
     private class PeerSummary(
         val process: String,
     ) {
-        /** Version that was received directly; 0 while only partitions have come. */
+        /** The version that was last received directly; 0 if only partitions have been received. */
         var version = 0L
         var demand: List<ResourceRequest> = emptyList()
         var recentServices: List<ResourceRequest> = emptyList()
@@ -38,22 +39,22 @@
 
     private val summaries = HashMap<String, PeerSummary>()
 
-    /** Hosts with a summary that lead no shard any more, and since when. */
+    /** When each host that has a summary was found to lead no shard any more, by host. */
     private val orphanedAt = HashMap<String, Long>()
 
-    /** Services that were submitted to the other controllers lately. */
+    /** Requests of the services that were recently submitted to the other controllers. */
     val recentServices: List<ResourceRequest> get() = summaries.values.flatMap { it.recentServices }
 
     /**
-     * Requests that wait at the other controllers.
+     * The pending resource requests of the other controllers.
      *
-     * Those of a host whose shards another one has taken over are left out: they wait at the new leader now, and counted
-     * twice they would be provisioned for twice.
+     * Those of a host that leads no shard any more are left out. The new leaders of its shards report them now, and
+     * counting them twice would provision machines for them twice.
      */
     val demand: List<ResourceRequest>
         get() = summaries.filterKeys { it !in orphanedAt }.values.flatMap { it.demand }
 
-    /** A machine has been added to the registry: enters what peers hold on it. */
+    /** To be called when a machine was added to the registry: enters the capacity that peers hold on it. */
     fun machineAdded(machine: Machine) {
         for ((host, summary) in summaries) {
             summary.heldByMachine[machine.name]?.let { enter(host, machine, it) }
@@ -63,7 +64,8 @@
     /**
      * Applies a summary that a peer has sent directly.
      *
-     * @return false if it holds changes to a version that is not known here: the peer has to send the full summary
+     * @return false if it contains changes to a version that this controller does not have, so that the peer has to
+     *   send the full summary
      */
     fun apply(received: CapacitySummary): Boolean {
         if (received.host == settings.host) return true
@@ -89,12 +91,13 @@
     }
 
     /**
-     * Applies a partition that came through the state store. It counts only where nothing newer came directly. Machines of
-     * this partition that it does not list are released; of other partitions it says nothing.
+     * Applies a partition that was read from the state store, unless the same or a newer version was received directly.
+     * Machines that belong to this partition and are not listed are released. Machines of other partitions are not
+     * affected.
      */
     fun applyPartition(received: CapacitySummary) {
         if (received.host == settings.host) return
-        // A former process of the host may have left partitions behind.
+        // Partitions written by a former process of the host may still be stored.
         val currentProcess = currentProcessOf(received.host)
         if (currentProcess != null && currentProcess != received.process) return
         val summary =
@@ -108,7 +111,7 @@
         for (held in received.held) update(received.host, summary, held)
     }
 
-    /** The process that the host's live key names, or else that of a shard that it leads. */
+    /** The host's process according to its live key, or else according to a shard that it leads; null if unknown. */
     private fun currentProcessOf(host: String): String? {
         val liveProcess = membership.sharedKeys.value(Keys.live(host))?.textOrNull("process")
         if (liveProcess != null) return liveProcess
@@ -116,7 +119,7 @@
         return leaders.find { it.host == host }?.process
     }
 
-    /** Releases the machines that [received] covers and does not list. */
+    /** Releases the machines for which [isCovered] holds and that [received] does not list. */
     private fun removeAllExcept(
         received: CapacitySummary,
         summary: PeerSummary,
@@ -141,7 +144,7 @@
         machine: Machine,
         held: HeldCapacity,
     ) {
-        machine.others(host, Resources(held.cores, held.gpus, held.memoryGb), nowMs())
+        machine.setHeldByPeer(host, Resources(held.cores, held.gpus, held.memoryGb), nowMs())
         val cacheGb = machines.machineTypes[machine.type]?.cacheGb ?: 0.0
         for ((index, image) in held.images.withIndex()) {
             if (image !in machine.images) machine.sawImage(image, held.imagesGb.getOrElse(index) { 0.0 }, cacheGb)
@@ -149,9 +152,10 @@
     }
 
     /**
-     * Starts the summary of a new process with what the host's former process held, until the new one says otherwise machine
-     * by machine: the tasks have not left their machines. Without this, capacity looked free for a moment, others placed
-     * tasks there, and the workers refused to start them.
+     * Creates the summary for a new process of the host. It starts with the capacity that the former process held,
+     * because the tasks are still on their machines, and is replaced machine by machine as the new process reports.
+     * Otherwise the capacity would appear free for a moment, other controllers would place tasks on it, and the workers
+     * would refuse to start them.
      */
     private fun replaceProcess(
         host: String,
@@ -164,8 +168,9 @@
     }
 
     /**
-     * The shared keys have changed: notes which hosts lead no shard any more. Their summaries stay for a while, since who
-     * took the shards over has to load them before it can say what it holds.
+     * To be called when the shared keys have changed: records which hosts lead no shard any more. Their summaries are
+     * kept for a while, because the new leaders have to load the shards before they can report the capacity held for
+     * them.
      */
     fun sharedKeysChanged() {
         if (summaries.isEmpty()) return
@@ -187,6 +192,6 @@
 
     private fun remove(host: String) {
         val summary = summaries.remove(host) ?: return
-        for (machineName in summary.heldByMachine.keys) machines.of(machineName)?.others(host, Resources.NONE, nowMs())
+        for (name in summary.heldByMachine.keys) machines.of(name)?.setHeldByPeer(host, Resources.NONE, nowMs())
     }
 }
--- a/src/main/kotlin/micatally/peer/PeerConnection.kt
+++ b/src/main/kotlin/micatally/peer/PeerConnection.kt
@@ -2,29 +2,30 @@
 
 import micatally.settings.Peer
 
-/** Stands for "not yet" in timestamps: far in the past, with room for subtraction. */
+/** The timestamp of an event that has not happened: far in the past, yet differences to it do not overflow. */
 internal const val NEVER_MS = Long.MIN_VALUE / 2
 
 /**
- * State of the exchange with one [peer]: what it still has to receive, when it was last heard, when to try again.
+ * The state of the exchange with one [peer]: which machines it still has to be told of, what it has confirmed, and when
+ * to retry after a failure.
  *
- * All times are milliseconds of the controller's clock.
+ * All times are in milliseconds of the controller's clock.
  */
 internal class PeerConnection(
     val peer: Peer,
 ) {
     private val unsentMachines = LinkedHashSet<String>()
 
-    /** Version of the local capacity summary that the peer is known to have; 0 for none. */
+    /** The version of the local capacity summary that the peer is known to have; 0 if none. */
     var acknowledgedSummaryVersion = 0L
 
-    /** When the last delta left that carried heartbeat acknowledgements and was answered. */
+    /** When the last accepted delta with heartbeat acknowledgements was sent. */
     var acknowledgementsSentAt = 0L
 
-    /** Whether a delta to this peer is in flight. At most one is at any time. */
+    /** Whether a delta to this peer is in flight. There is at most one at a time. */
     var isExchanging = false
 
-    /** Exchanges that have failed since the last successful one. */
+    /** The number of failed deltas since one last succeeded or the peer last sent one. */
     var failuresInRow = 0
         private set
 
@@ -32,19 +33,19 @@
     var retryAt = 0L
         private set
 
-    /** When the peer last reported that it is in contact with the state store. */
+    /** When a delta last arrived in which the peer reported contact with the state store. */
     var stateStoreContactAt = NEVER_MS
         private set
 
-    /** When the last delta of the peer arrived. */
+    /** When a delta from the peer last arrived. */
     var lastReceivedAt = NEVER_MS
         private set
 
-    /** When the delta left whose response listed everything that the peer has cancelled. */
+    /** When the last delta with a usable response was sent. The response lists the peer's cancelled tasks. */
     var cancellationsConfirmedAt = NEVER_MS
         private set
 
-    /** Fencing token in that response; 0 if the peer did not know all cancelled tasks of its shards. */
+    /** The fencing token in that response; 0 if its list of cancelled tasks was not complete. */
     var confirmedFencingToken = 0L
         private set
 
@@ -54,19 +55,19 @@
         unsentMachines.add(name)
     }
 
-    /** Removes up to [limit] machines, oldest change first, and returns them. */
+    /** Removes up to [limit] machines, those that were added first, and returns them. */
     fun takeUnsentMachines(limit: Int): List<String> {
         val machines = unsentMachines.take(limit)
         unsentMachines.removeAll(machines.toSet())
         return machines
     }
 
-    /** The peer has accepted a delta; what its response says is recorded with [exchangeSucceeded]. */
+    /** Records that the peer accepted a delta; [exchangeSucceeded] then records the contents of its response. */
     fun resetFailures() {
         failuresInRow = 0
     }
 
-    /** Records the response to the delta that left at [sentAtMs]. */
+    /** Records the response to the delta that was sent at [sentAtMs]. */
     fun exchangeSucceeded(
         sentAtMs: Long,
         fencingToken: Long,
@@ -75,7 +76,10 @@
         cancellationsConfirmedAt = sentAtMs
     }
 
-    /** A delta that carried [machines] got no usable response: they are due again once [retryDelayMs] has passed. */
+    /**
+     * Records that a delta with these [machines] failed. They are sent again after the delay that [retryDelayMs]
+     * returns.
+     */
     fun exchangeFailed(
         machines: List<String>,
         nowMs: Long,
@@ -86,8 +90,8 @@
         retryAt = nowMs + retryDelayMs(failuresInRow)
     }
 
-    /** A delta of the peer has arrived. A peer that sends is reachable again, so there is no reason to wait with a retry. */
-    fun received(
+    /** Records a delta from the peer. It shows that the peer is reachable, so the backoff after failed deltas ends. */
+    fun deltaReceived(
         nowMs: Long,
         hasStateStoreContact: Boolean,
     ) {
--- a/src/main/kotlin/micatally/worker/AttemptId.kt
+++ b/src/main/kotlin/micatally/worker/AttemptId.kt
@@ -4,13 +4,17 @@
 import micatally.wire.Command
 import micatally.wire.ListedTask
 
-/** Identifies an attempt on a given machine: workers know an attempt by its task and its number. */
+/**
+ * Identifies an attempt on a given machine by its task and its attempt number, as workers do.
+ *
+ * It is not unique across machines: a replaced task of a gang has the same attempt number on two machines.
+ */
 data class AttemptId(
     val jobId: String,
     val taskIndex: Int,
     val attempt: Long,
 ) {
-    /** The id of an attempt in each of its forms. */
+    /** Creates the id from each type that refers to an attempt. */
     companion object {
         fun of(attempt: Attempt) = AttemptId(attempt.job.jobId, attempt.taskIndex, attempt.number)
 
--- a/src/main/kotlin/micatally/worker/CancelledTasks.kt
+++ b/src/main/kotlin/micatally/worker/CancelledTasks.kt
@@ -3,11 +3,13 @@
 import micatally.wire.CancelledTask
 
 /**
- * Tasks of cancelled jobs, as the leaders of their shards have told. Whichever controller hears the machines of such tasks passes the
- * kill on. An entry is kept well beyond the time that a cancellation may take: the leader may end before it can say that the task is
- * gone. Used from the event loop only.
+ * The tasks of cancelled jobs of all shards, as reported by the shards' leaders.
  *
- * @param keepMs how long an entry is kept at least
+ * Any controller that receives a heartbeat with such a task sends the worker a kill command for it. An entry is kept
+ * for longer than a cancellation may take, because the leader may end before it can report that the task has
+ * terminated. Used from the event loop only.
+ *
+ * @param keepMs minimum time for which an entry is kept, in milliseconds
  */
 class CancelledTasks(
     private val keepMs: Long,
@@ -15,26 +17,27 @@
 ) {
     private val keptUntilMs = HashMap<String, HashMap<AttemptId, Long>>()
 
+    /** Adds the tasks, or renews their entries. */
     fun take(cancelledTasks: List<CancelledTask>) {
         val untilMs = nowMs() + keepMs
         for (task in cancelledTasks) {
-            val ofMachine = keptUntilMs.getOrPut(task.machine) { HashMap() }
-            ofMachine[AttemptId(task.jobId, task.taskIndex, task.attempt)] = untilMs
+            val untilMsByAttempt = keptUntilMs.getOrPut(task.machine) { HashMap() }
+            untilMsByAttempt[AttemptId(task.jobId, task.taskIndex, task.attempt)] = untilMs
         }
     }
 
-    /** Whether the attempt on this machine is known to be cancelled. */
+    /** Whether the attempt on this machine is known to belong to a cancelled job. */
     fun has(
         machine: String,
         id: AttemptId,
     ) = keptUntilMs[machine]?.containsKey(id) == true
 
-    /** Forgets entries that are old enough, unless the cancelled tasks of their job are still [listed] in the state store. */
+    /** Removes expired entries, except for jobs whose cancelled tasks are still [listed] in the state store. */
     fun prune(listed: (jobId: String) -> Boolean) {
         val now = nowMs()
-        keptUntilMs.values.removeIf { ofMachine ->
-            ofMachine.entries.removeIf { (id, untilMs) -> untilMs < now && !listed(id.jobId) }
-            ofMachine.isEmpty()
+        keptUntilMs.values.removeIf { untilMsByAttempt ->
+            untilMsByAttempt.entries.removeIf { (id, untilMs) -> untilMs < now && !listed(id.jobId) }
+            untilMsByAttempt.isEmpty()
         }
     }
 }
--- a/src/main/kotlin/micatally/worker/CapacityReservations.kt
+++ b/src/main/kotlin/micatally/worker/CapacityReservations.kt
@@ -3,10 +3,12 @@
 import micatally.wire.Resources
 
 /**
- * Capacity of one machine that is kept for replicas of this controller's jobs which are about to move there, by job and task.
+ * Capacity of one machine that this controller reserves, by job and task. It is reserved for a replica of a service
+ * that is about to move to the machine, and for the attempts of a shard that this controller has lost, until its new
+ * leader reports what they hold.
  *
- * A reservation counts as used, also in the summaries for the other controllers; otherwise another task would be there when the replica
- * comes.
+ * A reservation counts as used capacity, also in the summaries sent to the other controllers. Otherwise another task
+ * could be placed on capacity that is about to be used or still in use.
  */
 class CapacityReservations {
     private data class TaskId(
@@ -23,7 +25,7 @@
 
     val isEmpty get() = byTask.isEmpty()
 
-    /** Adds or renews the reservation. Returns false if the task had one before. */
+    /** Adds or renews the task's reservation. Returns whether it is a new one. */
     fun add(
         jobId: String,
         taskIndex: Int,
@@ -31,7 +33,7 @@
         untilMs: Long,
     ): Boolean = byTask.put(TaskId(jobId, taskIndex), Reservation(resources, untilMs)) == null
 
-    /** Removes the reservation, whether it is used or has expired. Returns what it held; null if there is none. */
+    /** Removes the task's reservation and returns the reserved resources; null if it has no reservation. */
     fun remove(
         jobId: String,
         taskIndex: Int,
@@ -42,7 +44,7 @@
         taskIndex: Int,
     ) = TaskId(jobId, taskIndex) in byTask
 
-    /** Calls [action] for each reservation that has expired; it may remove it. */
+    /** Calls [action] for each expired reservation. The action may remove that reservation. */
     fun forEachExpired(
         nowMs: Long,
         action: (jobId: String, taskIndex: Int) -> Unit,
--- a/src/main/kotlin/micatally/worker/CommandBatch.kt
+++ b/src/main/kotlin/micatally/worker/CommandBatch.kt
@@ -4,12 +4,15 @@
 import micatally.wire.Command
 
 /**
- * One request to a machine.
+ * The commands of one request to a machine.
  *
- * @property fencingToken the token under which the commands were decided; the machine rejects the request if it knows a higher one
+ * @property fencingToken the token under which the commands were decided; the machine rejects the request if it knows a
+ *   higher one
  * @property incarnation the incarnation of the machine for which the commands are meant
- * @property commands may be empty: then only the response is wanted, which lists what the machine runs
- * @property coveredAttempts the attempts for which the response is conclusive: one that it doesn't list is not on the machine
+ * @property commands the commands to send; empty if the request is sent only for its response, which lists the
+ *   machine's tasks
+ * @property coveredAttempts the attempts about which the response is conclusive: if it does not list one of them, that
+ *   attempt is not on the machine
  */
 class CommandBatch(
     val fencingToken: Long,
--- a/src/main/kotlin/micatally/worker/CommandChannel.kt
+++ b/src/main/kotlin/micatally/worker/CommandChannel.kt
@@ -1,64 +1,72 @@
 package micatally.worker
 
 /**
- * What this controller knows of its command requests to one machine. At most one request is under way at a time. Used from the
- * event loop only.
+ * The state of this controller's command requests to one machine. At most one request is under way at a time. Used from
+ * the event loop only.
  */
 class CommandChannel {
-    /** Whether requests are being sent, or wait for a slot or for the next repetition. */
+    /** Whether a sync is running: it sends requests, waits for a slot of the [CommandGate], or waits before a retry. */
     var isSyncing = false
 
-    /** Whether there may be something to send that the request under way, if any, does not contain. */
+    /**
+     * Whether another request has to be planned, because there may be commands that the one under way does not contain.
+     */
     var isSyncRequested = false
 
-    /** Whether the next request has to be sent even without a command, since only the response to it shows what the machine runs. */
+    /**
+     * Whether the next request is sent even without commands, because the machine's task list in the response is
+     * needed.
+     */
     var needsStatus = false
 
-    /** Requests in a row without a usable response. */
+    /** Number of requests in a row that got no usable response. */
     var failuresInRow = 0
         private set
 
-    /** Until when nothing new is placed on the machine, in milliseconds of the controller's clock. */
+    /** No new task is placed on the machine before this time, in milliseconds of the controller's clock. */
     var unreachableUntilMs = 0L
         private set
 
-    /** The highest fencing token with which the machine has accepted a request of this controller. */
+    /** The highest fencing token with which the machine has accepted a request from this controller; 0 if none. */
     var confirmedToken = 0L
         private set
 
     /**
-     * Run commands whose response never came, with the fencing token that they carried. Each may still arrive until the machine has
-     * accepted a higher token.
+     * Run commands that got no response, with the fencing token that they carried. Each may still arrive until the
+     * machine has accepted a higher token.
      */
     private val unansweredRuns = HashMap<AttemptId, Long>()
 
-    private var retry: (() -> Unit)? = null
+    private var retryCallback: (() -> Unit)? = null
 
-    /** The request got a usable response, whether it was accepted or rejected. */
+    /** Records that a request got a usable response, accepted or rejected. */
     fun recordResponse() {
         failuresInRow = 0
         unreachableUntilMs = 0
     }
 
-    /** The request got no usable response, so it has to be repeated. */
+    /** Records that a request got no usable response and has to be repeated. */
     fun recordFailure() {
         needsStatus = true
         isSyncRequested = true
         failuresInRow++
     }
 
-    /** Nothing new is placed on the machine until then, or until it responds. */
+    /** Keeps new tasks off the machine until this time, or until it responds. */
     fun markUnreachableUntil(untilMs: Long) {
         unreachableUntilMs = untilMs
     }
 
-    /** The machine has accepted a request with this token; run commands with a lower one can't take effect any more. */
+    /**
+     * Records that the machine has accepted a request with this token. It rejects any run command with a lower token
+     * from now on.
+     */
     fun confirmToken(token: Long) {
         confirmedToken = maxOf(confirmedToken, token)
         unansweredRuns.values.removeIf { it < confirmedToken }
     }
 
-    /** The run command left with this token and got no response. */
+    /** Records that a run command was sent with this token and got no response. */
     fun addUnansweredRun(
         attempt: AttemptId,
         token: Long,
@@ -66,7 +74,7 @@
         unansweredRuns[attempt] = token
     }
 
-    /** Whether a run command of the attempt got no response and has not been ruled out since. */
+    /** Whether a run command of the attempt got no response and has not been ruled out by a higher token since. */
     fun hasUnansweredRun(attempt: AttemptId) = attempt in unansweredRuns
 
     /** Whether a run command of the attempt may still reach the machine and start the task. */
@@ -75,12 +83,15 @@
         return token >= confirmedToken
     }
 
-    /** The machine was deleted or has a new incarnation, which rejects every command that was sent to the one before. */
+    /**
+     * To be called when the machine was deleted or has a new incarnation, since a new incarnation rejects every command
+     * that was sent to the former one.
+     */
     fun forgetUnansweredRuns() = unansweredRuns.clear()
 
     /**
-     * Returns the function that was passed at the first call, so that one that is registered several times with
-     * [micatally.membership.Membership.catchUp] is called once.
+     * Returns the callback that was passed at the first call, always the same object, so that
+     * [micatally.membership.Membership.catchUp] runs it once even if it is registered several times.
      */
-    fun retry(create: () -> Unit): () -> Unit = retry ?: create.also { retry = it }
+    fun retryCallback(callback: () -> Unit): () -> Unit = retryCallback ?: callback.also { retryCallback = it }
 }
--- a/src/main/kotlin/micatally/worker/CommandDispatcher.kt
+++ b/src/main/kotlin/micatally/worker/CommandDispatcher.kt
@@ -17,11 +17,12 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Sends commands to the machines until each runs what this controller wants it to run. [CommandPlanner] decides what to send,
- * [CommandResponseHandler] what follows from the response.
+ * Sends commands to the machines until each runs the tasks that this controller wants on it. [CommandPlanner] decides
+ * what to send, and [CommandResponseHandler] processes the responses.
  *
- * At most one request to a machine is under way, and [CommandGate] bounds the requests to all of them. A machine that gives no usable
- * response is asked again after a pause that grows with the failures in a row. Used from the event loop only.
+ * At most one request to a machine is under way, and [CommandGate] limits the number of requests to all machines. A
+ * request without a usable response is retried after a backoff that grows with the number of failures in a row. Used
+ * from the event loop only.
  */
 class CommandDispatcher(
     private val scope: CoroutineScope,
@@ -38,8 +39,8 @@
     private val gate = CommandGate(settings.maxConcurrentCommands)
 
     /**
-     * Whether a run command may still arrive at its machine that only a higher fencing token can rule out. Reset by whoever raises the
-     * token.
+     * Whether the fencing token has to be raised, because a run command without a response may still arrive at its
+     * machine. The machine rejects it once it has accepted a higher token. Reset by the code that raises the token.
      */
     var needsHigherFencingToken = false
 
@@ -67,7 +68,10 @@
         needsHigherFencingToken = true
     }
 
-    /** Has the machine brought to what this controller wants of it. Returns at once; repeated calls share the next request. */
+    /**
+     * Starts sending the machine what it needs to run the tasks that this controller wants on it. Returns at once.
+     * Calls while a request is under way share the next request.
+     */
     fun requestSync(machine: Machine) {
         val channel = machine.channel
         channel.isSyncRequested = true
@@ -89,17 +93,17 @@
             val isReached = gate.withSlot(machine.name, urgencyOf(machine)) { send(machine) }
             if (isReached) continue
             channel.recordFailure()
-            val pauseMs = pauseAfter(channel.failuresInRow)
-            channel.markUnreachableUntil(nowMs() + pauseMs + settings.heartbeatIntervalMs)
+            val delayMs = backoffMs(channel.failuresInRow)
+            channel.markUnreachableUntil(nowMs() + delayMs + settings.heartbeatIntervalMs)
             logFailure(machine)
-            delay(pauseMs)
+            delay(delayMs)
         }
     }
 
-    private fun pauseAfter(failuresInRow: Int): Long =
+    private fun backoffMs(failuresInRow: Int): Long =
         minOf(
-            settings.heartbeatIntervalMs * failuresInRow / PAUSES_PER_HEARTBEAT,
-            settings.heartbeatIntervalMs * LONGEST_PAUSE_HEARTBEATS,
+            settings.heartbeatIntervalMs * failuresInRow / BACKOFF_STEPS_PER_HEARTBEAT,
+            settings.heartbeatIntervalMs * MAX_BACKOFF_HEARTBEATS,
         )
 
     private fun logFailure(machine: Machine) {
@@ -111,18 +115,19 @@
 
     private fun urgencyOf(machine: Machine): CommandUrgency =
         when {
-            machine.channel.failuresInRow > 0 -> CommandUrgency.REPEAT
+            machine.channel.failuresInRow > 0 -> CommandUrgency.RETRY
             machine.attempts.any { it.stop != null } -> CommandUrgency.STOP
             machine.attempts.any { it.state == AttemptState.RECORDED } -> CommandUrgency.START
-            else -> CommandUrgency.ASK
+            else -> CommandUrgency.QUERY
         }
 
     /**
-     * Sends the next request, if there is any. It is decided only now, when the request leaves.
+     * Sends the next request, if one is needed. It is planned only now, so that it reflects the latest state.
      *
-     * Whether this controller still holds its lease is not asked: a machine rejects commands under a former fencing token.
+     * Whether this controller still holds its lease is not checked here, because a machine rejects commands that carry
+     * a lower fencing token than it knows.
      *
-     * @return false if the machine gave no usable response
+     * @return false if a request was sent and the machine gave no usable response
      */
     private suspend fun send(machine: Machine): Boolean {
         machine.channel.isSyncRequested = false
@@ -185,7 +190,10 @@
         }
     }
 
-    /** The current attempt that the command is for; a replaced task of a gang has the same attempt number on two machines. */
+    /**
+     * The current attempt that the command refers to; null if it has been replaced. The machine is compared too,
+     * because a replaced task of a gang has the same attempt number on two machines.
+     */
     private fun attemptOf(
         command: Command,
         machine: Machine,
@@ -198,9 +206,11 @@
         const val ACCEPTED = 200
         const val REJECTED = 409
 
-        /** The pause after the first failure is this part of the heartbeat interval, and grows by as much with each further one. */
-        const val PAUSES_PER_HEARTBEAT = 4
-        const val LONGEST_PAUSE_HEARTBEATS = 2
+        /** Each failure in a row lengthens the backoff by the heartbeat interval divided by this number. */
+        const val BACKOFF_STEPS_PER_HEARTBEAT = 4
+
+        /** The longest backoff, in heartbeat intervals. */
+        const val MAX_BACKOFF_HEARTBEATS = 2
         const val FAILURES_PER_LOG_LINE = 10
     }
 }
--- a/src/main/kotlin/micatally/worker/CommandGate.kt
+++ b/src/main/kotlin/micatally/worker/CommandGate.kt
@@ -3,7 +3,10 @@
 import kotlinx.coroutines.CancellationException
 import kotlinx.coroutines.CompletableDeferred
 
-/** Which machine goes first when more are to be sent commands than may be at once; in this order. */
+/**
+ * How urgent a command request is. When more requests wait than may be under way at once, the most urgent one goes
+ * first. The constants are in order of decreasing urgency.
+ */
 enum class CommandUrgency {
     /** A task is to be stopped, for example because its job was cancelled. */
     STOP,
@@ -11,17 +14,19 @@
     /** A task is to be started. */
     START,
 
-    /** The machine is only asked for its status, or an ended task is cleared. */
-    ASK,
+    /** Any other request, for example one that queries the machine's task list or clears an ended task. */
+    QUERY,
 
-    /** The machine did not respond to the last request. */
-    REPEAT,
+    /** The machine gave no usable response to the last request. */
+    RETRY,
 }
 
 /**
- * Bounds how many command requests are under way at once, so that machines that don't respond take no sockets from the
- * state store, the cloud and the other controllers. Machines that have not responded lately ([CommandUrgency.REPEAT]) get
- * half of the [slots] at the most: a zone that hangs does not hold up the others. Used from the event loop only.
+ * Limits how many command requests are under way at once, so that machines that do not respond leave enough sockets for
+ * the state store, the cloud and the other controllers. Retries ([CommandUrgency.RETRY]) get at most half of the
+ * [slots], so that an unresponsive zone does not delay the requests to the other zones. Used from the event loop only.
+ *
+ * @param slots how many requests may be under way at once
  */
 class CommandGate(
     private val slots: Int,
@@ -32,16 +37,16 @@
         val granted = CompletableDeferred<Unit>()
     }
 
-    /** By urgency and machine, in the order in which they came. */
+    /** By urgency and machine; machines of the same urgency are in the order in which they began to wait. */
     private val waiting = CommandUrgency.entries.associateWith { LinkedHashMap<String, Waiter>() }
-    private val maxRepeating = maxOf(1, slots / 2)
+    private val maxRetries = maxOf(1, slots / 2)
     private var usedCount = 0
-    private var repeatingCount = 0
+    private var retryCount = 0
 
-    /** Machines that wait for a slot. */
+    /** The number of machines that wait for a slot. */
     val waitingCount get() = waiting.values.sumOf { it.size }
 
-    /** Suspends until a slot is free for the machine, then runs [action]; each machine may wait once at a time. */
+    /** Waits until a slot is free, then runs [action] in it. A machine may wait for only one slot at a time. */
     suspend fun <T> withSlot(
         machine: String,
         urgency: CommandUrgency,
@@ -56,13 +61,16 @@
         }
     }
 
-    /** If the machine waits with a lower urgency it gets this one, behind those that have it already. */
+    /**
+     * Raises a waiting machine to this urgency, behind the machines that have it already. Does nothing if the machine
+     * does not wait, has this urgency or a higher one, or waits for a retry.
+     */
     fun promote(
         machine: String,
         urgency: CommandUrgency,
     ) {
         for (lower in CommandUrgency.entries) {
-            if (lower <= urgency || lower == CommandUrgency.REPEAT) continue
+            if (lower <= urgency || lower == CommandUrgency.RETRY) continue
             val waiter = waiting.getValue(lower).remove(machine) ?: continue
             waiter.urgency = urgency
             waiting.getValue(urgency)[machine] = waiter
@@ -86,18 +94,18 @@
     }
 
     private fun isFree(urgency: CommandUrgency): Boolean {
-        val mayRepeat = urgency != CommandUrgency.REPEAT || repeatingCount < maxRepeating
-        return usedCount < slots && mayRepeat
+        val mayRetry = urgency != CommandUrgency.RETRY || retryCount < maxRetries
+        return usedCount < slots && mayRetry
     }
 
     private fun take(waiter: Waiter) {
         usedCount++
-        if (waiter.urgency == CommandUrgency.REPEAT) repeatingCount++
+        if (waiter.urgency == CommandUrgency.RETRY) retryCount++
     }
 
     private fun release(waiter: Waiter) {
         usedCount--
-        if (waiter.urgency == CommandUrgency.REPEAT) repeatingCount--
+        if (waiter.urgency == CommandUrgency.RETRY) retryCount--
         grantNext()
     }
 
--- a/src/main/kotlin/micatally/worker/CommandPlanner.kt
+++ b/src/main/kotlin/micatally/worker/CommandPlanner.kt
@@ -11,15 +11,17 @@
 import micatally.wire.ListedTask
 
 /**
- * Decides what to send to a machine so that it runs what this controller wants it to run. Sends nothing itself.
+ * Decides what to send to a machine so that it runs the tasks that this controller wants on it. Sends nothing itself.
  *
- * The decision is made anew each time from the attempts and the machine's last task list, so a lost request or response needs no
- * bookkeeping: the next request contains again what is still missing. Used from the event loop only.
+ * Each plan is made from the current attempts and the machine's last task list. Lost requests and responses therefore
+ * need no bookkeeping: the next request again contains every command that is still needed. Used from the event loop
+ * only.
  *
- * @param killIntervalMs how long after a kill command the next one for the same attempt is sent
+ * @param killIntervalMs minimum time between two kill commands for the same attempt, in milliseconds
  * @param fencingToken the highest fencing token that this controller knows
- * @param mayStart whether tasks may be started at all at the moment
- * @param requireHigherFencingToken called when a run command may still arrive that only a higher fencing token can rule out
+ * @param mayStart whether this controller may start tasks at present
+ * @param requireHigherFencingToken called when a run command may still arrive and only a higher fencing token can rule
+ *   it out
  */
 class CommandPlanner(
     private val killIntervalMs: Long,
@@ -32,7 +34,7 @@
 ) {
     private val killSentAtMs = HashMap<Attempt, Long>()
 
-    /** A kill command for the attempt leaves. */
+    /** Records that a kill command for the attempt is being sent. */
     fun recordKill(
         attempt: Attempt,
         nowMs: Long,
@@ -40,16 +42,16 @@
         killSentAtMs[attempt] = nowMs
     }
 
-    /** The attempt is not on its machine any more. */
+    /** Drops the record of kill commands for an attempt that has ended on its machine. */
     fun forgetKill(attempt: Attempt) {
         killSentAtMs.remove(attempt)
     }
 
     /**
-     * Returns the next request to the machine, or null if there is nothing to command and nothing to ask.
+     * Returns the next request to the machine; null if there are no commands and the machine's task list is not needed.
      *
-     * Ends attempts that are to be stopped and were never sent, and passes cancellations that other controllers have reported on to
-     * the attempts. If the commands are more than one request holds, another request is marked as needed.
+     * Also terminates attempts that are to be stopped and were never sent, and stops attempts whose cancellation
+     * another controller has reported. If the commands do not fit in one request, another one is marked as needed.
      */
     fun plan(machine: Machine): CommandBatch? {
         val draft = Draft(machine, nowMs())
@@ -69,7 +71,7 @@
     ) {
         if (!attempt.maySend || attempt.job.shard.state != ShardState.ACTIVE) return
         if (attempt.incarnation != draft.machine.incarnation) return
-        // The job was cancelled by another leader of its shard, to which this controller has confirmed the cancellation.
+        // Another leader of the shard cancelled the job, and this controller has confirmed the cancellation to it.
         val isCancelledElsewhere =
             attempt.stop == null && cancelledTasks.has(draft.machine.name, AttemptId.of(attempt))
         if (isCancelledElsewhere) attempt.stop(StopReason.CANCELLED, draft.nowMs)
@@ -108,7 +110,7 @@
         attempt: Attempt,
     ) {
         if (!mayStart()) return
-        // An attempt that was never sent needs no reconciliation: no former leader of the shard can have sent it.
+        // No reconciliation is needed if the attempt was never sent: no former leader of the shard can have sent it.
         val isReconciled = draft.isReconciled(attempt) || attempt.sentAt == null
         if (!isReconciled) {
             draft.needsStatus = true
@@ -118,13 +120,16 @@
         draft.coveredAttempts.add(attempt)
     }
 
-    /** The attempt was sent, or may have been by a former leader, and the machine does not list it. */
+    /**
+     * Plans for an attempt that this controller or a former leader may have sent and that the machine does not list.
+     */
     private fun planRepeatedStart(
         draft: Draft,
         attempt: Attempt,
     ) {
         draft.coveredAttempts.add(attempt)
-        // After a failover it is not known whether the run command ever left, so the machine is asked before anything else.
+        // After a failover it is not known whether a run command was sent, so the machine's task list is requested
+        // first.
         val isSentBefore = attempt.sentAt != null
         if (!isSentBefore || attemptDirectory.isSuspended(attempt.job.jobId)) {
             draft.needsStatus = true
@@ -141,7 +146,7 @@
         if (!draft.isReconciled(attempt)) draft.needsStatus = true
     }
 
-    /** Whether the listed task is the current attempt, on the machine that it belongs to. */
+    /** Whether the listed task is the current attempt and [machine] is the one that the attempt was placed on. */
     private fun isCurrent(
         task: ListedTask,
         machine: Machine,
@@ -150,7 +155,9 @@
         return attempt.number == task.attempt && attempt.machine === machine
     }
 
-    /** The machine lists an attempt that has been given up: it is to be stopped, and its entry to be cleared. */
+    /**
+     * Plans for a listed attempt that is no longer current: it is killed, and once it has ended its entry is cleared.
+     */
     private fun planFormerAttempt(
         draft: Draft,
         task: ListedTask,
@@ -159,14 +166,18 @@
         val channel = draft.machine.channel
         when {
             !task.isEnded -> draft.addKill(id, gracePeriodS = 0.0)
-            // After a clear the worker has forgotten the attempt; a run command that arrived later would start the task again.
+            // Not cleared yet: a worker forgets a cleared attempt, so a run command that arrives later would start it
+            // again.
             channel.mayRunArriveLate(id) -> requireHigherFencingToken()
-            channel.confirmedToken >= FIRST_TOKEN -> draft.addClear(id)
+            channel.confirmedToken >= LOWEST_TOKEN -> draft.addClear(id)
             else -> draft.needsStatus = true
         }
     }
 
-    /** Time to save a checkpoint, where there is something to be saved; a save that is under way is never cut short by accident. */
+    /**
+     * The time that the task gets to save a checkpoint, in seconds; 0 if the checkpoint is not needed. The task of an
+     * ended gang gets time only if it is already saving, so that a save under way is not interrupted.
+     */
     private fun gracePeriodS(
         attempt: Attempt,
         reason: StopReason,
@@ -179,7 +190,10 @@
 
     private fun saveS(attempt: Attempt) = attempt.job.spec?.saveS ?: 0.0
 
-    /** As many commands as one request holds. The response says nothing of an attempt whose first run command is not among them. */
+    /**
+     * Returns a request with the first [MAX_COMMANDS] commands and marks another request as needed. The request does
+     * not cover attempts whose first run command is not in it, because its response proves nothing about them.
+     */
     private fun firstPart(
         draft: Draft,
         token: Long,
@@ -196,7 +210,7 @@
     private fun Command.isRunOf(attempt: Attempt) =
         type == CommandType.RUN && AttemptId.of(this) == AttemptId.of(attempt)
 
-    /** The request as far as it has been decided. */
+    /** The request that is being planned. */
     private class Draft(
         val machine: Machine,
         val nowMs: Long,
@@ -204,12 +218,12 @@
         val commands = ArrayList<Command>()
         val coveredAttempts = ArrayList<Attempt>()
 
-        /** Whether the request is sent even if it has no commands. */
+        /** Whether the request is sent even without commands, for the machine's task list in the response. */
         var needsStatus = machine.channel.needsStatus
 
         private val listedTasks = machine.tasks.associateBy { AttemptId.of(it) }
 
-        /** The attempt as the machine listed it last; null if it did not. */
+        /** The attempt's entry in the machine's last task list; null if it has none. */
         fun listed(attempt: Attempt): ListedTask? = listedTasks[AttemptId.of(attempt)]
 
         /** Whether the machine has accepted a request since this controller began to lead the attempt's shard. */
@@ -232,9 +246,10 @@
     }
 
     private companion object {
+        /** The most commands in one request. */
         const val MAX_COMMANDS = 200
 
-        /** The lowest fencing token; a machine with none confirmed has not responded to this controller yet. */
-        const val FIRST_TOKEN = 1L
+        /** The lowest fencing token. A confirmed token below it means that the machine has accepted no request yet. */
+        const val LOWEST_TOKEN = 1L
     }
 }
--- a/src/main/kotlin/micatally/worker/CommandResponseHandler.kt
+++ b/src/main/kotlin/micatally/worker/CommandResponseHandler.kt
@@ -9,11 +9,12 @@
 import micatally.wire.ListedTask
 
 /**
- * Draws the conclusions from a machine's response to a command request: which attempts are gone, and whether another request is
- * needed. Used from the event loop only.
+ * Processes a machine's response to a command request: terminates the attempts that the response proves to have ended,
+ * and decides whether another request is needed. Used from the event loop only.
  *
- * @param requireHigherFencingToken called when a run command may still arrive that only a higher fencing token can rule out
- * @param requestSync asks for another request to the machine
+ * @param requireHigherFencingToken called when a run command may still arrive and only a higher fencing token can rule
+ *   it out
+ * @param requestSync starts another request to the machine
  */
 class CommandResponseHandler(
     private val membership: Membership,
@@ -23,7 +24,7 @@
     private val requireHigherFencingToken: () -> Unit,
     private val requestSync: (Machine) -> Unit,
 ) {
-    /** The machine rejected the request because it knows a higher fencing token or has another incarnation. */
+    /** Handles a rejection: the machine knows a higher fencing token or has another incarnation. */
     fun rejected(
         machine: Machine,
         batch: CommandBatch,
@@ -35,13 +36,13 @@
         channel.needsStatus = true
         if (heartbeat.token > batch.fencingToken) {
             channel.isSyncRequested = false
-            membership.catchUp(channel.retry { requestSync(machine) })
+            membership.catchUp(channel.retryCallback { requestSync(machine) })
         } else {
             channel.isSyncRequested = true
         }
     }
 
-    /** The machine carried out the request. */
+    /** Handles the response to a request that the machine has carried out. */
     fun accepted(
         machine: Machine,
         batch: CommandBatch,
@@ -68,8 +69,11 @@
     }
 
     /**
-     * The request left after the attempt was recorded, so a list without the attempt is newer than the attempt and proves it gone. Unless
-     * the response to a run command was lost: that command may still arrive until the machine has accepted a higher fencing token.
+     * Handles an attempt that the response does not list. The request was sent after the attempt was recorded, so the
+     * list is newer than the attempt and proves that the attempt is not on the machine.
+     *
+     * It proves nothing if a run command of the attempt got no response: that command may still arrive until the
+     * machine has accepted a higher fencing token.
      */
     private fun notListed(attempt: Attempt) {
         val channel = attempt.machine.channel
--- a/src/main/kotlin/micatally/worker/Machine.kt
+++ b/src/main/kotlin/micatally/worker/Machine.kt
@@ -5,8 +5,8 @@
 import micatally.wire.Resources
 
 /**
- * A machine as this controller knows it from heartbeats, from the responses to its own commands and from other controllers. Used from
- * the event loop only. Times are in milliseconds of the controller's clock.
+ * A machine as this controller knows it from heartbeats, from responses to its own commands and from other controllers.
+ * Used from the event loop only. Times are in milliseconds of the controller's clock.
  */
 class Machine(
     val name: String,
@@ -15,7 +15,7 @@
     zone: String,
     isSpot: Boolean,
 ) {
-    /** Empty as long as it is not known, like [type] and [zone]. */
+    /** The worker's host and port. Like [type] and [zone], empty until known. */
     var addr = addr
         private set
     var type = type
@@ -23,12 +23,12 @@
     var zone = zone
         private set
 
-    /** Whether it is a spot instance, which the cloud may reclaim. */
+    /** Whether the machine is a spot instance, which the cloud may reclaim. */
     var isSpot = isSpot
         private set
 
-    /** Fills in what is not known yet; what is known never changes. */
-    fun describe(
+    /** Sets the attributes that are not known yet. Known ones never change. */
+    fun setUnknownAttributes(
         addr: String,
         type: String,
         zone: String,
@@ -41,110 +41,124 @@
         this.isSpot = isSpot
     }
 
-    /** The incarnation and the sequence number of the newest status; 0: none has come. */
+    /** The incarnation and sequence number of the newest status; 0 before the first status. */
     var incarnation = 0L
     var sequence = 0L
 
     /** The sequence number of the status with which [tasks] last changed. */
     var changedAtSequence = 0L
 
-    /** What the newest status lists. */
+    /** The task list of the newest status. */
     var tasks: List<ListedTask> = emptyList()
 
-    /** When any controller heard from it first, as far as this one knows; 0: not yet. */
+    /** When any controller first heard from the machine, as far as this one knows; 0 if none has. */
     var firstHeardAt = 0L
         private set
 
-    /** When any controller heard from it last. */
+    /** When any controller last heard from the machine, as far as this one knows; 0 if none has. */
     var heardAt = 0L
         set(value) {
             field = value
             if (firstHeardAt == 0L) firstHeardAt = value
         }
 
-    /** When this controller last accepted a heartbeat of it. */
+    /** When this controller last accepted a heartbeat from the machine. */
     var heardHereAt = 0L
 
     private val heardElsewhereAt = HashMap<String, Long>()
 
-    /** The controller on [host] has told that it accepted a heartbeat at this time. */
-    fun heardBy(
+    /** Records that the controller on [host] has reported a heartbeat of the machine accepted at this time. */
+    fun recordHeardBy(
         host: String,
         atMs: Long,
     ) {
         heardElsewhereAt.merge(host, atMs, ::maxOf)
     }
 
-    /** When the controller on [host] last accepted a heartbeat, as far as it has told; null: never. */
+    /**
+     * When the controller on [host] last accepted a heartbeat of the machine, as reported by it; null if it reported
+     * none.
+     */
     fun heardByAt(host: String): Long? = heardElsewhereAt[host]
 
-    /** When it was last probed because it was silent. */
+    /** When the machine was last probed because no heartbeat had come from it. */
     var probedAt = LONG_AGO
 
-    /** How many probes in a row it took without a response. */
+    /** The number of probes in a row that the machine received without a response. */
     var mute = 0
 
-    /** When it last took a new connection for a probe without a response: a machine without power does not. */
+    /** When the machine last accepted a new connection and gave no response. A machine without power accepts none. */
     var connectedAt = LONG_AGO
 
-    /** How many connections to it hung in a row. */
+    /** The number of connection attempts in a row that hung. */
     var dark = 0
 
-    /** When the cloud is going to reclaim it; null: no notice has come. */
+    /** When the cloud will reclaim the machine; null if it has given no notice. */
     var spotNoticeAt: Long? = null
 
     val hasSpotNotice get() = spotNoticeAt != null
 
-    /** Whether it is known to be deleted in the cloud. It never comes back under this name. */
+    /** Whether the machine is known to be deleted in the cloud. Its name is never used again. */
     var deleted = false
 
-    /** Whether it is being drained: nothing new is placed on it. */
+    /** Whether the machine is being drained, so that no new task is placed on it. */
     var draining = false
 
-    /** This controller's attempts here for whose end there is no evidence yet. */
+    /** This controller's attempts on the machine that have not terminated. */
     val attempts: Set<Attempt> get() = attachedAttempts
     private val attachedAttempts = LinkedHashSet<Attempt>()
 
     private val reservations = CapacityReservations()
 
-    /** What this controller's attempts and reservations take. */
+    /** The resources of this controller's attempts and reservations on the machine. */
     var ownUsed = Resources.NONE
         private set
 
-    /** What other controllers have told that they hold here, by host. */
+    /** The resources that other controllers report as held on the machine, by host. */
     private val usedByPeers = HashMap<String, Resources>()
 
-    /** What all controllers hold here, kept as a sum: a scheduling cycle looks at it for every machine. */
+    /**
+     * The resources that all controllers hold on the machine. Kept as a sum, because each scheduling cycle reads it for
+     * every machine.
+     */
     var used = Resources.NONE
         private set
 
-    /** Sizes in GB of the images that were seen here, most recent last. */
+    /** Sizes in GB of the images that tasks on the machine have used, by image, most recent last. */
     val images: Map<String, Double> get() = imageSizes
     private val imageSizes = LinkedHashMap<String, Double>()
 
-    /** Those of them that this controller's own tasks ran with: it reports no others to its peers, or none would ever be forgotten. */
+    /**
+     * The images that this controller's own tasks have used. Only these are reported to peers: if controllers also
+     * passed on what peers reported, no image would ever be forgotten.
+     */
     val ownImages: Set<String> get() = imagesOfOwnTasks
     private val imagesOfOwnTasks = HashSet<String>()
 
-    /** When capacity last became free here. */
+    /** When capacity last became free on the machine. */
     var freedAt = 0L
 
-    /** The host of the controller whose task left then: null for this controller's own, [NOBODY] if the machine was new. */
+    /**
+     * The host of the controller that freed the capacity at [freedAt]; null for this controller, [NOBODY] if the
+     * machine's incarnation was new.
+     */
     var freedBy: String? = NOBODY
 
-    /** Until when nothing is placed here, since a task found no room on it. */
+    /** No task is placed on the machine before this time, because it refused a task for lack of capacity. */
     var fullUntil = 0L
 
-    /** What failed tasks say about it. */
+    /** Failures and successes of tasks on the machine. */
     val health = MachineHealth()
 
-    /** When it was last seen with a task, a reservation or a reason to stay. */
+    /** When the fleet manager last found the machine in use; before that, when this controller first knew of it. */
     var busyAt = 0L
 
     /** The state of this controller's command requests to the machine. */
     val channel = CommandChannel()
 
-    /** Keeps capacity for a replica that is about to move here, until [untilMs] at the latest. */
+    /**
+     * Reserves capacity for the task until [untilMs]; see [CapacityReservations]. A task has one reservation at most.
+     */
     fun reserve(
         jobId: String,
         taskIndex: Int,
@@ -157,7 +171,7 @@
         updateUsed()
     }
 
-    /** Gives up a reservation, whether it is used or has expired; false if there is none. */
+    /** Releases the task's reservation, used or expired. Returns false if there is none. */
     fun releaseReservation(
         jobId: String,
         taskIndex: Int,
@@ -178,14 +192,14 @@
 
     val hasReservations get() = !reservations.isEmpty
 
-    /** The attempt counts as using the machine from now on. */
+    /** Adds the attempt to [attempts] and its resources to those in use. */
     fun attach(attempt: Attempt) {
         if (!attachedAttempts.add(attempt)) return
         attempt.job.spec?.let { ownUsed = ownUsed + it.resources }
         updateUsed()
     }
 
-    /** The attempt has ended. */
+    /** Removes an attempt that has ended, and its resources from those in use. */
     fun detach(
         attempt: Attempt,
         nowMs: Long,
@@ -197,14 +211,14 @@
         updateUsed()
     }
 
-    /** With nothing left the sum is exactly zero, whatever rounding has added up. */
+    /** Sets the sum to exactly zero when nothing is left, because rounding errors add up. */
     private fun subtractOwn(resources: Resources) {
         val isUnused = attempts.isEmpty() && reservations.isEmpty
         ownUsed = if (isUnused) Resources.NONE else ownUsed - resources
     }
 
-    /** Sets what the controller on [host] holds here, in place of what it held before. */
-    fun others(
+    /** Sets the resources that the controller on [host] holds on the machine, replacing those reported before. */
+    fun setHeldByPeer(
         host: String,
         resources: Resources,
         nowMs: Long,
@@ -223,7 +237,7 @@
         used = usedByPeers.values.fold(ownUsed) { sum, resources -> sum + resources }
     }
 
-    /** A task of this controller with the image runs here; otherwise like [sawImage]. */
+    /** Like [sawImage], for an image that a task of this controller uses. */
     fun sawOwnImage(
         image: String,
         gb: Double,
@@ -233,7 +247,10 @@
         imagesOfOwnTasks.add(image)
     }
 
-    /** A task with the image runs here. The least recent images are forgotten as the machine's cache forgets them. */
+    /**
+     * Records that a task with the image runs on the machine. The least recently used images are dropped when all
+     * together exceed [cacheGb], as in the machine's image cache.
+     */
     fun sawImage(
         image: String,
         gb: Double,
@@ -250,8 +267,10 @@
 
     /** Special values of its fields. */
     companion object {
-        /** Stands in [freedBy] for a machine that has only just come up. */
+        /** The value of [freedBy] for a machine that has just started. */
         const val NOBODY = ""
+
+        /** Initial value of times that have not been set, so far in the past that any interval has passed since. */
         private const val LONG_AGO = Long.MIN_VALUE / 2
     }
 }
--- a/src/main/kotlin/micatally/worker/MachineHealth.kt
+++ b/src/main/kotlin/micatally/worker/MachineHealth.kt
@@ -1,36 +1,43 @@
 package micatally.worker
 
 /**
- * What failed tasks say about a machine. One that is faulty fails the tasks of every job, so it takes the failures of two jobs to
- * exclude it, or of one that is known to run elsewhere; a success on it clears it. Used from the event loop only.
+ * Decides from the failures and successes of tasks on one machine whether the machine is faulty and excluded from
+ * placement.
+ *
+ * A faulty machine fails the tasks of every job. So it is excluded after failures of two jobs, or of one job that is
+ * known to run on other machines. A success on the machine clears the failures so far. Used from the event loop only.
  */
 class MachineHealth {
-    private val accusedAtMs = LinkedHashMap<String, Long>()
+    /** Failures that count against the machine, by job; the value is the time from which the failure's age counts. */
+    private val failedAtMs = LinkedHashMap<String, Long>()
+
+    /** The jobs whose failures led to the present exclusion. */
     private val excludedBy = HashSet<String>()
     private var exclusionCount = 0
     private var succeededAtMs: Long? = null
 
-    /** Until when nothing is started on the machine; 0: it is not excluded. */
+    /** No task is started on the machine before this time; 0 if it is not excluded. */
     var excludedUntil = 0L
         private set
 
-    /** A task completed here, or has run for long. */
+    /** Records that a task completed on the machine. */
     fun succeeded(nowMs: Long) {
         succeededAtMs = nowMs
-        accusedAtMs.clear()
+        failedAtMs.clear()
     }
 
-    /** Whether the last success here is at most [memoryMs] ago. */
+    /** Whether the last success on the machine is at most [memoryMs] ago. */
     fun hasSucceeded(
         nowMs: Long,
         memoryMs: Long,
     ) = succeededAtMs?.let { nowMs - it <= memoryMs } ?: false
 
     /**
-     * A task of this job failed here. Accusations count for [memoryMs].
+     * Records that a task of this job failed on the machine. A failure counts for [memoryMs].
      *
-     * @param runsElsewhere the job is known to run on other machines, and nothing succeeds on this one
-     * @return true if the machine is excluded from now on
+     * @param runsElsewhere whether the job is known to run on other machines while nothing is known to succeed on this
+     *   one
+     * @return true if this failure excludes the machine
      */
     fun accuse(
         job: String,
@@ -38,33 +45,35 @@
         nowMs: Long,
         memoryMs: Long,
     ): Boolean {
-        accusedAtMs.values.removeIf { nowMs - it > memoryMs }
-        accusedAtMs[job] = nowMs
-        val isEnough = accusedAtMs.size >= REQUIRED_ACCUSERS || runsElsewhere
+        failedAtMs.values.removeIf { nowMs - it > memoryMs }
+        failedAtMs[job] = nowMs
+        val isEnough = failedAtMs.size >= REQUIRED_FAILED_JOBS || runsElsewhere
         if (!isEnough || nowMs < excludedUntil) return false
         exclusionCount++
         excludedBy.clear()
-        excludedBy.addAll(accusedAtMs.keys)
-        accusedAtMs.clear()
+        excludedBy.addAll(failedAtMs.keys)
+        failedAtMs.clear()
         succeededAtMs = null
         excludedUntil = nowMs + exclusionMs(memoryMs)
         return true
     }
 
-    /** The first exclusion lasts half as long as accusations count, the later ones up to twice as long as those do. */
+    /**
+     * The first exclusion lasts half of [memoryMs]. Each further one lasts longer by as much, up to twice [memoryMs].
+     */
     private fun exclusionMs(memoryMs: Long) = memoryMs * minOf(exclusionCount, MAX_COUNTED_EXCLUSIONS) / 2
 
     /**
-     * The job has turned out to fail everywhere: what it said of the machine counts no more.
+     * Withdraws the job's failures, because the job has turned out to fail on every machine.
      *
-     * @return true if the machine is no longer excluded by that
+     * @return true if this ends the machine's exclusion
      */
     fun cancel(job: String): Boolean {
-        accusedAtMs.remove(job)
+        failedAtMs.remove(job)
         val isRemoved = excludedBy.remove(job)
-        val isStillExcluded = excludedBy.size >= REQUIRED_ACCUSERS
+        val isStillExcluded = excludedBy.size >= REQUIRED_FAILED_JOBS
         if (!isRemoved || isStillExcluded || excludedUntil == 0L) return false
-        for (other in excludedBy) accusedAtMs[other] = excludedUntil
+        for (other in excludedBy) failedAtMs[other] = excludedUntil
         excludedBy.clear()
         excludedUntil = 0L
         exclusionCount = maxOf(0, exclusionCount - 1)
@@ -72,7 +81,7 @@
     }
 
     private companion object {
-        const val REQUIRED_ACCUSERS = 2
+        const val REQUIRED_FAILED_JOBS = 2
         const val MAX_COUNTED_EXCLUSIONS = 4
     }
 }
--- a/src/main/kotlin/micatally/worker/MachineListener.kt
+++ b/src/main/kotlin/micatally/worker/MachineListener.kt
@@ -1,37 +1,38 @@
 package micatally.worker
 
-/** Where the newest status of a machine came from. */
+/** The source of a machine's newest status. */
 enum class StatusSource {
-    /** From the machine itself: a heartbeat, or the response to a probe. */
+    /** The machine itself, in a heartbeat or in the response to a probe. */
     HEARTBEAT,
 
-    /** From the machine itself, as the response to a command request of this controller. */
+    /** The machine itself, in the response to a command request of this controller. */
     COMMAND_RESPONSE,
 
-    /** Forwarded by another controller that received a heartbeat. */
+    /** Another controller, which forwarded a heartbeat that it had received. */
     PEER,
 }
 
 /**
- * What the rest of the controller does when [MachineRegistry] learns something new. The calls come from within the registry's functions,
- * on the event loop, after the [Machine] has been updated.
+ * Called when [MachineRegistry] learns something new about a machine. The registry makes the calls on the event loop,
+ * after it has updated the [Machine].
  */
 interface MachineListener {
-    /** The machine was not known before. Only its name is certain to be set. */
+    /** A machine was added. Its other attributes may still be unknown; only the name is certain to be set. */
     fun machineAdded(machine: Machine)
 
-    /** The machine has a new incarnation: whatever ran under the former one is gone. */
+    /** The machine has a new incarnation. Every task of the former one has ended. */
     fun incarnationChanged(machine: Machine)
 
     /**
-     * The machine's task list has changed, or it came with the response to a command request, which proves more than an unchanged
-     * heartbeat does. Follows [incarnationChanged] if the incarnation is new too.
+     * The machine's task list has changed, or it came with the response to a command request. The response is reported
+     * even if the list is unchanged, because it may prove that an attempt has ended and a heartbeat may not. Called
+     * after [incarnationChanged] if the incarnation is new too.
      */
     fun tasksReported(
         machine: Machine,
         source: StatusSource,
     )
 
-    /** Another controller has a newer task list of the machine, which has not come here. */
+    /** Another controller has a newer task list of the machine, and this one has not received it. */
     fun statusMissed(machine: Machine)
 }
--- a/src/main/kotlin/micatally/worker/MachineRegistry.kt
+++ b/src/main/kotlin/micatally/worker/MachineRegistry.kt
@@ -7,8 +7,10 @@
 import micatally.wire.TaskStatus
 
 /**
- * All machines that this controller knows of, by name. A status is applied only if its incarnation and sequence number are newer than
- * those of every status before; what changes goes on to [listener]. Used from the event loop only.
+ * All machines that this controller knows of, by name.
+ *
+ * A status of a machine is applied only if it is newer, by incarnation and then sequence number, than every status
+ * applied before. Changes are reported to [listener]. Used from the event loop only.
  */
 class MachineRegistry(
     private val listener: MachineListener,
@@ -16,44 +18,52 @@
 ) {
     private val machines = HashMap<String, Machine>()
 
-    /** All machines that are known, also those that are deleted but not forgotten yet. */
+    /** All known machines, including deleted ones until they are forgotten. */
     val byName: Map<String, Machine> get() = machines
 
-    /** By name; empty as long as they have not been read. */
+    /** The cloud's machine types by name; empty until they have been read. */
     var machineTypes: Map<String, MachineType> = emptyMap()
 
     private val namesOfDeleted = HashSet<String>()
 
-    /** Names of machines that are known to be deleted in the cloud, also of those that are forgotten. */
+    /** Names of all machines that are known to be deleted in the cloud, including those that have been forgotten. */
     val deletedNames: Set<String> get() = namesOfDeleted
 
     /**
-     * When a message of a worker itself reached this controller last, by zone. Not what other controllers forward: they may hear a zone
-     * from which this one is cut off.
+     * When this controller last received a message from a worker itself, by zone. Statuses forwarded by other
+     * controllers do not count, because these may receive heartbeats from a zone that this controller can't reach.
      */
     private val reachedAt = HashMap<String, Long>()
 
-    /** The same for all zones together. Begins with the start of the process, so that a new one has no doubts at once. */
+    /**
+     * When this controller last received a message from a worker of any zone. Initially the start of the process, so
+     * that a new process does not consider itself cut off from the workers at once.
+     */
     var lastReachedAt = nowMs()
         private set
 
-    /** When a message of a worker of the zone reached this controller last; long ago if none ever did. */
+    /**
+     * When this controller last received a message from a worker of the zone; a time long past if it has received none.
+     */
     fun reachedAt(zone: String) = reachedAt[zone] ?: LONG_AGO
 
-    /** Null if no machine of this name is known. */
+    /** The machine of this name; null if it is not known. */
     fun of(name: String): Machine? = machines[name]
 
-    /** The machine of this name is deleted in the cloud. From now on a late heartbeat can't bring it back. */
+    /**
+     * Records that the machine of this name is deleted, so that a late heartbeat does not add it as an existing
+     * machine.
+     */
     fun addDeletedName(name: String) {
         namesOfDeleted.add(name)
     }
 
-    /** Forgets the deleted machines for which the condition holds. Their names stay in [deletedNames]. */
+    /** Removes the deleted machines for which the condition holds. Their names stay in [deletedNames]. */
     fun forgetDeleted(condition: (Machine) -> Boolean) {
         machines.values.removeIf { it.deleted && condition(it) }
     }
 
-    /** Returns the machine of this name, which is added if it is not known. What is not known of it yet is filled in. */
+    /** Returns the machine of this name, adding it if needed. Sets those of its attributes that were unknown. */
     fun findOrAdd(
         name: String,
         addr: String,
@@ -62,7 +72,7 @@
         isSpot: Boolean,
     ): Machine {
         val machine = machines.getOrPut(name) { add(Machine(name, addr, type, zone, isSpot)) }
-        machine.describe(addr, type, zone, isSpot)
+        machine.setUnknownAttributes(addr, type, zone, isSpot)
         return machine
     }
 
@@ -74,9 +84,10 @@
     }
 
     /**
-     * Applies a message of the machine itself.
+     * Applies a status that the machine itself has sent.
      *
-     * @return whether it was newer than all before; copies of old heartbeats arrive late and show nothing
+     * @return whether it was newer than every status before. An older one, such as a late copy of a heartbeat, has no
+     *   effect on the machine's status, nor on the time at which it was last heard from.
      */
     fun apply(
         heartbeat: Heartbeat,
@@ -99,7 +110,7 @@
     /**
      * Applies a status that another controller has forwarded.
      *
-     * @return whether it was newer than all before
+     * @return whether it was newer than every status before
      */
     fun applyForwarded(status: MachineStatus): Boolean {
         val machine = findOrAdd(status.machine, status.addr, status.type, status.zone, status.isSpot)
@@ -114,7 +125,11 @@
             ListedTask(it.jobId, it.taskIndex, it.attempt, it.status, it.exitReason.ifEmpty { null }, it.isSaved)
         }
 
-    /** What a status says, whoever sent it. [ageMs] is how long ago the sender received it from the machine. */
+    /**
+     * The contents of a status, from the machine itself or forwarded.
+     *
+     * @property ageMs how long ago the sender received it from the machine, in milliseconds
+     */
     private class StatusUpdate(
         val incarnation: Long,
         val sequence: Long,
@@ -142,11 +157,11 @@
             machine.tasks = update.tasks
             machine.changedAtSequence = update.sequence
         }
-        // A forwarded status shows life as of the time at which its sender received it.
+        // A forwarded status proves only that the machine was up when the other controller received it.
         machine.heardAt = maxOf(machine.heardAt, nowMs() - update.ageMs)
         machine.spotNoticeAt = update.spotNoticeS?.let { nowMs() + (it * MS_PER_S).toLong() }
         if (isNewIncarnation) beginIncarnation(machine)
-        // Most heartbeats repeat the one before.
+        // Most heartbeats repeat the task list of the one before, so they are not reported.
         if (hasChanged || source == StatusSource.COMMAND_RESPONSE) listener.tasksReported(machine, source)
         return true
     }
@@ -158,7 +173,10 @@
         listener.incarnationChanged(machine)
     }
 
-    /** Another controller hears the machine. Its task list doesn't come with it, but it may show that there is a newer one. */
+    /**
+     * Applies another controller's acknowledgement of the machine's heartbeat. It contains no task list, but it may
+     * show that this controller has missed a newer one.
+     */
     fun applyAcknowledgement(status: MachineStatus) {
         val machine = findOrAdd(status.machine, status.addr, status.type, status.zone, status.isSpot)
         machine.heardAt = maxOf(machine.heardAt, nowMs() - status.ageMs)
@@ -168,10 +186,10 @@
         if (isMissed) listener.statusMissed(machine)
     }
 
-    /** The machine's status with its task list, to be forwarded to other controllers. */
+    /** The machine's status with its task list, for forwarding to other controllers. */
     fun statusOf(machine: Machine) = status(machine, machine.tasks.map { taskStatus(it) })
 
-    /** The machine's status without its task list: that this controller hears it, and when its tasks last changed. */
+    /** The machine's status without its task list. It tells other controllers when the machine was last heard from. */
     fun acknowledgementOf(machine: Machine) = status(machine, emptyList())
 
     private fun taskStatus(task: ListedTask) =
@@ -195,8 +213,9 @@
     )
 
     /**
-     * How long a machine of the type takes to boot, or of the slowest type if none or an unknown one is named. This is how far ahead
-     * scaling has to look, and how long it may hesitate.
+     * How long a machine of the type takes to boot, in milliseconds; for null or an unknown type, the time of the
+     * slowest type. Scale-out has to plan at least this far ahead, and the time limits of scaling decisions derive from
+     * it.
      */
     fun bootMs(type: String?): Long {
         val slowestS = machineTypes.values.maxOfOrNull { it.readyS } ?: 0.0
@@ -204,15 +223,17 @@
         return (readyS * MS_PER_S).toLong().coerceAtLeast(MIN_BOOT_MS)
     }
 
-    /** The machine's whole capacity; null as long as its type is not known. */
+    /** The machine's total capacity; null if its type is not known. */
     fun total(machine: Machine) = machineTypes[machine.type]?.resources
 
     private companion object {
         const val MIN_BOOT_MS = 5000L
         const val MS_PER_S = 1000.0
+
+        /** The time of the last message from a zone that has sent none. */
         const val LONG_AGO = Long.MIN_VALUE / 2
 
-        /** Stands in messages between controllers for a machine that is not about to be reclaimed. */
+        /** In messages between controllers, the value for a machine that has no spot notice. */
         const val NO_SPOT_NOTICE = -1.0
     }
 }
--- a/src/main/kotlin/micatally/worker/WorkerReach.kt
+++ b/src/main/kotlin/micatally/worker/WorkerReach.kt
@@ -13,21 +13,22 @@
 import micatally.wire.parseObject
 import org.slf4j.LoggerFactory
 
-/** Whether messages of workers reach this controller. */
+/** Whether messages from workers reach this controller. */
 enum class ReachState {
-    /** They do. */
+    /** They do, or there is no sign that they do not. */
     REACHING,
 
-    /** None has for a while though other controllers hear workers; some are being probed. */
+    /** None has arrived for a while although other controllers hear from workers. Some workers are being probed. */
     DOUBTFUL,
 
-    /** None of those probed responded, several times over. */
+    /** None of the probed workers responded, in several rounds of probes in a row. */
     CUT_OFF,
 }
 
 /**
- * Whether this controller can talk to workers at all. One that can't, while it still has the state store and the other
- * controllers, would go on accepting jobs and keep those it has, and none of them would start. Used from the event loop only.
+ * Detects that this controller is cut off from all workers. Such a controller may still reach the state store and the
+ * other controllers. It would then go on accepting jobs and keep its shards, and none of their tasks would start. Used
+ * from the event loop only.
  */
 class WorkerReach(
     private val scope: CoroutineScope,
@@ -37,28 +38,34 @@
     private val nowMs: () -> Long,
 ) {
     private val log = LoggerFactory.getLogger("micatally.worker")
+
+    /** After this time without a message from a worker, the controller begins to probe workers. */
     private val quietMs = maxOf(settings.heartbeatIntervalMs * 2, settings.leaseMs / QUIET_PERIODS_PER_LEASE)
     private val probeTimeoutMs = settings.leaseMs / PROBE_TIMEOUTS_PER_LEASE
+
+    /** A cut-off that is shorter than this does not make the controller step down. */
     private val cutOffToleranceMs = settings.leaseMs / TOLERANCES_PER_LEASE
     private var isProbing = false
+
+    /** Rounds of probes in a row without any response. */
     private var failedRounds = 0
     private var cutOffSince = 0L
 
-    /** When the last cut ended for which this controller stepped down. */
-    private var lastReturnAt = LONG_AGO
+    /** When the last cut-off ended for which the controller was to step down. */
+    private var lastReconnectedAt = LONG_AGO
     private var shouldStepDown = false
 
-    /** As of the last [review] or probe. */
+    /** The state as of the last [review] or round of probes. */
     var state = ReachState.REACHING
         private set
 
-    /** The one place where the state changes. */
+    /** The only function that changes [state]. */
     private fun transitionTo(next: ReachState) {
         if (next == state) return
         if (next == ReachState.CUT_OFF) cutOffSince = nowMs()
         if (next == ReachState.REACHING) {
             failedRounds = 0
-            if (shouldStepDown) lastReturnAt = nowMs()
+            if (shouldStepDown) lastReconnectedAt = nowMs()
             shouldStepDown = false
         }
         if (next == ReachState.CUT_OFF || state == ReachState.CUT_OFF) log.info("workers: {} -> {}", state, next)
@@ -68,19 +75,25 @@
     val isCutOff get() = state == ReachState.CUT_OFF
 
     /**
-     * Whether the controller is to leave its shards to others; once true, true until workers are reached again. Cuts of a few seconds move
-     * nothing, and after its return the controller keeps its work for some leases whatever happens.
+     * Whether the controller should give up its shards to other controllers because it is cut off from the workers.
+     * Once true, it stays true as long as the controller is cut off.
+     *
+     * A cut-off shorter than [cutOffToleranceMs] moves no shards. After a cut-off for which it was to step down has
+     * ended, the controller keeps its shards for [LEASES_BETWEEN_STEP_DOWNS] leases even if it is cut off again.
      */
     fun mayStepDown(): Boolean {
         val now = nowMs()
         if (!isCutOff) return false
         val isLasting = now - cutOffSince > cutOffToleranceMs
-        val isLongSinceReturn = now - lastReturnAt > settings.leaseMs * LEASES_BETWEEN
-        if (isLasting && isLongSinceReturn) shouldStepDown = true
+        val isLongSinceReconnected = now - lastReconnectedAt > settings.leaseMs * LEASES_BETWEEN_STEP_DOWNS
+        if (isLasting && isLongSinceReconnected) shouldStepDown = true
         return shouldStepDown
     }
 
-    /** Brings the state up to date, and probes workers where in doubt. Called periodically; returns at once. */
+    /**
+     * Updates the state, and starts probes if no worker has been heard from for a while. Called periodically; returns
+     * at once.
+     */
     fun review() {
         val now = nowMs()
         if (now - machines.lastReachedAt < quietMs) {
@@ -107,7 +120,7 @@
     private fun probeSome(candidates: List<Machine>) {
         if (isProbing) return
         isProbing = true
-        val chosen = candidates.sortedBy { it.probedAt }.take(MACHINES_A_ROUND)
+        val chosen = candidates.sortedBy { it.probedAt }.take(MACHINES_PER_ROUND)
         scope.launch {
             try {
                 val hasResponse = coroutineScope { chosen.map { async { probe(it) } }.awaitAll().any { it } }
@@ -120,7 +133,10 @@
         }
     }
 
-    /** Asks the machine for its status. True if it responded, even with something malformed: then it is reached. */
+    /**
+     * Asks the machine for its status. Returns whether it responded; a malformed response also shows that it is
+     * reachable.
+     */
     private suspend fun probe(machine: Machine): Boolean {
         machine.probedAt = nowMs()
         val outcome = http.call(machine.addr, "GET", STATUS_PATH, null, probeTimeoutMs)
@@ -140,8 +156,8 @@
         const val QUIET_PERIODS_PER_LEASE = 4
         const val TOLERANCES_PER_LEASE = 4
         const val PROBE_TIMEOUTS_PER_LEASE = 16
-        const val MACHINES_A_ROUND = 3
+        const val MACHINES_PER_ROUND = 3
         const val ROUNDS_TO_CUT_OFF = 2
-        const val LEASES_BETWEEN = 6
+        const val LEASES_BETWEEN_STEP_DOWNS = 6
     }
 }
--- a/src/test/kotlin/micatally/worker/CommandChannelTest.kt
+++ b/src/test/kotlin/micatally/worker/CommandChannelTest.kt
@@ -10,9 +10,11 @@
     private val channel = CommandChannel()
     private val attempt = AttemptId("j-1", 0, 1)
 
-    /** Guard: the comparison in `confirmToken`; the same token does not rule out a command that carries it. */
+    /**
+     * Guards the comparison in `confirmToken`: a machine still accepts a late command that carries the confirmed token.
+     */
     @Test
-    fun `a run without a response may arrive late until a higher token is accepted`() {
+    fun `a run command without a response may arrive late until a higher token is accepted`() {
         channel.addUnansweredRun(attempt, 7)
         assertTrue(channel.mayRunArriveLate(attempt))
         channel.confirmToken(7)
@@ -21,9 +23,9 @@
         assertFalse(channel.mayRunArriveLate(attempt) || channel.hasUnansweredRun(attempt))
     }
 
-    /** Guard: the machine has rejected such a command already, though the attempt was never seen on it. */
+    /** A machine that has accepted a higher token rejects such a command, even if it has never listed the attempt. */
     @Test
-    fun `a run under a token below the confirmed one can't arrive late`() {
+    fun `a run command with a token below the confirmed one can't arrive late`() {
         channel.confirmToken(8)
         channel.addUnansweredRun(attempt, 7)
         assertTrue(channel.hasUnansweredRun(attempt))
@@ -31,14 +33,14 @@
     }
 
     @Test
-    fun `the confirmed token never falls`() {
+    fun `the confirmed token never decreases`() {
         channel.confirmToken(8)
         channel.confirmToken(3)
         assertEquals(8, channel.confirmedToken)
     }
 
     @Test
-    fun `a failure asks for a repetition with a status, a response ends the series`() {
+    fun `a failure causes a retry that requests the task list, and a response resets the failures in a row`() {
         channel.recordFailure()
         channel.recordFailure()
         channel.markUnreachableUntil(500)
@@ -50,9 +52,9 @@
     }
 
     @Test
-    fun `the retry function is always the first one`() {
+    fun `the retry callback is always the first one`() {
         val first = {}
-        assertSame(first, channel.retry(first))
-        assertSame(first, channel.retry { error("not the first") })
+        assertSame(first, channel.retryCallback(first))
+        assertSame(first, channel.retryCallback { error("not the first") })
     }
 }
--- a/src/test/kotlin/micatally/worker/CommandGateTest.kt
+++ b/src/test/kotlin/micatally/worker/CommandGateTest.kt
@@ -13,7 +13,7 @@
 class CommandGateTest {
     private val underWay = LinkedHashMap<String, CompletableDeferred<Unit>>()
 
-    private fun TestScope.ask(
+    private fun TestScope.startRequests(
         gate: CommandGate,
         urgency: CommandUrgency,
         vararg machines: String,
@@ -21,79 +21,81 @@
         val request =
             launch {
                 gate.withSlot(machine, urgency) {
-                    val answer = CompletableDeferred<Unit>()
-                    underWay[machine] = answer
-                    answer.await()
+                    val response = CompletableDeferred<Unit>()
+                    underWay[machine] = response
+                    response.await()
                 }
             }
         runCurrent()
         request
     }
 
-    private fun TestScope.answer(machine: String) {
+    private fun TestScope.respond(machine: String) {
         underWay.remove(machine)!!.complete(Unit)
         runCurrent()
     }
 
-    /** Guard: the slots; without them an outage of many machines takes every socket of the controller. */
+    /** Without the limit, an outage of many machines would use all sockets of the controller. */
     @Test
-    fun `no more requests are under way than there are slots, and cancellations go first`() =
+    fun `no more requests are under way than there are slots, and stops go first`() =
         runTest {
             val gate = CommandGate(2)
-            ask(gate, CommandUrgency.ASK, "m-1", "m-2", "m-3")
-            ask(gate, CommandUrgency.START, "m-4")
-            ask(gate, CommandUrgency.STOP, "m-5")
+            startRequests(gate, CommandUrgency.QUERY, "m-1", "m-2", "m-3")
+            startRequests(gate, CommandUrgency.START, "m-4")
+            startRequests(gate, CommandUrgency.STOP, "m-5")
             assertEquals(setOf("m-1", "m-2"), underWay.keys)
-            for (machine in listOf("m-1", "m-2", "m-5")) answer(machine)
+            for (machine in listOf("m-1", "m-2", "m-5")) respond(machine)
             assertEquals(setOf("m-4", "m-3"), underWay.keys)
-            for (machine in underWay.keys.toList()) answer(machine)
+            for (machine in underWay.keys.toList()) respond(machine)
         }
 
-    /** Guard: the bound on repeats in `isFree`. */
+    /** Guards the limit on retries in `isFree`: unresponsive machines must not delay requests to the others. */
     @Test
-    fun `machines that don't answer take half of the slots at the most`() =
+    fun `machines that do not respond get at most half of the slots`() =
         runTest {
             val gate = CommandGate(4)
-            ask(gate, CommandUrgency.REPEAT, "m-1", "m-2", "m-3", "m-4")
+            startRequests(gate, CommandUrgency.RETRY, "m-1", "m-2", "m-3", "m-4")
             assertEquals(setOf("m-1", "m-2"), underWay.keys)
-            ask(gate, CommandUrgency.ASK, "m-5", "m-6", "m-7")
+            startRequests(gate, CommandUrgency.QUERY, "m-5", "m-6", "m-7")
             assertEquals(setOf("m-1", "m-2", "m-5", "m-6"), underWay.keys)
-            answer("m-5")
+            respond("m-5")
             assertEquals(setOf("m-1", "m-2", "m-6", "m-7"), underWay.keys)
-            answer("m-1")
+            respond("m-1")
             assertEquals(setOf("m-2", "m-6", "m-7", "m-3"), underWay.keys)
-            for (machine in underWay.keys.toList()) answer(machine)
-            answer("m-4")
+            for (machine in underWay.keys.toList()) respond(machine)
+            respond("m-4")
             assertEquals(0, gate.waitingCount)
         }
 
     @Test
-    fun `a machine that waits goes ahead when there is something to stop on it`() =
+    fun `a waiting machine is moved ahead when a task on it is to be stopped`() =
         runTest {
             val gate = CommandGate(1)
-            ask(gate, CommandUrgency.ASK, "m-1", "m-2", "m-3")
+            startRequests(gate, CommandUrgency.QUERY, "m-1", "m-2", "m-3")
             gate.promote("m-3", CommandUrgency.STOP)
-            answer("m-1")
+            respond("m-1")
             assertEquals(setOf("m-3"), underWay.keys)
-            answer("m-3")
-            answer("m-2")
+            respond("m-3")
+            respond("m-2")
         }
 
-    /** Guard: the release in `await`, and the removal beside it: a slot that is lost never comes back. */
+    /**
+     * A cancelled request must release its slot, or stop waiting for one: a slot that is not released is lost for good.
+     */
     @Test
-    fun `who gives up while waiting or in the middle holds no slot`() =
+    fun `a request that is cancelled while it waits or runs holds no slot`() =
         runTest {
             val gate = CommandGate(1)
-            val first = ask(gate, CommandUrgency.START, "m-1").single()
-            val second = ask(gate, CommandUrgency.START, "m-2").single()
+            val first = startRequests(gate, CommandUrgency.START, "m-1").single()
+            val second = startRequests(gate, CommandUrgency.START, "m-2").single()
             second.cancel()
             runCurrent()
             assertEquals(0, gate.waitingCount)
-            ask(gate, CommandUrgency.START, "m-3")
+            startRequests(gate, CommandUrgency.START, "m-3")
             first.cancel()
             runCurrent()
-            answer("m-3")
-            ask(gate, CommandUrgency.START, "m-4")
-            answer("m-4")
+            respond("m-3")
+            startRequests(gate, CommandUrgency.START, "m-4")
+            respond("m-4")
         }
 }
--- a/src/test/kotlin/micatally/worker/CommandPlannerTest.kt
+++ b/src/test/kotlin/micatally/worker/CommandPlannerTest.kt
@@ -23,7 +23,7 @@
     private var nowMs = 100_000L
     private var mayStart = true
     private var needsHigherToken = false
-    private val ended = ArrayList<TerminationEvidence>()
+    private val evidence = ArrayList<TerminationEvidence>()
 
     private val shard =
         JobShard("own", ShardLeader("own", "p", FENCING_TOKEN, 1)).also { it.transitionTo(ShardState.ACTIVE) }
@@ -45,7 +45,7 @@
                 attempt: Attempt,
                 termination: AttemptTermination,
             ) {
-                ended.add(termination.proof)
+                evidence.add(termination.proof)
             }
         }
 
@@ -60,7 +60,7 @@
             nowMs = { nowMs },
         )
 
-    private val silentListener =
+    private val noOpListener =
         object : MachineListener {
             override fun machineAdded(machine: Machine) = Unit
 
@@ -73,11 +73,11 @@
 
             override fun statusMissed(machine: Machine) = Unit
         }
-    private val registry = MachineRegistry(silentListener) { nowMs }
-    private val machine = registry.findOrAdd("m-1", "10.0.0.1:9", "g8", "a", false).also { list(it) }
+    private val registry = MachineRegistry(noOpListener) { nowMs }
+    private val machine = registry.findOrAdd("m-1", "10.0.0.1:9", "g8", "a", false).also { reportTasks(it) }
 
-    /** The machine's task list is this from now on. */
-    private fun list(
+    /** Applies a heartbeat of the machine with this task list. */
+    private fun reportTasks(
         machine: Machine,
         vararg tasks: ListedTask,
     ) {
@@ -109,13 +109,13 @@
     private fun commands() = planner.plan(machine)?.commands?.map { "${it.type} ${it.taskIndex}#${it.attempt}" }
 
     @Test
-    fun `nothing to command and nothing to ask is no request`() {
+    fun `without commands a request is planned only if the task list is needed`() {
         assertNull(planner.plan(machine))
         machine.channel.needsStatus = true
         assertEquals(emptyList<String>(), commands())
     }
 
-    /** Guard: `mayStart` in `planStart`; an intended attempt is not in the state store yet. */
+    /** Guards `mayStart` in `planStart`. An intended attempt is not in the state store yet, so it must not be sent. */
     @Test
     fun `only a recorded attempt is started, and only while starts are allowed`() {
         attempt(AttemptState.INTENDED, task = 0)
@@ -129,9 +129,12 @@
         assertEquals(FENCING_TOKEN, batch?.fencingToken)
     }
 
-    /** Guard: `planRepeatedStart`; a former leader may have sent the run, and the task may have come and gone. */
+    /**
+     * Guards `planRepeatedStart`: a former leader may have sent the run command, and the task may have ended and
+     * been cleared already. A second run command would start it again.
+     */
     @Test
-    fun `an attempt taken over is asked for before anything is sent, one sent from here is sent again`() {
+    fun `the task list is requested for an attempt of a former leader, an attempt sent here is sent again`() {
         val takenOver = attempt(AttemptState.DISPATCHED)
         assertEquals(emptyList<String>(), commands())
         assertEquals(listOf(takenOver), planner.plan(machine)?.coveredAttempts)
@@ -140,16 +143,16 @@
     }
 
     @Test
-    fun `an attempt that was never sent ends at once when it is to be stopped`() {
+    fun `an attempt that was never sent terminates at once when it is to be stopped`() {
         attempt(AttemptState.RECORDED).stop(StopReason.CANCELLED, nowMs)
         assertNull(commands())
-        assertEquals(listOf(TerminationEvidence.NEVER_SENT), ended)
+        assertEquals(listOf(TerminationEvidence.NEVER_SENT), evidence)
     }
 
     @Test
     fun `a kill is repeated after its interval until the attempt is listed as ended`() {
         val attempt = attempt(AttemptState.RUNNING, sentAt = nowMs)
-        list(machine, listed(ListedTask.RUNNING))
+        reportTasks(machine, listed(ListedTask.RUNNING))
         attempt.stop(StopReason.DRAIN, nowMs)
         assertEquals(listOf("KILL 0#1"), commands())
         planner.recordKill(attempt, nowMs)
@@ -157,13 +160,13 @@
         assertNull(commands())
         nowMs += 1
         assertEquals(listOf("KILL 0#1"), commands())
-        list(machine, listed(ListedTask.ENDED))
+        reportTasks(machine, listed(ListedTask.ENDED))
         assertEquals(emptyList<String>(), commands())
     }
 
-    /** Guard: `isCancelledElsewhere`; this controller has confirmed the cancellation to the other one. */
+    /** Guards `isCancelledElsewhere`: this controller has confirmed the cancellation, so it must act on it. */
     @Test
-    fun `a cancellation that another controller has told stops the attempt`() {
+    fun `a cancellation that another controller has reported stops the attempt`() {
         val attempt = attempt(AttemptState.RUNNING, sentAt = nowMs)
         cancelledTasks.take(listOf(CancelledTask("m-1", JOB, 0, 1)))
         assertEquals(listOf("KILL 0#1"), commands())
@@ -172,18 +175,21 @@
 
     @Test
     fun `a former attempt is killed, and cleared once the machine has accepted a request`() {
-        list(machine, listed(ListedTask.RUNNING))
+        reportTasks(machine, listed(ListedTask.RUNNING))
         assertEquals(listOf("KILL 0#1"), commands())
-        list(machine, listed(ListedTask.ENDED))
+        reportTasks(machine, listed(ListedTask.ENDED))
         assertEquals(emptyList<String>(), commands())
         machine.channel.confirmToken(FENCING_TOKEN)
         assertEquals(listOf("CLEAR 0#1"), commands())
     }
 
-    /** Guard: the order of the cases in `planFormerAttempt`; a run that comes after the clear would start the task again. */
+    /**
+     * Guards the order of the cases in `planFormerAttempt`: a run command that arrives after the clear restarts the
+     * task.
+     */
     @Test
-    fun `a former attempt is not cleared while a run of it may arrive late`() {
-        list(machine, listed(ListedTask.ENDED))
+    fun `a former attempt is not cleared while a run command for it may arrive late`() {
+        reportTasks(machine, listed(ListedTask.ENDED))
         machine.channel.confirmToken(FENCING_TOKEN)
         machine.channel.addUnansweredRun(AttemptId(JOB, 0, 1), FENCING_TOKEN)
         assertNull(commands())
@@ -192,9 +198,9 @@
         assertEquals(listOf("CLEAR 0#1"), commands())
     }
 
-    /** Guard: the filter in `firstPart`; the response would prove attempts gone whose run has not been sent. */
+    /** Guards the filter in `firstPart`: the response would terminate attempts whose run command has not been sent. */
     @Test
-    fun `a request holds a bounded number of commands and covers no attempt whose first run is not among them`() {
+    fun `a request has a limited number of commands and covers no attempt whose first run command is not in it`() {
         for (task in 0 until 250) attempt(AttemptState.RECORDED, task)
         machine.channel.isSyncRequested = false
         val batch = planner.plan(machine)
@@ -204,7 +210,7 @@
     }
 
     @Test
-    fun `attempts of a shard that is led elsewhere, and of a former incarnation, are left alone`() {
+    fun `no commands are planned for attempts of a former incarnation or of a lost shard`() {
         attempt(AttemptState.RUNNING, sentAt = nowMs).stop(StopReason.DRAIN, nowMs)
         val later = machine.sequence + 1
         registry.apply(
--- a/src/test/kotlin/micatally/worker/MachineRegistryTest.kt
+++ b/src/test/kotlin/micatally/worker/MachineRegistryTest.kt
@@ -60,22 +60,22 @@
 
     @Test
     fun `a first heartbeat adds the machine, begins its incarnation and reports its tasks, in this order`() {
-        val seen = eventsOf { assertTrue(registry.apply(heartbeat(1, 1, ListedTask.RUNNING), StatusSource.HEARTBEAT)) }
-        assertEquals(listOf("added m-1", "incarnation 1", "tasks 1 HEARTBEAT"), seen)
+        val calls = eventsOf { assertTrue(registry.apply(heartbeat(1, 1, ListedTask.RUNNING), StatusSource.HEARTBEAT)) }
+        assertEquals(listOf("added m-1", "incarnation 1", "tasks 1 HEARTBEAT"), calls)
     }
 
-    /** Guard: the comparison in `isNewerThan`; a late copy would take a task list back to a former state. */
+    /** Guards the comparison in `isNewerThan`: a late copy of a heartbeat would restore an outdated task list. */
     @Test
-    fun `a copy or an older heartbeat shows nothing, not even life`() {
+    fun `a repeated or older heartbeat changes nothing, not even the time of the last contact`() {
         registry.apply(heartbeat(2, 5, ListedTask.RUNNING), StatusSource.HEARTBEAT)
         nowMs += 1000
-        val seen =
+        val calls =
             eventsOf {
                 assertFalse(registry.apply(heartbeat(2, 5), StatusSource.HEARTBEAT))
                 assertFalse(registry.apply(heartbeat(2, 4), StatusSource.COMMAND_RESPONSE))
                 assertFalse(registry.apply(heartbeat(1, 9), StatusSource.HEARTBEAT))
             }
-        assertEquals(emptyList<String>(), seen)
+        assertEquals(emptyList<String>(), calls)
         assertEquals(nowMs - 1000, registry.of("m-1")?.heardAt)
         assertEquals(nowMs - 1000, registry.lastReachedAt)
     }
@@ -91,20 +91,20 @@
     }
 
     @Test
-    fun `what one controller forwards another applies with its age, without having been reached`() {
+    fun `a forwarded status is applied with its age and does not count as a message from the zone`() {
         val other = MachineRegistry(listener) { nowMs }
         other.apply(heartbeat(1, 1, ListedTask.RUNNING), StatusSource.HEARTBEAT)
         nowMs += 300
         val status = other.statusOf(other.findOrAdd("m-1", "", "", "", false))
         nowMs += 100
-        val seen = eventsOf { assertTrue(registry.applyForwarded(status)) }
-        assertEquals(listOf("added m-1", "incarnation 1", "tasks 1 PEER"), seen)
+        val calls = eventsOf { assertTrue(registry.applyForwarded(status)) }
+        assertEquals(listOf("added m-1", "incarnation 1", "tasks 1 PEER"), calls)
         assertEquals(nowMs - 300, registry.of("m-1")?.heardAt)
         assertTrue(registry.reachedAt("a") < 0)
     }
 
     @Test
-    fun `an acknowledgement shows life, and whether a newer task list was missed`() {
+    fun `an acknowledgement updates the last contact and shows whether a newer task list was missed`() {
         val other = MachineRegistry(listener) { nowMs }
         for (controller in listOf(registry, other)) {
             controller.apply(heartbeat(1, 1, ListedTask.RUNNING), StatusSource.HEARTBEAT)
@@ -121,9 +121,11 @@
         assertEquals(1, registry.of("m-1")?.sequence)
     }
 
-    /** Guard: `addDeletedName`; a late heartbeat would make a machine that is gone take work again. */
+    /**
+     * Guards `addDeletedName`: after a late heartbeat, tasks would be placed on a machine that does not exist any more.
+     */
     @Test
-    fun `a machine that is known to be deleted stays so when a late heartbeat comes`() {
+    fun `a machine that is known to be deleted stays deleted when a late heartbeat arrives`() {
         registry.addDeletedName("m-1")
         registry.apply(heartbeat(1, 1), StatusSource.HEARTBEAT)
         assertTrue(registry.of("m-1")?.deleted == true)
