--- a/src/main/kotlin/micatally/peer/CancellationBroadcast.kt
+++ b/src/main/kotlin/micatally/peer/CancellationBroadcast.kt
@@ -14,7 +14,10 @@
 import micatally.membership.Membership
 import micatally.wire.CancelledTaskList
 
-/** Makes cancellations known to all controllers, so that whichever hears a worker can stop its cancelled tasks. */
+/**
+ * Reports the tasks of cancelled jobs to all controllers, so that any controller that receives a worker's heartbeat can
+ * stop the cancelled tasks on it.
+ */
 class CancellationBroadcast internal constructor(
     private val connections: List<PeerConnection>,
     private val http: HttpCaller,
@@ -23,13 +26,15 @@
     private val jobManager: JobManager,
 ) {
     /**
-     * The time up to which this controller has learned of every cancellation from the other controllers themselves: each
-     * has listed its cancelled tasks in a response. Equal fencing tokens show that no shard has changed hands between the
-     * responses. While the state store is unavailable to all, this keeps the workers' leases alive as long as the
-     * controllers hear each other.
+     * The time up to which the peers have confirmed that this controller knows every cancellation, in milliseconds of
+     * the controller's clock. Each peer confirms it by listing its cancelled tasks in a response to a delta. All
+     * responses must carry the current fencing token, which shows that no shard has changed its leader between them.
      *
-     * [NEVER_MS] if there are no peers, this controller's shards are not loaded, or some peer has not confirmed under the
-     * present fencing token.
+     * While no controller reaches the state store, this lets controllers renew the workers' leases as long as all of
+     * them reach each other.
+     *
+     * [NEVER_MS] if there are no peers, if this controller's shards are not all loaded, or if some peer has not
+     * confirmed with the current fencing token.
      */
     fun confirmedByPeersAt(): Long {
         val fencingToken = membership.sharedKeys.fencingToken
@@ -39,8 +44,9 @@
     }
 
     /**
-     * Sends the tasks of a cancelled job to the controllers that have not confirmed them yet, and waits for the responses.
-     * Does nothing until the tasks are in the state store: see [micatally.job.Cancellations.mayConfirm].
+     * Sends the tasks of a cancelled job to the controllers that have not confirmed them yet, and waits for the
+     * responses. Does nothing until the tasks are in the state store; [micatally.job.Cancellations.mayConfirm] explains
+     * why.
      */
     suspend fun broadcastCancellation(job: Job) {
         if (job.publishedAt == null) return
@@ -63,7 +69,7 @@
     }
 
     /**
-     * Handles an encoded [CancelledTaskList] of a peer. The empty response confirms it.
+     * Handles an encoded [CancelledTaskList] from a peer. The response is empty; that it is sent confirms the list.
      *
      * @throws kotlinx.serialization.SerializationException if [body] is malformed
      */
--- a/src/main/kotlin/micatally/peer/DeltaSender.kt
+++ b/src/main/kotlin/micatally/peer/DeltaSender.kt
@@ -15,7 +15,7 @@
 import micatally.wire.PeerDeltaResponse
 import micatally.worker.MachineRegistry
 
-/** Builds the deltas for peers, sends them and takes in the responses. */
+/** Builds the deltas for peers, sends them and processes the responses. */
 internal class DeltaSender(
     private val http: HttpCaller,
     private val settings: Settings,
@@ -29,16 +29,19 @@
     private val localHeartbeats = LocalHeartbeats(machines, timings, nowMs)
     private val pendingDeletions = LinkedHashSet<String>()
 
-    /** Each machine may have a new status in each heartbeat interval, and all of them have to get through in that time. */
+    /**
+     * The most machine statuses in one delta. Every machine may have a new status in each heartbeat interval, so the
+     * deltas of one interval together have room for all machines.
+     */
     private val maxStatuses
-        get() = maxOf(MIN_STATUSES_PER_DELTA, machines.byName.size / PeerTimings.EXCHANGES_PER_HEARTBEAT)
+        get() = maxOf(MIN_STATUS_LIMIT, machines.byName.size / PeerTimings.EXCHANGES_PER_HEARTBEAT)
 
-    /** Asks the peers to have the machine deleted, with the next delta. */
+    /** Asks the peers, in the next delta, to have the machine deleted. */
     fun requestDeletion(machine: String) {
         pendingDeletions.add(machine)
     }
 
-    /** Whether a delta has to be sent to the peer now. */
+    /** Whether a delta is to be sent to the peer now. */
     fun isDeltaDue(connection: PeerConnection): Boolean =
         !connection.isExchanging && nowMs() >= connection.retryAt && hasChangesFor(connection)
 
@@ -51,9 +54,9 @@
     private fun areAcknowledgementsDue(connection: PeerConnection) =
         nowMs() - connection.acknowledgementsSentAt > timings.acknowledgementIntervalMs
 
-    /** Sends one delta and waits for the response. What a failed delta carried is due again. */
+    /** Sends one delta and waits for the response. If it fails, its contents are sent again with a later delta. */
     suspend fun sendDelta(connection: PeerConnection) {
-        // Taken out before the message leaves: what changes while it is in flight has to be sent again.
+        // Removed before the delta is sent, so that a machine that changes while it is in flight is added again.
         val changedMachines = connection.takeUnsentMachines(maxStatuses)
         val acknowledgements = if (areAcknowledgementsDue(connection)) localHeartbeats.recent() else emptyList()
         val deletions = pendingDeletions.toList()
@@ -102,7 +105,7 @@
     private companion object {
         const val HTTP_OK = 200
 
-        /** A delta carries at least so many machines; more in a large fleet, see [maxStatuses]. */
-        const val MIN_STATUSES_PER_DELTA = 100
+        /** The lower bound of [maxStatuses]. */
+        const val MIN_STATUS_LIMIT = 100
     }
 }
--- a/src/main/kotlin/micatally/peer/LocalCapacitySummary.kt
+++ b/src/main/kotlin/micatally/peer/LocalCapacitySummary.kt
@@ -15,9 +15,9 @@
 import micatally.worker.MachineRegistry
 
 /**
- * What this controller holds on machines and which requests wait here.
+ * This controller's capacity summary: the capacity that it holds on machines, and its pending resource requests.
  *
- * Each change raises the [version], so that a peer which has an earlier version gets the changes only.
+ * Each change raises the [version], so that a peer with an earlier version is sent only the changes.
  */
 internal class LocalCapacitySummary(
     private val settings: Settings,
@@ -28,26 +28,29 @@
 ) {
     private class Entry(
         val held: HeldCapacity,
-        /** Version of the summary in which [held] changed last. */
+        /** The version of the summary in which [held] last changed. */
         val version: Long,
     )
 
-    /** By machine. A machine on which nothing is held any more keeps an empty entry, so that peers are sent the change. */
+    /** By machine. A machine whose capacity was released keeps an empty entry, so that peers are sent the release. */
     private val entries = HashMap<String, Entry>()
     private var demand: List<ResourceRequest> = emptyList()
 
-    /** Services that were submitted to this controller lately. */
+    /** Requests of the services that were recently submitted to this controller. */
     var recentServices: List<ResourceRequest> = emptyList()
         private set
 
-    /** Version of this summary; 0 until the controller first knows what it holds. */
+    /** The version of this summary; 0 until the first [refresh]. */
     var version = 0L
         private set
 
     /** Machines on which this controller holds anything. */
     val heldMachines: Set<String> get() = entries.filterValues { it.held.isHeld }.keys
 
-    /** Looks for changes and raises the [version] if there are any. To be called only while all shards are loaded. */
+    /**
+     * Updates the summary and raises the [version] if anything has changed. To be called only while all shards are
+     * loaded, because before that the controller does not know what it holds.
+     */
     fun refresh() {
         val nextVersion = version + 1
         var hasChanged = false
@@ -106,7 +109,7 @@
         return true
     }
 
-    /** What has changed since [baseVersion]; everything for 0. */
+    /** The changes since [baseVersion]; the full summary if it is 0. */
     fun changesSince(baseVersion: Long): CapacitySummary {
         val isFull = baseVersion == 0L
         val changed = entries.values.filter { it.version > baseVersion && (!isFull || it.held.isHeld) }
@@ -121,7 +124,10 @@
         )
     }
 
-    /** What a stored partition says, for comparison: a partition that says the same as before is not written again. */
+    /**
+     * The contents of a stored partition, to be compared with those last written: unchanged partitions are not written
+     * again.
+     */
     fun contentOf(
         partitionIndex: Int,
         machineNames: List<String>,
@@ -132,7 +138,7 @@
         val demand: List<ResourceRequest>?,
     )
 
-    /** The partition of the stored summary that holds these machines. The first one carries the demand as well. */
+    /** The partition of the stored summary that holds these machines. The first one also holds the demand. */
     fun partition(
         machineNames: List<String>,
         partitionIndex: Int,
@@ -150,7 +156,7 @@
 
     private fun heldOn(machineNames: List<String>) = machineNames.mapNotNull { entries[it]?.held }
 
-    /** The first requests, as many as fit in half a value. */
+    /** As many requests, from the first on, as fit in half of a stored value. */
     private fun demandThatFits(): List<ResourceRequest> {
         val maxBytes = settings.valueBytes * BASE64_BYTES / BASE64_CHARACTERS / 2
         var bytes = 0
@@ -161,7 +167,7 @@
     }
 
     private companion object {
-        /** Tag and length of a nested message. */
+        /** The size that is assumed for the tag and the length before a nested message. */
         const val NESTED_MESSAGE_OVERHEAD_BYTES = 4
     }
 }
--- a/src/main/kotlin/micatally/peer/PeerJobClient.kt
+++ b/src/main/kotlin/micatally/peer/PeerJobClient.kt
@@ -20,7 +20,8 @@
      * Sends a request about a job to the controller on [host].
      *
      * @param path [PeerPaths.QUERY_JOB] or [PeerPaths.CANCEL_JOB]
-     * @return null if there is no such peer, it gives no usable response in time, or it does not know the job
+     * @return the peer's response; null if there is no such peer, it gives no usable response in time, or it does not
+     *   know the job
      */
     suspend fun request(
         host: String,
--- a/src/main/kotlin/micatally/peer/PeerListener.kt
+++ b/src/main/kotlin/micatally/peer/PeerListener.kt
@@ -1,10 +1,12 @@
 package micatally.peer
 
-/** What the rest of the controller does about the deltas of peers. Called on the controller's thread; must not block. */
+/**
+ * Called when deltas from peers have been applied. The calls are made on the controller's thread and must not block.
+ */
 interface PeerListener {
-    /** A peer wants these machines deleted, because they are silent or fail what they start. */
+    /** A peer asks for the deletion of these machines, because their workers have been silent for too long. */
     fun deletionRequested(machines: List<String>)
 
-    /** A peer has sent a capacity summary or a newer status of a machine: placement may decide differently now. */
+    /** A peer has sent a capacity summary or a newer machine status, so placement may now decide differently. */
     fun clusterStateChanged()
 }
--- a/src/main/kotlin/micatally/peer/PeerPaths.kt
+++ b/src/main/kotlin/micatally/peer/PeerPaths.kt
@@ -1,16 +1,16 @@
 package micatally.peer
 
-/** Paths of the requests between controllers, all of them POST. Part of the protocol: they never change. */
+/** Paths of the requests between controllers, all of them POST. They are part of the protocol and never change. */
 object PeerPaths {
-    /** Body [micatally.wire.PeerDelta], response [micatally.wire.PeerDeltaResponse]. */
+    /** Sends a delta. Body [micatally.wire.PeerDelta], response [micatally.wire.PeerDeltaResponse]. */
     const val DELTA = "/peer/news"
 
-    /** Body [micatally.wire.CancelledTaskList], empty response. */
+    /** Reports tasks of a cancelled job. Body [micatally.wire.CancelledTaskList], empty response. */
     const val CANCELLED_TASKS = "/peer/kills"
 
-    /** Body [micatally.wire.PeerJobRequest], response [micatally.wire.PeerJobResponse]: the status of a job. */
+    /** Queries the status of a job. Body [micatally.wire.PeerJobRequest], response [micatally.wire.PeerJobResponse]. */
     const val QUERY_JOB = "/peer/query"
 
-    /** The same messages as [QUERY_JOB]: cancels a job. */
+    /** Cancels a job. Body and response are the same as for [QUERY_JOB]. */
     const val CANCEL_JOB = "/peer/cancel"
 }
--- a/src/main/kotlin/micatally/peer/Peers.kt
+++ b/src/main/kotlin/micatally/peer/Peers.kt
@@ -14,8 +14,8 @@
 import micatally.worker.MachineRegistry
 
 /**
- * The exchange between controllers: deltas with machine statuses and capacity summaries, cancellations, requests about jobs.
- * Summaries also go through the state store, for controllers that can't reach each other.
+ * The exchange between controllers: deltas with machine statuses and capacity summaries, cancellations, and requests
+ * about jobs. Summaries are also published in the state store, for controllers that can't reach each other.
  *
  * Confined to the controller's thread, as are all its parts.
  */
@@ -37,16 +37,16 @@
     private val peerSummaries = PeerCapacitySummaries(settings, membership, machines, nowMs)
     private val localHeartbeats = LocalHeartbeats(machines, timings, nowMs)
 
-    /** Which peers are in contact. */
+    /** Tells which peers are in contact. */
     val contacts = PeerContacts(connections, timings, nowMs)
 
-    /** Where the workers of a zone should report. */
+    /** Decides to which controller the workers of a zone should report. */
     val zoneRedirects = ZoneRedirects(settings, connections, timings, nowMs)
 
-    /** Cancellations, sent to and received from peers. */
+    /** Sends cancellations to peers and receives theirs. */
     val cancellations = CancellationBroadcast(connections, http, timings, membership, jobManager)
 
-    /** Requests to peers about jobs. */
+    /** Sends requests about jobs to peers. */
     val jobClient = PeerJobClient(http, settings)
     private val publisher = SummaryPublisher(connections, settings, timings, state, localSummary, localHeartbeats)
     private val storedSummaryReader = StoredSummaryReader(membership, machines, peerSummaries, settings)
@@ -54,27 +54,27 @@
     private val deltaReceiver =
         DeltaReceiver(connections, membership, machines, jobManager, peerSummaries, listener, nowMs)
 
-    /** Services that were submitted to any controller lately. */
+    /** Requests of the services that were recently submitted to any controller. */
     fun recentServices(): List<ResourceRequest> = localSummary.recentServices + peerSummaries.recentServices
 
-    /** Requests that wait at the other controllers. */
+    /** The pending resource requests of the other controllers. */
     fun peerDemand(): List<ResourceRequest> = peerSummaries.demand
 
-    /** A machine has become known: what the peers hold on it counts from now on. */
+    /** To be called when a machine has become known, so that the capacity that peers hold on it counts as used. */
     fun machineAdded(machine: Machine) = peerSummaries.machineAdded(machine)
 
-    /** The shared keys have changed. */
+    /** To be called when the shared keys have changed. */
     fun sharedKeysChanged() = peerSummaries.sharedKeysChanged()
 
-    /** A heartbeat received here showed something new: peers get the machine's status with the next delta. */
+    /** Has the machine's status sent to all peers in the next delta, because a heartbeat has changed it. */
     fun requestDelta(machine: Machine) {
         for (connection in connections) connection.addUnsentMachine(machine.name)
     }
 
-    /** Asks the peers to have the machine deleted: one of them may be the fleet manager. */
+    /** Asks the peers, one of which may be the fleet manager, to have the machine deleted. */
     fun requestDeletion(machine: String) = deltaSender.requestDeletion(machine)
 
-    /** Starts the exchange; called once, when all parts of the controller are wired. */
+    /** Starts the exchange. Called once, after all parts of the controller have been created. */
     fun start() {
         scope.launch { exchangeLoop() }
         scope.launch { publisher.run() }
@@ -84,8 +84,8 @@
         while (true) {
             delay(timings.exchangeIntervalMs)
             peerSummaries.removeOrphans()
-            // Before its shards are loaded a controller does not know what it holds, and an empty summary reads as free
-            // capacity.
+            // Before its shards are loaded the controller does not know what it holds. Peers would take an empty
+            // summary for free capacity.
             if (jobManager.settled) localSummary.refresh()
             for (connection in connections) if (deltaSender.isDeltaDue(connection)) startExchange(connection)
         }
@@ -109,6 +109,6 @@
      */
     fun receiveDelta(body: ByteArray): ByteArray = deltaReceiver.receiveDelta(body)
 
-    /** Summaries in the state store have changed under these keys. */
+    /** To be called when summaries in the state store have changed under these keys. */
     fun storedSummariesChanged(keys: Set<String>) = storedSummaryReader.storedSummariesChanged(keys)
 }
--- a/src/main/kotlin/micatally/peer/StoredSummaryReader.kt
+++ b/src/main/kotlin/micatally/peer/StoredSummaryReader.kt
@@ -11,7 +11,7 @@
 import micatally.wire.HeartbeatAcknowledgements
 import micatally.worker.MachineRegistry
 
-/** Takes in what peers publish in the state store for controllers that they can't reach directly. */
+/** Applies the summaries and heartbeat acknowledgements that peers publish in the state store for unreachable peers. */
 internal class StoredSummaryReader(
     private val membership: Membership,
     private val machines: MachineRegistry,
@@ -21,7 +21,10 @@
     private val localCapacityPrefix = Keys.CAPACITY + settings.host + "/"
     private val localHeartbeatsPrefix = Keys.HEARTBEATS + settings.host + "/"
 
-    /** The values of [keys] have changed in the state store. Keys of this controller and of other kinds are skipped. */
+    /**
+     * To be called when the values of these keys have changed in the state store. Keys of this controller and keys of
+     * other kinds are skipped.
+     */
     fun storedSummariesChanged(keys: Set<String>) {
         for (key in keys) {
             if (isCapacityOfPeer(key)) {
--- a/src/main/kotlin/micatally/peer/SummaryPartitions.kt
+++ b/src/main/kotlin/micatally/peer/SummaryPartitions.kt
@@ -11,24 +11,25 @@
 import micatally.wire.textOrNull
 import java.util.Base64
 
-/** Base64 turns so many bytes into [BASE64_CHARACTERS]. */
+/** Base64 encodes this many bytes as [BASE64_CHARACTERS] characters. */
 internal const val BASE64_BYTES = 3
 internal const val BASE64_CHARACTERS = 4
 
-/** The partition, of [partitionCount], that a machine belongs to. */
+/** The index of the partition, out of [partitionCount], that a machine belongs to. */
 internal fun partitionOf(
     machineName: String,
     partitionCount: Int,
 ) = Math.floorMod(machineName.hashCode(), partitionCount)
 
 /**
- * A list with entries by machine in the state store.
+ * A list in the state store with one entry for each machine.
  *
- * Values have a maximum size, so the list is split by a hash of the machine's name into as many partitions as it takes for
- * each to fit. Only partitions that have changed are written. The number of partitions never decreases.
+ * Stored values have a maximum size. The list is therefore split, by a hash of the machine's name, into as many
+ * partitions as are needed for each to fit in a value. Only partitions that have changed are written. The number of
+ * partitions never decreases.
  *
- * @param valueBytes the largest value that the state store takes
- * @param key prefix of the keys: a slash and the partition's index are appended
+ * @param valueBytes the size of the largest value that the state store accepts, in bytes
+ * @param key the prefix of the keys; a slash and the partition's index are appended to it
  */
 internal class SummaryPartitions(
     private val state: StateStoreClient,
@@ -38,20 +39,21 @@
     var partitionCount = 1
         private set
 
+    /** The index of the partition with which the next [write] begins. */
     private var nextPartition = 0
 
-    /** What each partition said when it was written last, by index. */
+    /** The contents of each partition when it was last written, by index. */
     private val writtenContents = HashMap<Int, Any>()
 
-    /** Makes all partitions due again, changed or not. */
+    /** Causes the next [write] to write unchanged partitions too. */
     fun forgetWritten() = writtenContents.clear()
 
     /**
-     * Writes up to [maxWrites] of the partitions that have changed, and waits for the state store.
+     * Writes up to [maxWrites] of the partitions that have changed, and waits for the responses of the state store.
      *
-     * @param machineNames machines in the list
-     * @param contentOf what a partition with these machines says, for comparison with what was written last
-     * @param encode the stored form of a partition with these machines; may be called several times for each
+     * @param machineNames the machines in the list
+     * @param contentOf returns the contents of a partition with these machines, for comparison with those last written
+     * @param encode returns the stored form of a partition with these machines; may be called several times for each
      */
     suspend fun write(
         machineNames: Collection<String>,
@@ -61,7 +63,7 @@
     ) {
         val partitions = split(machineNames, encode)
         var remainingWrites = maxWrites
-        // Round robin, so that each partition has its turn when only some may be written.
+        // Round robin, so that every partition is written in turn when only some may be written each time.
         val order = partitions.indices.sortedBy { Math.floorMod(it - nextPartition, partitions.size) }
         for (index in order) {
             val content = contentOf(index, partitions[index])
@@ -73,7 +75,9 @@
         }
     }
 
-    /** Doubles the number of partitions until each fits in a value or has a single machine. */
+    /**
+     * Splits the machines into partitions, doubling their number until each fits in a value or has a single machine.
+     */
     private fun split(
         machineNames: Collection<String>,
         encode: (partitionIndex: Int, machineNames: List<String>) -> ByteArray,
@@ -89,8 +93,9 @@
     }
 
     /**
-     * Returns whether the partition was stored. Its content changes while it waits for its turn, so it is encoded only when
-     * the request leaves. One that has outgrown its value is left to the next [write], when all are measured again.
+     * Writes one partition and returns whether it was stored. The partition is encoded only when the request is sent,
+     * because its contents may change while the request waits for the rate budget. If it no longer fits in a value by
+     * then, it is left to the next [write], which splits the list again.
      */
     private suspend fun writeOne(
         partitionIndex: Int,
@@ -104,10 +109,11 @@
         return result is TransactionResult.Applied
     }
 
-    /** Whether the bytes fit in a value as base64, with the JSON object around them. */
+    /** Whether the bytes fit in a value, encoded as base64 within a JSON object. */
     private fun fits(bytes: ByteArray) = bytes.size * BASE64_CHARACTERS / BASE64_BYTES + ENVELOPE_BYTES <= valueBytes
 
     companion object {
+        /** An upper bound for the size of the JSON object without the encoded bytes. */
         private const val ENVELOPE_BYTES = 64
         private const val BYTES_FIELD = "b"
 
--- a/src/main/kotlin/micatally/peer/SummaryPublisher.kt
+++ b/src/main/kotlin/micatally/peer/SummaryPublisher.kt
@@ -10,7 +10,10 @@
 import micatally.state.StateStoreClient
 import micatally.wire.HeartbeatAcknowledgements
 
-/** Writes this controller's capacity summary and heartbeat acknowledgements to the state store, for unreachable peers. */
+/**
+ * Publishes this controller's capacity summary and heartbeat acknowledgements in the state store, for unreachable
+ * peers.
+ */
 internal class SummaryPublisher(
     private val connections: List<PeerConnection>,
     private val settings: Settings,
@@ -23,7 +26,7 @@
     private val heartbeatPartitions = SummaryPartitions(state, settings.valueBytes, Keys.HEARTBEATS + settings.host)
     private var publishedVersion = 0L
 
-    /** Publishes twice a lease; does not return. */
+    /** Publishes every [PeerTimings.publishIntervalMs]; never returns. */
     suspend fun run() {
         while (true) {
             delay(timings.publishIntervalMs)
@@ -48,7 +51,8 @@
 
     private suspend fun publishHeartbeats() {
         val statuses = localHeartbeats.recent().associateBy { it.machine }
-        // While a peer can't be reached directly it needs the present age of each heartbeat, changed or not.
+        // A peer that is not reached directly needs the current age of every heartbeat, so unchanged partitions are
+        // written too.
         if (isAnyPeerUnreached()) heartbeatPartitions.forgetWritten()
         heartbeatPartitions.write(
             statuses.keys,
@@ -60,11 +64,12 @@
     }
 
     /**
-     * Partitions that may be written in one publication, half a lease. Peers that are reached get everything directly, so
-     * the partitions take a small share of the writes that this controller has; a larger one while a peer is not reached.
+     * The number of partitions that may be written in one publication interval, which is half a lease. While all peers
+     * are reached they receive everything directly, so the partitions get only a small share of this controller's
+     * writes to the state store. They get a larger share while some peer is not reached.
      */
     private fun maxWrites(): Int {
-        val writes = settings.stateWriteRps / settings.controllers * settings.leaseMs / MS_PER_PUBLICATION_SECOND
+        val writes = settings.stateWriteRps / settings.controllers * settings.leaseMs / LEASE_MS_PER_PUBLICATION_S
         val share = if (isAnyPeerUnreached()) WRITE_SHARE_UNREACHED else WRITE_SHARE
         return maxOf(1, (writes * share).toInt())
     }
@@ -72,11 +77,15 @@
     private fun isAnyPeerUnreached() = connections.any { it.failuresInRow > 1 }
 
     private companion object {
-        /** Turns a lease in milliseconds into the seconds of the half of it. */
-        const val MS_PER_PUBLICATION_SECOND = 2000
+        /** A lease in milliseconds divided by this is half the lease, the publication interval, in seconds. */
+        const val LEASE_MS_PER_PUBLICATION_S = 2000
 
-        /** Shares of this controller's writes to the state store that summaries may take. */
+        /**
+         * The share of this controller's writes to the state store that summaries may use while all peers are reached.
+         */
         const val WRITE_SHARE = 0.125
+
+        /** The share while some peer is not reached. */
         const val WRITE_SHARE_UNREACHED = 0.5
     }
 }
--- a/src/main/kotlin/micatally/peer/ZoneRedirects.kt
+++ b/src/main/kotlin/micatally/peer/ZoneRedirects.kt
@@ -12,10 +12,12 @@
     private val stepsToNextInZone: Map<String, Int> = stepsToNextInZone()
 
     /**
-     * The best of the controllers of [zone] that are in contact; null if there is none.
+     * The best controller for the workers of [zone], among those of the zone that are in contact; null if there is
+     * none.
      *
-     * A worker whose controller fails tries the next hosts in turn. In a partition each host of another zone costs it half
-     * its lease. So the best controller is the one from which the next host of the same zone is the fewest steps away.
+     * A worker whose controller fails tries the next hosts in the order of their names. In a network partition each
+     * host of another zone costs the worker half its lease. So the best controller is the one that is followed soonest
+     * by another host of the same zone.
      */
     fun bestControllerFor(zone: String): String? {
         val peersInZone =
@@ -29,13 +31,13 @@
     private fun isInContact(connection: PeerConnection) =
         connection.failuresInRow == 0 && nowMs() - connection.stateStoreContactAt < timings.stateStoreContactMs
 
-    /** For each host, how many steps on in the order of hosts the next one of its zone comes. */
+    /** For each host, the number of steps to the next host of its zone in the circular order of host names. */
     private fun stepsToNextInZone(): Map<String, Int> {
         val zonesByHost = settings.peers.map { it.host to it.zone } + (settings.host to settings.zone)
-        val ring = zonesByHost.sortedBy { (host, _) -> host }
-        return ring.withIndex().associate { (index, entry) ->
+        val hosts = zonesByHost.sortedBy { (host, _) -> host }
+        return hosts.withIndex().associate { (index, entry) ->
             val (host, zone) = entry
-            host to (1..ring.size).first { step -> ring[(index + step) % ring.size].second == zone }
+            host to (1..hosts.size).first { step -> hosts[(index + step) % hosts.size].second == zone }
         }
     }
 }
--- a/src/test/kotlin/micatally/peer/SummaryPartitionsTest.kt
+++ b/src/test/kotlin/micatally/peer/SummaryPartitionsTest.kt
@@ -14,13 +14,13 @@
 @OptIn(ExperimentalCoroutinesApi::class)
 class SummaryPartitionsTest {
     private val valueBytes = 2048
-    private val sent = ArrayList<Int>()
+    private val writtenSizes = ArrayList<Int>()
     private val machines = List(20) { "m-%06d".format(it) }
 
     private fun TestScope.partitions(): SummaryPartitions {
         val http =
             HttpCaller { _, _, _, body, _ ->
-                sent.add(body!!.size)
+                writtenSizes.add(body!!.size)
                 Outcome.Answer(200, "{\"odometer\":1}".encodeToByteArray())
             }
 
@@ -29,7 +29,7 @@
     }
 
     @Test
-    fun `a list goes in as many partitions as fit, and only those that have changed are written again`() =
+    fun `a list is split until each partition fits, and only changed partitions are written again`() =
         runTest {
             val partitions = partitions()
             val write =
@@ -40,26 +40,28 @@
                 }
             write()
             assertTrue(partitions.partitionCount > 1)
-            assertTrue(sent.all { it < valueBytes }, "$sent")
-            val first = sent.size
+            assertTrue(writtenSizes.all { it < valueBytes }, "$writtenSizes")
+            val firstWrites = writtenSizes.size
             write()
-            assertEquals(first, sent.size)
+            assertEquals(firstWrites, writtenSizes.size)
             partitions.forgetWritten()
             write()
-            assertEquals(first * 2, sent.size)
+            assertEquals(firstWrites * 2, writtenSizes.size)
         }
 
-    /** Found with 4,000 workers: a summary that had fitted grew while it waited for its turn, and the state service refused
-     * it as too large. Guard: it is measured again in [SummaryPartitions.write] when it leaves. */
+    /**
+     * With 4,000 workers a summary that fitted in a value grew while its request waited, and the state store refused it
+     * as too large. [SummaryPartitions.write] therefore checks the size again when the request is sent.
+     */
     @Test
-    fun `a partition that has grown beyond a value while it waited is left to the next time`() =
+    fun `a partition that outgrows a value while its request waits is left to the next write`() =
         runTest {
             val partitions = partitions()
             var encoded = 0
             val growing = { _: Int, _: List<String> -> ByteArray(if (encoded++ == 0) 100 else valueBytes) }
             partitions.write(machines.take(2), 100, { _, names -> names }, growing)
-            assertEquals(emptyList<Int>(), sent)
+            assertEquals(emptyList<Int>(), writtenSizes)
             partitions.write(machines.take(2), 100, { _, names -> names }) { _, _ -> ByteArray(100) }
-            assertEquals(1, sent.size, "it counts as not written")
+            assertEquals(1, writtenSizes.size, "it counts as not written")
         }
 }
