--- a/src/main/kotlin/micatally/fleet/MachineProber.kt
+++ b/src/main/kotlin/micatally/fleet/MachineProber.kt
@@ -71,7 +71,7 @@
         answer: Outcome.Answer,
     ) {
         if (answer.status != OK) return
-        machine.mute = 0
+        machine.unansweredProbesInRow = 0
         machine.dark = 0
         machines.apply(Heartbeat.parse(parseObject(answer.body)), StatusSource.HEARTBEAT)
     }
@@ -79,7 +79,7 @@
     private fun recordSilence(machine: Machine) {
         machine.dark = 0
         // The first probe may have used a connection from before; the second has made a new one.
-        if (++machine.mute >= PROBES_TO_NEW_CONNECTION) machine.connectedAt = nowMs()
+        if (++machine.unansweredProbesInRow >= PROBES_TO_NEW_CONNECTION) machine.connectedAt = nowMs()
     }
 
     /** A refused connection fails at once, and shows a running system; one that hangs takes the whole timeout. */
@@ -87,7 +87,7 @@
         machine: Machine,
         tookMs: Long,
     ) {
-        machine.mute = 0
+        machine.unansweredProbesInRow = 0
         if (tookMs >= hungAfterMs) machine.dark++ else machine.dark = 0
     }
 
--- a/src/main/kotlin/micatally/worker/Machine.kt
+++ b/src/main/kotlin/micatally/worker/Machine.kt
@@ -85,7 +85,7 @@
     var probedAt = LONG_AGO
 
     /** The number of probes in a row that the machine received without a response. */
-    var mute = 0
+    var unansweredProbesInRow = 0
 
     /** When the machine last accepted a new connection and gave no response. A machine without power accepts none. */
     var connectedAt = LONG_AGO
