--- a/src/main/kotlin/micatally/fleet/MachineFailureDetector.kt
+++ b/src/main/kotlin/micatally/fleet/MachineFailureDetector.kt
@@ -101,7 +101,7 @@
         zones: Map<String, ZoneView>,
         now: Long,
     ): List<String> {
-        val suspected = machines.byName.values.filter { it.dark > 0 && !it.deleted }
+        val suspected = machines.byName.values.filter { it.hungConnections > 0 && !it.deleted }
         for (zone in suspected.mapTo(HashSet()) { it.zone }) probeResponsiveMachine(zone, now)
         val poweredOff = suspected.filter { isPoweredOff(it, zones[it.zone], now) }
         for (machine in poweredOff) {
@@ -121,7 +121,7 @@
         val isZoneReached = now - machines.reachedAt(machine.zone) < settings.heartbeatIntervalMs
         val isZoneResponsive = zone == null || zone.unresponsive <= zone.responsive
         val isUnresponsive = now - machine.heardAt > probeAfterMs
-        return machine.dark >= MIN_HUNG_CONNECTIONS && isZoneReached && isZoneResponsive && isUnresponsive
+        return machine.hungConnections >= MIN_HUNG_CONNECTIONS && isZoneReached && isZoneResponsive && isUnresponsive
     }
 
     /** With few workers here, none may have reported for a while: one that is responsive is probed, to see whether any is reached. */
@@ -137,7 +137,7 @@
     private fun isResponsive(
         machine: Machine,
         now: Long,
-    ) = !machine.deleted && machine.dark == 0 && now - machine.heardAt < probeAfterMs
+    ) = !machine.deleted && machine.hungConnections == 0 && now - machine.heardAt < probeAfterMs
 
     private fun findUnreachable(
         zones: Map<String, ZoneView>,
--- a/src/main/kotlin/micatally/fleet/MachineProber.kt
+++ b/src/main/kotlin/micatally/fleet/MachineProber.kt
@@ -72,12 +72,12 @@
     ) {
         if (answer.status != OK) return
         machine.unansweredProbesInRow = 0
-        machine.dark = 0
+        machine.hungConnections = 0
         machines.apply(Heartbeat.parse(parseObject(answer.body)), StatusSource.HEARTBEAT)
     }
 
     private fun recordSilence(machine: Machine) {
-        machine.dark = 0
+        machine.hungConnections = 0
         // The first probe may have used a connection from before; the second has made a new one.
         if (++machine.unansweredProbesInRow >= PROBES_TO_NEW_CONNECTION) machine.connectedAt = nowMs()
     }
@@ -88,7 +88,7 @@
         tookMs: Long,
     ) {
         machine.unansweredProbesInRow = 0
-        if (tookMs >= hungAfterMs) machine.dark++ else machine.dark = 0
+        if (tookMs >= hungAfterMs) machine.hungConnections++ else machine.hungConnections = 0
     }
 
     private companion object {
--- a/src/main/kotlin/micatally/worker/Machine.kt
+++ b/src/main/kotlin/micatally/worker/Machine.kt
@@ -91,7 +91,7 @@
     var connectedAt = LONG_AGO
 
     /** The number of connection attempts in a row that hung. */
-    var dark = 0
+    var hungConnections = 0
 
     /** When the cloud will reclaim the machine; null if it has given no notice. */
     var spotNoticeAt: Long? = null
