--- a/src/main/kotlin/micatally/fleet/MachineFailureDetector.kt
+++ b/src/main/kotlin/micatally/fleet/MachineFailureDetector.kt
@@ -88,7 +88,7 @@
         val usualMs = if (wasControllerUnreachable) controllerLostMs else unreachableMs
         // A machine that accepts connections and does not answer hangs and may go on soon: its tasks are lost by then, but not
         // its images, and fetching those takes longer than the wait.
-        val isHung = now - machine.connectedAt < settings.leaseMs / 2
+        val isHung = now - machine.unansweredConnectionAt < settings.leaseMs / 2
         return if (isHung) maxOf(usualMs, hungMs) else usualMs
     }
 
--- a/src/main/kotlin/micatally/fleet/MachineProber.kt
+++ b/src/main/kotlin/micatally/fleet/MachineProber.kt
@@ -79,7 +79,7 @@
     private fun recordSilence(machine: Machine) {
         machine.hungConnections = 0
         // The first probe may have used a connection from before; the second has made a new one.
-        if (++machine.unansweredProbesInRow >= PROBES_TO_NEW_CONNECTION) machine.connectedAt = nowMs()
+        if (++machine.unansweredProbesInRow >= PROBES_TO_NEW_CONNECTION) machine.unansweredConnectionAt = nowMs()
     }
 
     /** A refused connection fails at once, and shows a running system; one that hangs takes the whole timeout. */
--- a/src/main/kotlin/micatally/worker/Machine.kt
+++ b/src/main/kotlin/micatally/worker/Machine.kt
@@ -88,7 +88,7 @@
     var unansweredProbesInRow = 0
 
     /** When the machine last accepted a new connection and gave no response. A machine without power accepts none. */
-    var connectedAt = LONG_AGO
+    var unansweredConnectionAt = LONG_AGO
 
     /** The number of connection attempts in a row that hung. */
     var hungConnections = 0
