--- a/src/main/kotlin/micatally/job/FaultJudgement.kt
+++ b/src/main/kotlin/micatally/job/FaultJudgement.kt
@@ -32,7 +32,7 @@
             return
         }
         val runsElsewhere = health.hasSucceeded && !isProven
-        val isNewlyFaulty = attempt.machine.health.accuse(job.jobId, runsElsewhere, nowMs, memoryMs)
+        val isNewlyFaulty = attempt.machine.health.recordFailure(job.jobId, runsElsewhere, nowMs, memoryMs)
         if (isNewlyFaulty) log.info("machine {} fails what it starts", attempt.machine.name)
     }
 
--- a/src/main/kotlin/micatally/worker/MachineHealth.kt
+++ b/src/main/kotlin/micatally/worker/MachineHealth.kt
@@ -39,7 +39,7 @@
      *   one
      * @return true if this failure excludes the machine
      */
-    fun accuse(
+    fun recordFailure(
         job: String,
         runsElsewhere: Boolean,
         nowMs: Long,
