--- a/src/main/kotlin/micatally/job/FaultJudgement.kt
+++ b/src/main/kotlin/micatally/job/FaultJudgement.kt
@@ -86,7 +86,7 @@
         )
         for (name in job.health.machines) {
             val machine = machines.of(name) ?: continue
-            val isCleared = machine.health.cancel(job.jobId)
+            val isCleared = machine.health.withdrawFailures(job.jobId)
             if (isCleared) log.info("machine {} is used again: it was {} that failed", name, job.jobId)
         }
     }
--- a/src/main/kotlin/micatally/worker/MachineHealth.kt
+++ b/src/main/kotlin/micatally/worker/MachineHealth.kt
@@ -68,7 +68,7 @@
      *
      * @return true if this ends the machine's exclusion
      */
-    fun cancel(job: String): Boolean {
+    fun withdrawFailures(job: String): Boolean {
         failedAtMs.remove(job)
         val isRemoved = excludedBy.remove(job)
         val isStillExcluded = excludedBy.size >= REQUIRED_FAILED_JOBS
