--- a/src/main/kotlin/micatally/job/Cancellations.kt
+++ b/src/main/kotlin/micatally/job/Cancellations.kt
@@ -42,7 +42,7 @@
     fun begin(job: Job) {
         pending.add(job)
         // Machines that no command reaches may still report here.
-        cancelledTasks.take(job.cancelledTasks())
+        cancelledTasks.add(job.cancelledTasks())
     }
 
     /**
@@ -91,7 +91,7 @@
                 sharedKeys.value(Keys.cancelledTasksPart(jobId, it))
                     ?: return
             }
-        cancelledTasks.take(CancelledTasksValue.decode(jobId, RecordPacking.unpack(main, parts)))
+        cancelledTasks.add(CancelledTasksValue.decode(jobId, RecordPacking.unpack(main, parts)))
     }
 
     /**
--- a/src/main/kotlin/micatally/job/JobAdoption.kt
+++ b/src/main/kotlin/micatally/job/JobAdoption.kt
@@ -38,7 +38,7 @@
     private fun noteCancelledTasks(record: ShardRecord) {
         if (record.plain == null || record.stored.state != JobState.CANCELLED) return
         val tasks = record.plain.attempts
-        cancellations.cancelledTasks.take(
+        cancellations.cancelledTasks.add(
             tasks.map { CancelledTask(it.machine.name, record.jobId, it.taskIndex, it.number) },
         )
     }
--- a/src/main/kotlin/micatally/peer/CancellationBroadcast.kt
+++ b/src/main/kotlin/micatally/peer/CancellationBroadcast.kt
@@ -75,7 +75,7 @@
      */
     fun receiveCancellation(body: ByteArray): ByteArray {
         val list = ProtoBuf.decodeFromByteArray<CancelledTaskList>(body)
-        jobManager.cancellations.cancelledTasks.take(list.cancelledTasks)
+        jobManager.cancellations.cancelledTasks.add(list.cancelledTasks)
         return ByteArray(0)
     }
 
--- a/src/main/kotlin/micatally/peer/DeltaSender.kt
+++ b/src/main/kotlin/micatally/peer/DeltaSender.kt
@@ -79,7 +79,7 @@
         connection.resetFailures()
         val response = ProtoBuf.decodeFromByteArray<PeerDeltaResponse>(outcome.body)
         connection.acknowledgedSummaryVersion = if (response.needsFullSummary) 0 else summaryVersion
-        jobManager.cancellations.cancelledTasks.take(response.cancelledTasks)
+        jobManager.cancellations.cancelledTasks.add(response.cancelledTasks)
         connection.exchangeSucceeded(sentAt, response.fencingToken)
         if (acknowledgements.isNotEmpty()) connection.acknowledgementsSentAt = sentAt
         pendingDeletions.removeAll(deletions.toSet())
--- a/src/main/kotlin/micatally/worker/CancelledTasks.kt
+++ b/src/main/kotlin/micatally/worker/CancelledTasks.kt
@@ -18,7 +18,7 @@
     private val keptUntilMs = HashMap<String, HashMap<AttemptId, Long>>()
 
     /** Adds the tasks, or renews their entries. */
-    fun take(cancelledTasks: List<CancelledTask>) {
+    fun add(cancelledTasks: List<CancelledTask>) {
         val untilMs = nowMs() + keepMs
         for (task in cancelledTasks) {
             val untilMsByAttempt = keptUntilMs.getOrPut(task.machine) { HashMap() }
--- a/src/test/kotlin/micatally/worker/CommandPlannerTest.kt
+++ b/src/test/kotlin/micatally/worker/CommandPlannerTest.kt
@@ -168,7 +168,7 @@
     @Test
     fun `a cancellation that another controller has reported stops the attempt`() {
         val attempt = attempt(AttemptState.RUNNING, sentAt = nowMs)
-        cancelledTasks.take(listOf(CancelledTask("m-1", JOB, 0, 1)))
+        cancelledTasks.add(listOf(CancelledTask("m-1", JOB, 0, 1)))
         assertEquals(listOf("KILL 0#1"), commands())
         assertEquals(StopReason.CANCELLED, attempt.stop)
     }
