--- a/src/main/kotlin/micatally/fleet/MachineFailureDetector.kt
+++ b/src/main/kotlin/micatally/fleet/MachineFailureDetector.kt
@@ -114,7 +114,7 @@
         val usualMs = if (wasControllerUnreachable) controllerOutageSilenceLimitMs else usualSilenceLimitMs
         // A machine that accepts connections but does not respond hangs, and may resume soon. Its tasks are lost by
         // then, but its images are not, and pulling those again takes longer than the wait.
-        val isHung = now - machine.connectedAt < settings.leaseMs / 2
+        val isHung = now - machine.unansweredConnectionAt < settings.leaseMs / 2
         return if (isHung) maxOf(usualMs, hungSilenceLimitMs) else usualMs
     }
 
@@ -128,7 +128,7 @@
         zones: Map<String, ZoneView>,
         now: Long,
     ): List<String> {
-        val suspected = machines.byName.values.filter { it.dark > 0 && !it.deleted }
+        val suspected = machines.byName.values.filter { it.hungConnections > 0 && !it.deleted }
         for (zone in suspected.mapTo(HashSet()) { it.zone }) probeResponsiveMachine(zone, now)
         val poweredOff = suspected.filter { isPoweredOff(it, zones[it.zone], now) }
         for (machine in poweredOff) {
@@ -148,7 +148,7 @@
         val isZoneReached = now - machines.reachedAt(machine.zone) < settings.heartbeatIntervalMs
         val isZoneResponsive = zone == null || zone.unresponsive <= zone.responsive
         val isUnresponsive = now - machine.heardAt > probeAfterMs
-        return machine.dark >= MIN_HUNG_CONNECTIONS && isZoneReached && isZoneResponsive && isUnresponsive
+        return machine.hungConnections >= MIN_HUNG_CONNECTIONS && isZoneReached && isZoneResponsive && isUnresponsive
     }
 
     /**
@@ -168,7 +168,7 @@
     private fun isResponsive(
         machine: Machine,
         now: Long,
-    ) = !machine.deleted && machine.dark == 0 && now - machine.heardAt < probeAfterMs
+    ) = !machine.deleted && machine.hungConnections == 0 && now - machine.heardAt < probeAfterMs
 
     /**
      * Names of the machines that have been silent for too long. In a zone that looks partitioned, the limit is
--- a/src/main/kotlin/micatally/fleet/MachineProber.kt
+++ b/src/main/kotlin/micatally/fleet/MachineProber.kt
@@ -78,16 +78,16 @@
         answer: Outcome.Answer,
     ) {
         if (answer.status != OK) return
-        machine.mute = 0
-        machine.dark = 0
+        machine.unansweredProbesInRow = 0
+        machine.hungConnections = 0
         machines.apply(Heartbeat.parse(parseObject(answer.body)), StatusSource.HEARTBEAT)
     }
 
     /** The connection was accepted, but no usable response came. */
     private fun recordSilence(machine: Machine) {
-        machine.dark = 0
+        machine.hungConnections = 0
         // The first probe may have reused an old connection. The second one has opened a new one.
-        if (++machine.mute >= PROBES_TO_NEW_CONNECTION) machine.connectedAt = nowMs()
+        if (++machine.unansweredProbesInRow >= PROBES_TO_NEW_CONNECTION) machine.unansweredConnectionAt = nowMs()
     }
 
     /**
@@ -98,8 +98,8 @@
         machine: Machine,
         tookMs: Long,
     ) {
-        machine.mute = 0
-        if (tookMs >= hungAfterMs) machine.dark++ else machine.dark = 0
+        machine.unansweredProbesInRow = 0
+        if (tookMs >= hungAfterMs) machine.hungConnections++ else machine.hungConnections = 0
     }
 
     private companion object {
--- a/src/main/kotlin/micatally/job/Cancellations.kt
+++ b/src/main/kotlin/micatally/job/Cancellations.kt
@@ -48,7 +48,7 @@
     fun begin(job: Job) {
         trackedJobs.add(job)
         // A machine that can't be reached by commands may still send heartbeats here.
-        cancelledTasks.take(job.cancelledTasks())
+        cancelledTasks.add(job.cancelledTasks())
     }
 
     /**
@@ -107,7 +107,7 @@
                 sharedKeys.value(Keys.cancelledTasksPart(jobId, it))
                     ?: return
             }
-        cancelledTasks.take(CancelledTasksValue.decode(jobId, RecordPacking.unpack(main, parts)))
+        cancelledTasks.add(CancelledTasksValue.decode(jobId, RecordPacking.unpack(main, parts)))
     }
 
     /**
--- a/src/main/kotlin/micatally/job/FaultJudgement.kt
+++ b/src/main/kotlin/micatally/job/FaultJudgement.kt
@@ -39,7 +39,7 @@
             return
         }
         val runsElsewhere = health.hasSucceeded && !isMachineProven
-        val isNewlyFaulty = attempt.machine.health.accuse(job.jobId, runsElsewhere, nowMs, memoryMs)
+        val isNewlyFaulty = attempt.machine.health.recordFailure(job.jobId, runsElsewhere, nowMs, memoryMs)
         if (isNewlyFaulty) log.info("machine {} fails what it starts", attempt.machine.name)
     }
 
@@ -101,7 +101,7 @@
         )
         for (name in job.health.machines) {
             val machine = machines.of(name) ?: continue
-            val isCleared = machine.health.cancel(job.jobId)
+            val isCleared = machine.health.withdrawFailures(job.jobId)
             if (isCleared) log.info("machine {} is used again: its failures were those of job {}", name, job.jobId)
         }
     }
