--- a/src/main/kotlin/micatally/api/WorkerApi.kt
+++ b/src/main/kotlin/micatally/api/WorkerApi.kt
@@ -40,7 +40,7 @@
      *
      * Answers 200 with the tasks to be killed, 421 with the controller to report to instead, or 400.
      */
-    fun report(request: HttpRequest): HttpResponse {
+    fun handleHeartbeat(request: HttpRequest): HttpResponse {
         val heartbeat =
             try {
                 Heartbeat.parse(parseObject(request.body))
--- a/src/main/kotlin/micatally/controller/UserWorkerRouter.kt
+++ b/src/main/kotlin/micatally/controller/UserWorkerRouter.kt
@@ -19,7 +19,9 @@
         val path = request.path
         return when {
             path == HEARTBEAT ->
-                withMethod("POST", request) { cpuUsage.of(CpuUsage.Kind.HEARTBEATS) { workers.report(request) } }
+                withMethod("POST", request) {
+                    cpuUsage.of(CpuUsage.Kind.HEARTBEATS) { workers.handleHeartbeat(request) }
+                }
             path == HEALTH -> users.health()
             path == JOBS -> withMethod("POST", request) { users.submit(request) }
             path.startsWith(JOB_PREFIX) -> routeJob(path.removePrefix(JOB_PREFIX), request)
