--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -62,13 +62,14 @@
 import kotlin.random.Random
 
 /**
- * One controller: creates all parts and connects them. Requests leave through the [HttpCaller], and time and
- * randomness come from outside, so that several controllers can run in one simulation. All calls have to come from
- * the coroutine scope's one thread.
+ * One controller: creates all its parts and connects them. Outgoing requests, the clocks and the random numbers are
+ * passed in, so that several controllers can run in one simulation. All functions must be called on the single thread
+ * of [scope].
  *
- * @param nowMs the controller's monotonic clock in milliseconds
- * @param wallMs the time of day, in milliseconds since 1970
- * @param nowNs a monotonic clock in nanoseconds, only for the measurement of CPU usage
+ * @param http sends all requests of this controller
+ * @param nowMs the controller's monotonic clock, in milliseconds
+ * @param wallMs the wall clock, in milliseconds since 1970
+ * @param nowNs a monotonic clock in nanoseconds, used only to measure CPU usage
  */
 class Controller(
     private val scope: CoroutineScope,
@@ -83,7 +84,7 @@
     private val cpuUsage = CpuUsage(nowNs)
     private val budgets = RequestBudgets(scope, settings, nowMs)
     private val stateTimeoutMs = settings.leaseMs / STATE_TIMEOUTS_PER_LEASE
-    private val state =
+    private val stateStore =
         StateStoreClient(
             http,
             settings.stateAddr,
@@ -91,7 +92,7 @@
             budgets.stateWrites,
             stateTimeoutMs,
         )
-    private val cloud =
+    private val cloudClient =
         CloudClient(
             http,
             settings.cloudAddr,
@@ -99,12 +100,12 @@
             settings.leaseMs / CLOUD_TIMEOUTS_PER_LEASE,
         )
 
-    /** Leases, the fencing token and this controller's copy of the shared keys. */
+    /** This controller's lease, the shards that it leads, the fencing token and its copy of the shared keys. */
     val membership =
         Membership(
             scope,
             settings,
-            state,
+            stateStore,
             random,
             nowMs,
             movesRecords = operator.archiveMode == ArchiveMode.ON,
@@ -114,24 +115,25 @@
 
     /** All machines that this controller knows of. */
     val machines = MachineRegistry(machineListener(), nowMs)
-    private val wantedFormat =
+    private val targetFormat =
         if (operator.storesTeams) FormatVersion.STORED_TEAMS else FormatVersion.PACKED_RECORDS
-    private val upgrade = Upgrade(scope, settings, state, membership.sharedKeys, wantedFormat) { recordFormatRaised() }
+    private val upgrade =
+        Upgrade(scope, settings, stateStore, membership.sharedKeys, targetFormat) { recordFormatRaised() }
 
-    /** The teams and their limits, as they are in force. */
+    /** The teams and their limits that are in force, and the requests to change them. */
     val configuration =
-        ConfigurationService(scope, settings, state, membership, upgrade, http, nowMs, wallMs) { former, next ->
+        ConfigurationService(scope, settings, stateStore, membership, upgrade, http, nowMs, wallMs) { former, next ->
             configurationApplied(former, next)
         }
-    private val forms = RecordForms(settings.stateLimits) { upgrade.isUniform }
+    private val recordForms = RecordForms(settings.stateLimits) { upgrade.isUniform }
     private val archive: RecordArchive =
-        RecordArchive(scope, settings, state, membership, operator.archiveMode, loadedShards())
-    private val lookup = RecordLookup(state) { archive.mayBeUsed }
-    private val store =
+        RecordArchive(scope, settings, stateStore, membership, operator.archiveMode, loadedShards())
+    private val recordLookup = RecordLookup(stateStore) { archive.mayBeUsed }
+    private val jobStore =
         JobStore(
             scope,
-            state,
-            forms,
+            stateStore,
+            recordForms,
             settings.heartbeatIntervalMs / WRITE_RETRIES_PER_HEARTBEAT,
             settings.leaseMs / COUNT_WRITES_PER_LEASE,
             jobStoreListener(),
@@ -141,7 +143,16 @@
 
     /** The jobs of the shards that this controller leads. */
     val jobManager: JobManager =
-        JobManager(scope, settings, state, membership, machines, store, Clock(nowMs, wallMs), jobCollaborators())
+        JobManager(
+            scope,
+            settings,
+            stateStore,
+            membership,
+            machines,
+            jobStore,
+            Clock(nowMs, wallMs),
+            jobCollaborators(),
+        )
     private val dispatcher: CommandDispatcher =
         CommandDispatcher(
             scope,
@@ -156,7 +167,7 @@
     private val quota: Quota =
         Quota(
             scope,
-            state,
+            stateStore,
             membership.sharedKeys,
             configuration.teams,
             { jobManager.shards.values.filter { it.isLedHere } },
@@ -169,49 +180,52 @@
             scope,
             settings,
             ClusterView(settings, machines) { peers.peerDemand() },
-            PlacementActions(jobManager, store, quota, dispatcher),
+            PlacementActions(jobManager, jobStore, quota, dispatcher),
             priorityQueues(operator),
-            { state.waitingWrites == 0 && state.get(Keys.FENCING_TOKEN, Urgency.SUMMARY) is ReadResult.Found },
+            {
+                stateStore.waitingWrites == 0 &&
+                    stateStore.get(Keys.FENCING_TOKEN, Urgency.SUMMARY) is ReadResult.Found
+            },
             cpuUsage,
             nowMs,
         )
     private val peers: Peers =
-        Peers(scope, http, settings, state, membership, machines, jobManager, scheduler, peerListener(), nowMs)
-    private val reach = WorkerReach(scope, http, settings, machines, nowMs)
+        Peers(scope, http, settings, stateStore, membership, machines, jobManager, scheduler, peerListener(), nowMs)
+    private val workerReach = WorkerReach(scope, http, settings, machines, nowMs)
     private val fleetManager =
         FleetManager(
             scope,
             settings,
             operator,
-            FleetClients(http, state, cloud),
+            FleetClients(http, stateStore, cloudClient),
             membership,
             machines,
             ControllerWorkload(scheduler, peers),
             nowMs,
         )
-    private val reads = RecordReads(lookup, budgets.userReads, budgets.maxWaitingUserReads, stateTimeoutMs)
-    private val users = userApi()
-    private val workers =
+    private val recordReads = RecordReads(recordLookup, budgets.userReads, budgets.maxWaitingUserReads, stateTimeoutMs)
+    private val userApi = createUserApi()
+    private val workerApi =
         WorkerApi(settings, membership, machines, peers, jobManager.cancellations.cancelledTasks, nowMs)
     private val sharedKeyEvents = SharedKeyEvents(membership.sharedKeys, machines, jobManager, quota)
-    private val userWorkerRouter = UserWorkerRouter(users, workers, cpuUsage)
-    private val peerRouter = PeerRouter(peers, users, configuration, cpuUsage)
+    private val userWorkerRouter = UserWorkerRouter(userApi, workerApi, cpuUsage)
+    private val peerRouter = PeerRouter(peers, userApi, configuration, cpuUsage)
 
-    /** The operators' bounds are in leases, the queues' in seconds. */
+    /** Converts the operator's queue bounds from multiples of a worker's lease to seconds. */
     private fun priorityQueues(operator: Operator): PriorityQueues {
         val boundsSeconds = operator.queueBounds.map { it * settings.leaseMs / MILLIS_PER_SECOND }
         return PriorityQueues(boundsSeconds, operator.promotionRatio)
     }
 
-    private fun userApi(): UserApi {
-        val contact = ControllerContact(settings, state, membership, reach)
-        val durability = JobDurability(settings, store)
-        val jobLookup = JobLookup(settings, membership, jobManager, peers, lookup, contact)
+    private fun createUserApi(): UserApi {
+        val contact = ControllerContact(settings, stateStore, membership, workerReach)
+        val durability = JobDurability(settings, jobStore)
+        val jobLookup = JobLookup(settings, membership, jobManager, peers, recordLookup, contact)
         val admission = AdmissionRules(settings, configuration.teams, machines, upgrade)
         return UserApi(
             HealthCheck(membership, jobManager, machines, peers, contact),
             SubmissionHandler(admission, contact, jobManager, durability, scheduler, jobLookup, nowMs),
-            QueryHandler(jobLookup, reads),
+            QueryHandler(jobLookup, recordReads),
             CancellationHandler(jobManager, durability, peers, jobLookup, contact),
         )
     }
@@ -267,7 +281,7 @@
 
     private fun membershipConditions(): MembershipConditions =
         object : MembershipConditions {
-            override fun shouldStepDown() = reach.mayStepDown() && peers.contacts.hasStateStoreContact()
+            override fun shouldStepDown() = workerReach.mayStepDown() && peers.contacts.hasStateStoreContact()
 
             override fun peersConfirmedAt() = peers.cancellations.confirmedByPeersAt()
 
@@ -297,10 +311,10 @@
             override fun clusterStateChanged() = scheduler.requestCycle()
         }
 
-    /** Whether this controller scales the fleet out and in for all. */
+    /** Whether this controller is the fleet manager, which scales the fleet out and in for all controllers. */
     val isFleetManager get() = fleetManager.isLeader
 
-    /** Connects the parts and starts their coroutines. To be called once, before the first request is handled. */
+    /** Starts the coroutines of all parts. Must be called once, before the first request is handled. */
     fun start() {
         membership.start()
         fleetManager.start()
@@ -310,7 +324,8 @@
     }
 
     /**
-     * All controllers read the new record format now: a record that was full may have room for more attempts in it.
+     * Called when all controllers can read the new record format. A record that was full in the former format may have
+     * room for more attempts in the new one, so the limits that were found in the former format are dropped.
      */
     private fun recordFormatRaised() {
         for (job in jobManager.openJobs()) job.attemptLimit = Int.MAX_VALUE
@@ -318,8 +333,8 @@
     }
 
     /**
-     * Attempts that were decided but not sent end where a limit is exceeded now, before the version counts as
-     * applied.
+     * Called before a new configuration version counts as applied. Ends the attempts that were not sent yet of each
+     * team that was removed or whose limit is now below its allotments.
      */
     private fun configurationApplied(
         former: Configuration,
@@ -330,7 +345,10 @@
         scheduler.requestCycle()
     }
 
-    /** Parts that rest on others come after them: the format, the configuration, then the shards, then single keys. */
+    /**
+     * Passes changes of the shared keys on in the order in which the parts depend on each other: the record format, the
+     * configuration, the shards, then what follows from single keys.
+     */
     private fun applySharedKeyChanges(keys: Set<String>) {
         upgrade.sharedKeysChanged()
         configuration.sharedKeysChanged()
@@ -343,7 +361,7 @@
     private fun periodicTasks(): PeriodicTasks {
         val startedAtMs = nowMs()
         val cancellations = jobManager.cancellations
-        val review = StateReview(membership, reach, jobManager, scheduler, machines, cpuUsage)
+        val review = StateReview(membership, workerReach, jobManager, scheduler, machines, cpuUsage)
         val spotEvacuation = SpotEvacuation(machines, jobManager, dispatcher, settings.heartbeatIntervalMs)
         val fencingTokenRaise = FencingTokenRaise(membership, dispatcher, settings.leaseMs / 2, startedAtMs)
         val usageReport =
@@ -380,19 +398,19 @@
         const val NANOS_PER_MILLI = 1_000_000L
         const val MILLIS_PER_SECOND = 1000.0
 
-        /** Periodic tasks run in ticks; so many of them fit in the interval of workers' heartbeats. */
+        /** The number of ticks of the periodic tasks in one heartbeat interval of the workers. */
         const val TICKS_PER_HEARTBEAT = 4
 
-        /** A request to the state store is given up after this part of a lease. */
+        /** The timeout of a request to the state store is a worker's lease divided by this number. */
         const val STATE_TIMEOUTS_PER_LEASE = 8
 
-        /** A request to the cloud is given up after this part of a lease. */
+        /** The timeout of a request to the cloud is a worker's lease divided by this number. */
         const val CLOUD_TIMEOUTS_PER_LEASE = 2
 
-        /** A write of a job record that failed is repeated after this part of a heartbeat interval. */
+        /** A failed write of a job record is retried after the heartbeat interval divided by this number. */
         const val WRITE_RETRIES_PER_HEARTBEAT = 4
 
-        /** Counts of finished tasks are written once in this part of a lease. */
+        /** Counts of finished tasks are batched for a worker's lease divided by this number, then written. */
         const val COUNT_WRITES_PER_LEASE = 10
     }
 }
--- a/src/main/kotlin/micatally/controller/ControllerWorkload.kt
+++ b/src/main/kotlin/micatally/controller/ControllerWorkload.kt
@@ -4,7 +4,10 @@
 import micatally.peer.Peers
 import micatally.scheduling.Scheduler
 
-/** The work that the fleet has to have capacity for: that of this controller and, as its peers report it, of all others. */
+/**
+ * What the fleet manager needs to know from the rest of the controller: the demand for capacity, both of this
+ * controller and of all others as reported by its peers, and the zones of silent peers.
+ */
 class ControllerWorkload(
     private val scheduler: Scheduler,
     private val peers: Peers,
--- a/src/main/kotlin/micatally/controller/CpuUsage.kt
+++ b/src/main/kotlin/micatally/controller/CpuUsage.kt
@@ -3,8 +3,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Measures the time that a controller spends on each kind of work, for operators; nothing is decided by it. The time
- * is that between the beginning and the end of the work, which is CPU time as long as the work does not suspend.
+ * Measures the time that a controller spends on each kind of work, and logs it for operators. No decision depends on
+ * it. Elapsed time is measured, which is close to the CPU time as long as the work does not suspend.
  *
  * @param nowNs a monotonic clock in nanoseconds
  */
@@ -14,7 +14,7 @@
     /**
      * A kind of work.
      *
-     * @property label its name in the log line
+     * @property label the name of the kind in the log line
      */
     enum class Kind(
         val label: String,
@@ -26,7 +26,7 @@
         PERIODIC_TASKS("periodic tasks"),
     }
 
-    /** The work of one kind since the last line. */
+    /** The work of one kind since the last log line. */
     private class Usage {
         var count = 0
         var totalNs = 0L
@@ -51,20 +51,20 @@
         usage.longestNs = maxOf(usage.longestNs, durationNs)
     }
 
-    /** Does [work] and returns its result; the time it takes counts as [kind], also if it throws. */
+    /** Runs [work] and returns its result. The time that it takes is counted under [kind], also if it throws. */
     inline fun <T> of(
         kind: Kind,
         work: () -> T,
     ): T {
-        val beganNs = now()
+        val startNs = now()
         try {
             return work()
         } finally {
-            add(kind, now() - beganNs)
+            add(kind, now() - startNs)
         }
     }
 
-    /** Counts the bytes of a peer's delta and of the answer to it. */
+    /** Counts the bytes of a delta that a peer sent and of the response to it. */
     fun addDelta(
         bytesReceived: Int,
         bytesAnswered: Int,
@@ -73,7 +73,7 @@
         deltaBytesAnswered += bytesAnswered
     }
 
-    /** Returns the fields for the bytes of deltas since the last call, and begins anew. */
+    /** Returns the log fields with the bytes of deltas since the last call, and resets the counts. */
     fun takeDeltaBytes(): String {
         val fields = "deltaBytesReceived=$deltaBytesReceived deltaBytesAnswered=$deltaBytesAnswered"
         deltaBytesReceived = 0
@@ -82,8 +82,8 @@
     }
 
     /**
-     * Logs one line for the time since the last one, and begins anew. Each kind of work is shown as its count, its
-     * time in all and the longest time of one; [details] follows.
+     * Logs one line for the time since the last one, and resets the measurements. The line shows how often each kind of
+     * work was done, its total time and its longest time, both in ms. [details] is appended.
      */
     fun logUsage(details: String) {
         log.info("cpu usage {}{}", usages.entries.joinToString(" ") { (kind, usage) -> field(kind, usage) }, details)
--- a/src/main/kotlin/micatally/controller/CpuUsageReport.kt
+++ b/src/main/kotlin/micatally/controller/CpuUsageReport.kt
@@ -7,8 +7,8 @@
 /**
  * Logs the CPU usage and the load of a controller at regular intervals.
  *
- * @param intervalMs more than this time lies between two lines
- * @param startedAtMs when this controller started, on its own clock; the first line covers the time from there
+ * @param intervalMs the least time between two lines, in milliseconds
+ * @param startedAtMs when this controller started, on its own clock; the first line covers the time since then
  */
 class CpuUsageReport(
     private val cpuUsage: CpuUsage,
@@ -19,12 +19,12 @@
     private val intervalMs: Long,
     startedAtMs: Long,
 ) {
-    private var loggedAtMs = startedAtMs
+    private var lastLoggedAtMs = startedAtMs
 
-    /** Logs a line if it is due. */
+    /** Logs a line if one is due at [nowMs]. */
     fun run(nowMs: Long) {
-        if (nowMs - loggedAtMs <= intervalMs) return
-        loggedAtMs = nowMs
+        if (nowMs - lastLoggedAtMs <= intervalMs) return
+        lastLoggedAtMs = nowMs
         cpuUsage.logUsage(details())
     }
 
--- a/src/main/kotlin/micatally/controller/DeletedMachineRemoval.kt
+++ b/src/main/kotlin/micatally/controller/DeletedMachineRemoval.kt
@@ -2,20 +2,22 @@
 
 import micatally.worker.MachineRegistry
 
-/** Forgets machines that were deleted long ago and hold no attempt any more, so that the registry does not grow. */
+/**
+ * Removes machines that were deleted long ago and have no attempts left, so that the registry does not grow forever.
+ */
 class DeletedMachineRemoval(
     private val machines: MachineRegistry,
     leaseMs: Long,
 ) {
-    private val keptMs = leaseMs * KEPT_LEASES
+    private val retentionMs = leaseMs * RETENTION_LEASES
 
-    /** Removes each deleted machine whose last heartbeat is long past. */
+    /** Removes each deleted machine that has no attempts left and whose last heartbeat is long past. */
     fun run(nowMs: Long) {
-        machines.forgetDeleted { machine -> machine.attempts.isEmpty() && nowMs - machine.heardAt > keptMs }
+        machines.forgetDeleted { machine -> machine.attempts.isEmpty() && nowMs - machine.heardAt > retentionMs }
     }
 
     private companion object {
-        /** A deleted machine is kept for so many leases after its last heartbeat. */
-        const val KEPT_LEASES = 6
+        /** How long a deleted machine is kept after its last heartbeat, in multiples of a worker's lease. */
+        const val RETENTION_LEASES = 6
     }
 }
--- a/src/main/kotlin/micatally/controller/FencingTokenRaise.kt
+++ b/src/main/kotlin/micatally/controller/FencingTokenRaise.kt
@@ -4,11 +4,11 @@
 import micatally.worker.CommandDispatcher
 
 /**
- * Raises the fencing token when a start command was left without an answer: a worker that knows the higher token
- * refuses the command if it still arrives.
+ * Raises the fencing token when a run command got no response and may still arrive at its worker. A worker that has
+ * seen the higher token rejects the late command.
  *
- * @param minIntervalMs the token is raised at most once in this time
- * @param startedAtMs when this controller started, on its own clock; counts as the time of the last raise
+ * @param minIntervalMs the least time between two raises, in milliseconds
+ * @param startedAtMs when this controller started, on its own clock; taken as the time of the last raise
  */
 class FencingTokenRaise(
     private val membership: Membership,
@@ -16,13 +16,13 @@
     private val minIntervalMs: Long,
     startedAtMs: Long,
 ) {
-    private var raisedAtMs = startedAtMs
+    private var lastRaisedAtMs = startedAtMs
 
-    /** Raises the token if that is needed. Suspends until the state store has answered, or its client gives up. */
+    /** Raises the token if needed. Suspends until the state store has responded or the request has timed out. */
     suspend fun run(nowMs: Long) {
-        if (!dispatcher.needsHigherFencingToken || nowMs - raisedAtMs <= minIntervalMs) return
+        if (!dispatcher.needsHigherFencingToken || nowMs - lastRaisedAtMs <= minIntervalMs) return
         dispatcher.needsHigherFencingToken = false
-        raisedAtMs = nowMs
+        lastRaisedAtMs = nowMs
         membership.raiseFencingToken("a run without an answer must not come late")
     }
 }
--- a/src/main/kotlin/micatally/controller/PeerRouter.kt
+++ b/src/main/kotlin/micatally/controller/PeerRouter.kt
@@ -17,13 +17,13 @@
 /** Routes the requests that arrive on the address for other controllers and for operators' configuration commands. */
 class PeerRouter(
     private val peers: Peers,
-    private val users: UserApi,
+    private val userApi: UserApi,
     private val configuration: ConfigurationService,
     private val cpuUsage: CpuUsage,
 ) {
     /**
-     * Returns the response of the resource that [request] names; 405 if it is not a POST, 404 if there is no such
-     * resource, 400 if its body can't be decoded.
+     * Returns the response of the resource that [request] names. Returns 405 if the request is not a POST, 404 if there
+     * is no such resource, and 400 if the body can't be decoded.
      */
     suspend fun route(request: HttpRequest): HttpResponse {
         if (request.method != "POST") return errorResponse(METHOD_NOT_ALLOWED, "use POST")
@@ -37,7 +37,7 @@
         return HttpResponse(OK, body, HttpResponse.BINARY)
     }
 
-    /** Null if there is no such resource. */
+    /** Returns the encoded response of the resource at [path], or null if there is no such resource. */
     @OptIn(ExperimentalSerializationApi::class)
     private suspend fun respond(
         path: String,
@@ -46,15 +46,15 @@
         when (path) {
             PeerPaths.DELTA -> applyDelta(body)
             PeerPaths.CANCELLED_TASKS -> peers.cancellations.receiveCancellation(body)
-            PeerPaths.QUERY_JOB -> ProtoBuf.encodeToByteArray(users.peerQuery(decodeJobId(body)))
-            PeerPaths.CANCEL_JOB -> ProtoBuf.encodeToByteArray(users.peerCancel(decodeJobId(body)))
+            PeerPaths.QUERY_JOB -> ProtoBuf.encodeToByteArray(userApi.peerQuery(decodeJobId(body)))
+            PeerPaths.CANCEL_JOB -> ProtoBuf.encodeToByteArray(userApi.peerCancel(decodeJobId(body)))
             else -> configuration.handle(path, body)
         }
 
     private fun applyDelta(body: ByteArray): ByteArray {
-        val answer = cpuUsage.of(CpuUsage.Kind.DELTAS) { peers.receiveDelta(body) }
-        cpuUsage.addDelta(body.size, answer.size)
-        return answer
+        val response = cpuUsage.of(CpuUsage.Kind.DELTAS) { peers.receiveDelta(body) }
+        cpuUsage.addDelta(body.size, response.size)
+        return response
     }
 
     @OptIn(ExperimentalSerializationApi::class)
--- a/src/main/kotlin/micatally/controller/PeriodicTask.kt
+++ b/src/main/kotlin/micatally/controller/PeriodicTask.kt
@@ -4,11 +4,11 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Work that repeats for as long as a controller runs.
+ * A task that repeats for as long as a controller runs.
  *
- * @property name what the task is called in the log
- * @property everyTicks its interval: the task runs at each tick whose number is a multiple of this
- * @property run does the work once; gets the time of the tick, in milliseconds on the controller's clock
+ * @property name the name of the task in the log
+ * @property everyTicks the interval of the task: it runs at each tick whose number is a multiple of this
+ * @property run runs the task once; receives the time of the tick, in milliseconds on the controller's clock
  */
 class PeriodicTask(
     val name: String,
@@ -17,8 +17,8 @@
 )
 
 /**
- * Runs tasks one after another in a single coroutine. The tasks of a tick run in the order of the list and all get
- * the same time; the next tick begins [tickMs] milliseconds after the last of them has returned.
+ * Runs tasks one after another in a single coroutine. The tasks of a tick run in the order of the list and all receive
+ * the same time. The next tick begins [tickMs] milliseconds after the last of them has returned.
  */
 class PeriodicTasks(
     private val tickMs: Long,
@@ -27,9 +27,13 @@
 ) {
     private val log = LoggerFactory.getLogger("micatally.controller")
 
-    /** Runs the tasks until the coroutine is cancelled or a task fails. The first tick is after one interval. */
+    /** Runs the tasks until the coroutine is cancelled or a task throws. The first tick comes after [tickMs]. */
     suspend fun runForever() {
-        log.debug("every {} ms one tick of {}", tickMs, tasks.joinToString { "${it.name} (${it.everyTicks})" })
+        log.debug(
+            "starting periodic tasks with a tick of {} ms: {}",
+            tickMs,
+            tasks.joinToString { "${it.name} (every ${it.everyTicks} ticks)" },
+        )
         var tick = 0
         while (true) {
             delay(tickMs)
--- a/src/main/kotlin/micatally/controller/RequestBudgets.kt
+++ b/src/main/kotlin/micatally/controller/RequestBudgets.kt
@@ -5,23 +5,24 @@
 import micatally.state.RateBudget
 
 /**
- * How many requests this controller may make. The platform's limits hold for all controllers together, so each of
- * them keeps to an equal share, below the limit by a margin.
+ * Limits the rate of this controller's requests to the state store and to the cloud. The platform's rate limits apply
+ * to all controllers together. Each controller therefore takes an equal share of the state store's limits, after a
+ * safety margin.
  *
- * @param nowMs time in milliseconds on the controller's clock
+ * @param nowMs the controller's clock, in milliseconds
  */
 class RequestBudgets(
     scope: CoroutineScope,
     settings: Settings,
     nowMs: () -> Long,
 ) {
-    /** This controller's share of a limit on the state store. */
+    /** The part of each of the state store's limits that this controller may use. */
     private val share = USABLE_PART / settings.controllers
 
-    /** All requests to the state store. */
+    /** The budget of all requests to the state store. */
     val stateRequests = RateBudget(scope, settings.stateLimits.rps * share, nowMs)
 
-    /** Writes to the state store. Urgent ones may borrow what the other controllers leave unused. */
+    /** The budget of writes to the state store. Urgent writes may borrow what the other controllers leave unused. */
     val stateWrites =
         RateBudget(
             scope,
@@ -30,24 +31,25 @@
             settings.stateWriteRps * (USABLE_PART - share),
         )
 
-    /** Requests to the cloud; only the fleet manager makes many. */
+    /** The budget of requests to the cloud. It is not divided by the controllers: only the fleet manager makes many. */
     val cloudRequests = RateBudget(scope, settings.cloudRps * USABLE_CLOUD_PART, nowMs)
 
     private val userReadRps = settings.stateLimits.rps * share * USER_READ_PART
 
-    /** Reads of job records on behalf of users, a part of [stateRequests]. */
+    /** The budget of reads of job records for users. It is a part of [stateRequests]. */
     val userReads = RateBudget(scope, userReadRps, nowMs)
 
-    /** So many reads on behalf of users may wait at once: those of one second. */
+    /** How many reads for users may wait at once: as many as [userReads] allows in one second. */
     val maxWaitingUserReads = maxOf(1, userReadRps.toInt())
 
     private companion object {
-        /** The part of the state store's limits that all controllers use together. */
+        /** The part of the state store's limits that all controllers together use. */
         const val USABLE_PART = 0.95
 
+        /** The part of the cloud's rate limit that is used. */
         const val USABLE_CLOUD_PART = 0.9
 
-        /** The part of a controller's requests to the state store that users' reads may take. */
+        /** The part of a controller's requests to the state store that reads for users may use. */
         const val USER_READ_PART = 0.5
     }
 }
--- a/src/main/kotlin/micatally/controller/SharedKeyEvents.kt
+++ b/src/main/kotlin/micatally/controller/SharedKeyEvents.kt
@@ -6,14 +6,14 @@
 import micatally.quota.Quota
 import micatally.worker.MachineRegistry
 
-/** What the change of one shared key means to this controller. */
+/** What the change of one shared key means for this controller. */
 private sealed interface SharedKeyEvent {
-    /** A machine is marked as deleted: none of its tasks runs any more. */
+    /** A machine is marked as deleted, which proves that none of its tasks runs any more. */
     class MachineDeleted(
         val machine: String,
     ) : SharedKeyEvent
 
-    /** A controller has published tasks that were cancelled, or has withdrawn the list of them at [key]. */
+    /** A controller has written or deleted the list of a cancelled job's tasks at [key], or a part of it. */
     class CancelledTasksChanged(
         val key: String,
     ) : SharedKeyEvent
@@ -23,26 +23,26 @@
         val team: String,
     ) : SharedKeyEvent
 
-    /** The graceful eviction of a machine has begun or was called off. */
+    /** The graceful eviction of a machine has begun or was cancelled. */
     class DrainChanged(
         val machine: String,
         val isDraining: Boolean,
     ) : SharedKeyEvent
 }
 
-/** Reads the changes of shared keys as events, one per key, and passes each on to the part that it concerns. */
+/** Turns each changed shared key into an event and passes it on to the part of the controller that it concerns. */
 class SharedKeyEvents(
     private val sharedKeys: SharedKeyCache,
     private val machines: MachineRegistry,
     private val jobManager: JobManager,
     private val quota: Quota,
 ) {
-    /** Handles the change of each of [keys] in their order; [sharedKeys] already holds the new values. */
+    /** Handles the changes of [keys] in their order. [sharedKeys] must already hold the new values. */
     fun handleChanges(keys: Set<String>) {
         for (key in keys) decode(key)?.let { handle(it) }
     }
 
-    /** Null if the change of the key alone means nothing here. */
+    /** Returns the event for a changed key, or null if nothing follows from the change of this key alone. */
     private fun decode(key: String): SharedKeyEvent? =
         when {
             key.startsWith(Keys.DELETED_MACHINE) ->
--- a/src/main/kotlin/micatally/controller/SpotEvacuation.kt
+++ b/src/main/kotlin/micatally/controller/SpotEvacuation.kt
@@ -9,7 +9,7 @@
 import micatally.worker.MachineRegistry
 
 /**
- * Stops the tasks on spot instances that the cloud is about to take back, so that they can save a checkpoint in time.
+ * Stops the tasks on spot instances that the cloud is about to reclaim, so that they can save a checkpoint in time.
  */
 class SpotEvacuation(
     private val machines: MachineRegistry,
@@ -17,7 +17,7 @@
     private val dispatcher: CommandDispatcher,
     private val heartbeatIntervalMs: Long,
 ) {
-    /** Stops what still runs on machines with a spot notice. */
+    /** Stops the tasks that still run on machines with a spot notice. */
     fun run(nowMs: Long) {
         for (machine in machines.byName.values) {
             if (machine.hasSpotNotice && !machine.deleted) evacuate(machine, nowMs)
@@ -40,7 +40,7 @@
         if (needsSync) dispatcher.requestSync(machine)
     }
 
-    /** A gang stops as a whole, and sends its machines the commands for it by itself. */
+    /** Stops the whole gang of [attempt]. This also requests the syncs of all machines of the gang. */
     private fun stopGang(
         attempt: Attempt,
         machine: Machine,
@@ -53,13 +53,13 @@
         machine: Machine,
         nowMs: Long,
     ): Boolean {
-        val sentHeartbeat = nowMs - machine.heardAt < heartbeatIntervalMs * MISSED_HEARTBEATS
+        val hasRecentHeartbeat = nowMs - machine.heardAt < heartbeatIntervalMs * UNREACHABLE_HEARTBEAT_INTERVALS
         val acceptsCommands = machine.channel.failuresInRow == 0 && nowMs >= machine.channel.unreachableUntilMs
-        return !machine.deleted && acceptsCommands && sentHeartbeat
+        return !machine.deleted && acceptsCommands && hasRecentHeartbeat
     }
 
     private companion object {
-        /** So many intervals after its last heartbeat a machine does not count as reachable. */
-        const val MISSED_HEARTBEATS = 2
+        /** A machine counts as unreachable this many heartbeat intervals after its last heartbeat. */
+        const val UNREACHABLE_HEARTBEAT_INTERVALS = 2
     }
 }
--- a/src/main/kotlin/micatally/controller/StateReview.kt
+++ b/src/main/kotlin/micatally/controller/StateReview.kt
@@ -6,22 +6,25 @@
 import micatally.worker.MachineRegistry
 import micatally.worker.WorkerReach
 
-/** Finds what has become due by the passage of time alone: expired leases, overdue gangs, faults, reservations. */
+/**
+ * Periodically checks what may become due by the passage of time alone: expiry of leadership, contact with workers,
+ * stops of cancelled tasks, overdue gangs, faults, replica migration and expired reservations.
+ */
 class StateReview(
     private val membership: Membership,
-    private val reach: WorkerReach,
+    private val workerReach: WorkerReach,
     private val jobManager: JobManager,
     private val scheduler: Scheduler,
     private val machines: MachineRegistry,
     private val cpuUsage: CpuUsage,
 ) {
-    /** Reviews all of it, and measures the time that this takes. */
+    /** Runs all checks and counts their time as periodic tasks. */
     fun run(nowMs: Long) = cpuUsage.of(CpuUsage.Kind.PERIODIC_TASKS) { review(nowMs) }
 
-    /** Leadership is checked first, since the other checks rest on it. */
+    /** Leadership is checked first, since the other checks depend on it. */
     private fun review(nowMs: Long) {
         membership.checkLeadership()
-        reach.review()
+        workerReach.review()
         jobManager.sweep()
         for (job in jobManager.openJobs()) {
             if (job.gang != null) jobManager.gangs.review(job, nowMs)
--- a/src/main/kotlin/micatally/controller/UnreachableMachineSearch.kt
+++ b/src/main/kotlin/micatally/controller/UnreachableMachineSearch.kt
@@ -7,9 +7,9 @@
 import micatally.worker.MachineRegistry
 
 /**
- * Finds machines that hold attempts of this controller but send heartbeats to nobody, and asks for their deletion. A
- * task may run again elsewhere only when its former attempt is proven to have ended, and the deletion of its machine
- * proves it.
+ * Finds machines that have attempts of this controller but from which no controller receives heartbeats, and requests
+ * their deletion. A task may run again elsewhere only when its former attempt is proven to have ended, and the deletion
+ * of the machine proves it.
  */
 class UnreachableMachineSearch(
     private val machines: MachineRegistry,
@@ -20,10 +20,10 @@
     private val leaseMs = settings.leaseMs
 
     /**
-     * Two leases of its worker, and the time for which a controller that is cut off from the state store may still
-     * answer its heartbeats.
+     * How long a machine may be silent: two leases of its worker, plus the time for which a controller that is cut off
+     * from the state store may still answer its heartbeats.
      */
-    private val silenceMs = leaseMs + settings.leadershipMs + leaseMs
+    private val maxSilenceMs = leaseMs + settings.leadershipMs + leaseMs
 
     /** Asks the fleet manager, here or on a peer, to delete each machine that has been silent for too long. */
     fun run(nowMs: Long) {
@@ -41,12 +41,15 @@
         nowMs: Long,
     ): Boolean {
         val silentMs = nowMs - machine.heardAt
-        val hasNeverSent = machine.heardAt == 0L
-        return silentMs > silenceMs || hasNeverSent && silentMs > leaseMs * NEVER_HEARD_LEASES
+        val hasNeverReported = machine.heardAt == 0L
+        return silentMs > maxSilenceMs || hasNeverReported && silentMs > leaseMs * NEVER_REPORTED_LEASES
     }
 
     private companion object {
-        /** A machine of which there has never been a heartbeat is given up after so many leases. */
-        const val NEVER_HEARD_LEASES = 2
+        /**
+         * A machine that has never sent a heartbeat is given up after this many leases. [Machine.heardAt] is 0 then, so
+         * the time counts from the origin of the controller's clock.
+         */
+        const val NEVER_REPORTED_LEASES = 2
     }
 }
--- a/src/main/kotlin/micatally/controller/UserWorkerRouter.kt
+++ b/src/main/kotlin/micatally/controller/UserWorkerRouter.kt
@@ -8,22 +8,23 @@
 
 /** Routes the requests that arrive on the address for users and workers. */
 class UserWorkerRouter(
-    private val users: UserApi,
-    private val workers: WorkerApi,
+    private val userApi: UserApi,
+    private val workerApi: WorkerApi,
     private val cpuUsage: CpuUsage,
 ) {
     /**
-     * Returns the response of the resource that [request] names, 404 if there is none, 405 if it has another method.
+     * Returns the response of the resource that [request] names. Returns 404 if there is no such resource, and 405 if
+     * the resource does not support the method.
      */
     suspend fun route(request: HttpRequest): HttpResponse {
         val path = request.path
         return when {
             path == HEARTBEAT ->
                 withMethod("POST", request) {
-                    cpuUsage.of(CpuUsage.Kind.HEARTBEATS) { workers.handleHeartbeat(request) }
+                    cpuUsage.of(CpuUsage.Kind.HEARTBEATS) { workerApi.handleHeartbeat(request) }
                 }
-            path == HEALTH -> users.health()
-            path == JOBS -> withMethod("POST", request) { users.submit(request) }
+            path == HEALTH -> userApi.health()
+            path == JOBS -> withMethod("POST", request) { userApi.submit(request) }
             path.startsWith(JOB_PREFIX) -> routeJob(path.removePrefix(JOB_PREFIX), request)
             else -> errorResponse(NOT_FOUND, "no such resource")
         }
@@ -33,8 +34,8 @@
         resource: String,
         request: HttpRequest,
     ): HttpResponse {
-        if (!resource.endsWith(CANCEL_SUFFIX)) return withMethod("GET", request) { users.query(resource) }
-        return withMethod("POST", request) { users.cancel(resource.removeSuffix(CANCEL_SUFFIX)) }
+        if (!resource.endsWith(CANCEL_SUFFIX)) return withMethod("GET", request) { userApi.query(resource) }
+        return withMethod("POST", request) { userApi.cancel(resource.removeSuffix(CANCEL_SUFFIX)) }
     }
 
     private inline fun withMethod(
