--- a/src/main/kotlin/micatally/api/AdmissionRules.kt
+++ b/src/main/kotlin/micatally/api/AdmissionRules.kt
@@ -12,7 +12,7 @@
 import micatally.wire.Resources
 import micatally.worker.MachineRegistry
 
-/** Which well-formed jobs are accepted. */
+/** Decides whether a well-formed job can be accepted. */
 class AdmissionRules(
     private val settings: Settings,
     private val teams: TeamDirectory,
@@ -20,13 +20,14 @@
     private val upgrade: Upgrade,
 ) {
     /**
-     * Returns the response to a submission that can't be accepted: 422 if the job can never run, 503 if that can't be said or it can't be
-     * served now. Null: nothing speaks against it. Suspends to look up the teams before a 422.
+     * Returns the response to a job that can't be accepted, or null if the job can be accepted. The response is 422 if
+     * the job can never run, and 503 if that can't be decided now or the job can't be served now. Suspends to read the
+     * newest teams before it returns a 422.
      */
     suspend fun check(spec: JobSpec): HttpResponse? {
         if (machines.machineTypes.isEmpty()) return unavailable("the machine types are not known yet")
         if (impossibleReason(spec) != null) {
-            // Never on an old view: the team may have come, or its quota been raised, just now.
+            // A 422 must not rest on outdated teams: the team may have been added, or its limit raised, just now.
             if (!teams.refresh()) return unavailable("the teams can't be looked up now")
             impossibleReason(spec)?.let { return errorResponse(UNPROCESSABLE, it) }
         }
@@ -35,7 +36,7 @@
         return if (isUnservedGang) unavailable("gangs are served once all controllers are upgraded") else null
     }
 
-    /** Why the job can never run; null exactly where the protocol has no 422. */
+    /** Returns why the job can never run. Returns null in exactly the cases for which the protocol has no 422. */
     private fun impossibleReason(spec: JobSpec): String? {
         val team = teams.team(spec.team) ?: return "unknown team ${spec.team}"
         if (!Placement.isPossible(spec, machines.machineTypes.values)) return "a task fits no allowed machine type"
@@ -44,7 +45,9 @@
         return if (fitsZones) null else "the gang's tasks may not all be in the allowed zones at once"
     }
 
-    /** Whether the tasks that have to run at the same time take more than the team's limit; a limit of 0 means none. */
+    /**
+     * Whether the tasks that have to run at the same time need more than the team's limit. A limit of 0 means no limit.
+     */
     private fun exceedsLimit(
         spec: JobSpec,
         team: Team,
--- a/src/main/kotlin/micatally/api/CancellationHandler.kt
+++ b/src/main/kotlin/micatally/api/CancellationHandler.kt
@@ -9,7 +9,10 @@
 import micatally.wire.JobSpec
 import micatally.wire.PeerJobResponse
 
-/** Users' cancellations. One is confirmed only once it is durable and every controller that may answer workers knows of it. */
+/**
+ * Handles users' cancellations. A cancellation is confirmed only once it is durable and known to every controller that
+ * may answer the heartbeats of workers.
+ */
 class CancellationHandler(
     private val jobManager: JobManager,
     private val durability: JobDurability,
@@ -18,10 +21,10 @@
     private val contact: ControllerContact,
 ) {
     /**
-     * Cancels the job here, or has the leader of its shard do it.
+     * Cancels the job here, or asks the leader of its shard to do so.
      *
-     * Answers 200 with the job's status, 404 if there is no such job, or 503 if the cancellation can't be confirmed yet. It may have
-     * begun then, and goes on.
+     * Returns 200 with the job's status, 404 if there is no such job, or 503 if the cancellation can't be confirmed
+     * yet. After a 503 the cancellation may have begun, and then continues.
      */
     suspend fun cancel(jobId: String): HttpResponse {
         if (!JobSpec.isValidId(jobId)) return noSuchJob()
@@ -30,13 +33,16 @@
         if (jobManager.job(jobId) != null) return unavailable("the cancellation is not known everywhere yet")
         if (lookup.shardOf(jobId) == null) responseIfNotCancellable(jobId)?.let { return it }
         val shard = lookup.shardOf(jobId) ?: return unavailable("the job's owner is not known")
-        // The lookup took time, in which this controller may have become the leader of the shard.
+        // This controller may have become the leader of the shard during the lookup.
         cancelHere(jobId)?.let { return briefStatus(it) }
         val answer = lookup.askLeader(shard, PeerPaths.CANCEL_JOB, jobId)
         return if (answer != null) briefStatus(answer) else unavailable("the job's owner can't be reached")
     }
 
-    /** Looks the job up, after which its shard is known. Returns the response if there is nothing to be cancelled. */
+    /**
+     * Looks the job up in the state store, which also caches its shard. Returns the response if the job is over, does
+     * not exist or can't be looked up, and null if it can be cancelled.
+     */
     private suspend fun responseIfNotCancellable(jobId: String): HttpResponse? =
         when (val result = lookup.find(jobId)) {
             LookupResult.Missing -> noSuchJob()
@@ -46,14 +52,17 @@
 
     private fun isFinal(answer: JobAnswer) = answer.status == JobAnswer.DONE || answer.status == JobAnswer.CANCELLED
 
-    /** Null if the job is not in a shard that this controller leads, or if the cancellation can't be confirmed in time. */
+    /**
+     * Cancels the job if it is in a shard that this controller leads. Returns null if it is not, or if the cancellation
+     * can't be confirmed in time.
+     */
     private suspend fun cancelHere(jobId: String): JobAnswer? {
         val job = jobManager.job(jobId) ?: return null
         if (!contact.holdsLease && !contact.isStateReachable) return null
         jobManager.cancel(job)
         if (durability.await(job) != WriteOutcome.DURABLE) return null
-        val isEnded = job.durableState == JobState.CANCELLED || job.durableState == JobState.DONE
-        if (!isEnded) return null
+        val isOver = job.durableState == JobState.CANCELLED || job.durableState == JobState.DONE
+        if (!isOver) return null
         if (!jobManager.cancellations.mayConfirm(job)) {
             peers.cancellations.broadcastCancellation(job)
             if (!jobManager.cancellations.mayConfirm(job)) return null
@@ -61,6 +70,6 @@
         return job.answer()
     }
 
-    /** The same for another controller, which has found this one to be the leader of the job's shard. */
+    /** Cancels the job for another controller, which has found this one to be the leader of the job's shard. */
     suspend fun peerCancel(jobId: String): PeerJobResponse = peerResponse(jobManager.final(jobId) ?: cancelHere(jobId))
 }
--- a/src/main/kotlin/micatally/api/HealthCheck.kt
+++ b/src/main/kotlin/micatally/api/HealthCheck.kt
@@ -7,7 +7,7 @@
 import micatally.peer.Peers
 import micatally.worker.MachineRegistry
 
-/** Whether users' requests are to be routed to this controller. */
+/** Decides whether users' requests are to be routed to this controller. */
 class HealthCheck(
     private val membership: Membership,
     private val jobManager: JobManager,
@@ -15,12 +15,12 @@
     private val peers: Peers,
     private val contact: ControllerContact,
 ) {
-    /** Answers 200, or 503 with the reason why other controllers serve users better. */
+    /** Returns 200, or 503 with the reason why users' requests should go to other controllers. */
     fun health(): HttpResponse =
         when {
             !isStarted() -> unavailable("starting")
             isLoadOverdue() -> unavailable("the ledger can't be loaded")
-            isBehindOthers() -> unavailable("no contact with the state service")
+            isCutOffFromStateStore() -> unavailable("no contact with the state service")
             contact.isCutOffFromWorkers && peers.contacts.hasStateStoreContact() ->
                 unavailable(
                     "no contact with the workers",
@@ -36,10 +36,11 @@
     private fun isLoadOverdue(): Boolean = jobManager.ownShard()?.let { jobManager.isLoadOverdue(it) } == true
 
     /**
-     * Others can serve what this controller has to turn away. In an outage of the state store for all of them each stays healthy: polls
-     * are still answered.
+     * Whether this controller has lost the state store while others may still reach it and so can serve the requests
+     * that this one has to refuse. If all controllers have lost the state store, each of them stays healthy, because
+     * queries are still answered.
      */
-    private fun isBehindOthers(): Boolean {
+    private fun isCutOffFromStateStore(): Boolean {
         if (contact.isStateReachable) return false
         return peers.contacts.hasStateStoreContact() || !peers.contacts.isAnyPeerHeard()
     }
--- a/src/main/kotlin/micatally/api/JobDurability.kt
+++ b/src/main/kotlin/micatally/api/JobDurability.kt
@@ -5,36 +5,40 @@
 import micatally.job.JobStore
 import micatally.settings.Settings
 
-/** What became of a job's write to the state store while its user waited. */
+/** The outcome of a write of a job's record while its user waits. */
 enum class WriteOutcome {
+    /** The record is stored. */
     DURABLE,
 
-    /** It was not carried out and will not be, or the job is not this controller's any more. */
+    /** The write was not and will not be carried out, or this controller does not lead the job any more. */
     REFUSED,
 
-    /** Not known yet: it may still be carried out. */
+    /** The outcome is not known yet. The write may still be carried out. */
     PENDING,
 }
 
-/** Writes of jobs for whose outcome a user waits. */
+/** Requests writes of job records, and waits for their outcome on behalf of users. */
 class JobDurability(
     settings: Settings,
-    private val store: JobStore,
+    private val jobStore: JobStore,
 ) {
-    /** Users wait five seconds for a submission or a cancellation, and what can't be done is answered before that. */
+    /**
+     * The longest wait. Users wait five seconds for the response to a submission or a cancellation, so a request that
+     * can't be completed is refused before that.
+     */
     private val timeoutMs = minOf(settings.leaseMs * WAIT_TENTHS / TENTHS, MAX_WAIT_MS)
 
-    /** Has the job, which has just been created, written at once. Does not wait for it. */
-    fun requestWrite(job: Job) = store.requestWrite(job)
+    /** Requests the write of a job that has just been created. Returns at once. */
+    fun requestWrite(job: Job) = jobStore.requestWrite(job)
 
-    /** Suspends until the job's present version is durable or refused, for a bounded time. */
+    /** Suspends until the present version of the job is durable or refused, or until the longest wait is over. */
     suspend fun await(job: Job): WriteOutcome {
-        val isDurable = withTimeoutOrNull(timeoutMs) { store.awaitDurable(job) } ?: return WriteOutcome.PENDING
+        val isDurable = withTimeoutOrNull(timeoutMs) { jobStore.awaitDurable(job) } ?: return WriteOutcome.PENDING
         return if (isDurable) WriteOutcome.DURABLE else WriteOutcome.REFUSED
     }
 
     private companion object {
-        /** The longest wait, in tenths of the lease. */
+        /** The longest wait, in tenths of a worker's lease. */
         const val WAIT_TENTHS = 3
         const val MAX_WAIT_MS = 4000L
     }
--- a/src/main/kotlin/micatally/api/JobLookup.kt
+++ b/src/main/kotlin/micatally/api/JobLookup.kt
@@ -16,9 +16,9 @@
 import micatally.state.Urgency
 import micatally.wire.JobAnswer
 
-/** What is known of a job, whichever controller leads its shard. */
+/** The result of a lookup of a job, whichever controller leads its shard. */
 sealed interface LookupResult {
-    /** The job exists, and this may be told of it. */
+    /** The job exists, and its user may be told [answer]. */
     class Known(
         val answer: JobAnswer,
     ) : LookupResult
@@ -26,51 +26,62 @@
     /** There is no such job. */
     data object Missing : LookupResult
 
-    /** Nothing may be said at the moment, not even whether the job exists. */
+    /** Nothing can be told about the job at the moment, not even whether it exists. */
     data object Unclear : LookupResult
 }
 
-/** Finds out what may be told of a job: from memory, from the leader of its shard or from its record in the state store. */
+/**
+ * Finds out what users may be told about a job. The sources are the memory of this controller, the leader of the job's
+ * shard, and the job's record in the state store.
+ */
 class JobLookup(
     private val settings: Settings,
     private val membership: Membership,
     private val jobManager: JobManager,
     private val peers: Peers,
-    private val records: RecordLookup,
+    private val recordLookup: RecordLookup,
     private val contact: ControllerContact,
 ) {
-    /** Which shard a job belongs to never changes. */
-    private val shardOfJob = CacheBuilder.newBuilder().maximumSize(CACHED_SHARDS).build<String, String>()
+    /**
+     * The shards of jobs that were read lately, by job id. Entries never expire, because a job never changes its shard.
+     */
+    private val shardsByJobId = CacheBuilder.newBuilder().maximumSize(MAX_CACHED_SHARDS).build<String, String>()
 
-    /** Users wait two seconds for a poll, and after a peer's silence there is the state store to be asked. */
+    /**
+     * How long to wait for a peer's response. Users wait two seconds for the response to a query, and if the peer does
+     * not respond, the state store has to be asked within that time too.
+     */
     private val peerTimeoutMs = minOf(settings.leaseMs / PEER_TIMEOUTS_PER_LEASE, MAX_PEER_TIMEOUT_MS)
 
-    /** The shard of a job that has been looked up lately; null if it is not known. */
-    fun shardOf(jobId: String): String? = shardOfJob.getIfPresent(jobId)
+    /** The shard of a job whose record was read lately, or null if the shard is not known. */
+    fun shardOf(jobId: String): String? = shardsByJobId.getIfPresent(jobId)
 
     /**
-     * What this controller may tell from memory: final states, which never change, and its own jobs while no other controller can have
-     * become the leader of their shard. Null: the job has to be looked up.
+     * Returns what this controller may tell about the job from memory, or null if the job has to be looked up. It may
+     * tell final states, which never change, and the status of the jobs of its own shard while no other controller can
+     * have become the leader of that shard.
      */
     fun fromMemory(jobId: String): JobAnswer? {
         jobManager.final(jobId)?.let { return it }
         val job = jobManager.job(jobId) ?: return null
         if (job.durableState == JobState.NEW || job.isEndBeingWritten || !contact.holdsLease) return null
-        // This controller's lease keeps others from its own shard only. A shard that it has taken over goes back to its
-        // host the moment that host starts again, so of its jobs only the state store can tell.
+        // The lease keeps other controllers only from this controller's own shard. A shard that it has taken over goes
+        // back to its host as soon as that host starts again, so the status of its jobs must be read from the state
+        // store.
         val isOfOwnShard = job.shard.name == settings.host
         if (!isOfOwnShard || !jobManager.cancellations.mayConfirm(job)) return null
         return job.answer()
     }
 
     /**
-     * Asks the leader of the job's shard if the shard is known, and the state store otherwise. Suspends for that.
+     * Asks the leader of the job's shard if the shard is known. If it is not, or the leader gives no usable response,
+     * reads the job's record from the state store, provided that the state store is in contact.
      *
-     * @param read how the record is read
+     * @param read reads the record
      */
     suspend fun find(
         jobId: String,
-        read: suspend () -> ReadResult = { records.read(jobId, Urgency.ACCEPTANCE) },
+        read: suspend () -> ReadResult = { recordLookup.read(jobId, Urgency.ACCEPTANCE) },
     ): LookupResult {
         val shard = shardOf(jobId)
         if (shard != null) askLeader(shard, PeerPaths.QUERY_JOB, jobId)?.let { return LookupResult.Known(it) }
@@ -91,8 +102,9 @@
         jobId: String,
         record: JsonObject,
     ): LookupResult {
-        shardOfJob.put(jobId, JobRecord(record).shard)
-        // Cancelled, but not all controllers know of it yet: only the leader of its shard can tell when they do.
+        shardsByJobId.put(jobId, JobRecord(record).shard)
+        // The job is cancelled, but other controllers may not know it yet. Only the leader of its shard can tell when
+        // they do.
         if (!JobRecord(record).isCancellationConfirmable) return LookupResult.Unclear
         val answer = answerFromRecord(jobId, record)
         jobManager.rememberFinal(answer)
@@ -115,10 +127,11 @@
     }
 
     /**
-     * Passes a request for the job on to the leader of its shard.
+     * Forwards a request about the job to the leader of its shard.
      *
      * @param path [PeerPaths.QUERY_JOB] or [PeerPaths.CANCEL_JOB]
-     * @return null if the leader is this controller, is not known or gave no usable response in time
+     * @return null if the leader is this controller, is not known, is not in contact or gives no usable response in
+     * time
      */
     suspend fun askLeader(
         shard: String,
@@ -138,7 +151,9 @@
     }
 
     private companion object {
-        const val CACHED_SHARDS = 20_000L
+        const val MAX_CACHED_SHARDS = 20_000L
+
+        /** The wait for a peer's response is at most a worker's lease divided by this number. */
         const val PEER_TIMEOUTS_PER_LEASE = 20
         const val MAX_PEER_TIMEOUT_MS = 1000L
     }
--- a/src/main/kotlin/micatally/api/RecordReads.kt
+++ b/src/main/kotlin/micatally/api/RecordReads.kt
@@ -8,15 +8,15 @@
 import micatally.state.Urgency
 
 /**
- * Reads of job records for users' queries. Users may ask many times as often as usual, also for jobs that nobody submitted; the
- * reads then keep to [budget], so that submissions, placements and leases still get their requests, and what can't be read soon is
- * refused at once.
+ * Reads job records for users' queries. Users may send many times more queries than usual, also for jobs that nobody
+ * submitted. The reads therefore keep to [budget], so that submissions, placements and leases still get their requests
+ * to the state store. A read that would exceed [maxWaiting] is refused at once.
  *
- * Queries for one job share a read as long as it has not left. One that has left may see a state from before what its user was
- * told by another controller meanwhile, so no other query joins it.
+ * Queries for the same job share a read until its request is sent. No query joins a read after that: its result may be
+ * older than what another controller has told the user since.
  *
  * @param maxWaiting how many reads may wait for the budget at once
- * @param timeoutMs how long a read may take, with its wait for the budget
+ * @param timeoutMs how long a read may take, including the wait for the budget
  */
 class RecordReads(
     private val lookup: RecordLookup,
@@ -24,23 +24,23 @@
     private val maxWaiting: Int,
     private val timeoutMs: Long,
 ) {
-    private val notSent = HashMap<String, CompletableDeferred<ReadResult>>()
+    private val unsentReads = HashMap<String, CompletableDeferred<ReadResult>>()
 
-    /** Suspends until the job's record is read; [ReadResult.Unavailable] if that can't be done in time. */
+    /** Suspends until the job's record is read. Returns [ReadResult.Unavailable] if it can't be read in time. */
     suspend fun read(jobId: String): ReadResult {
-        notSent[jobId]?.let { return it.await() }
-        if (notSent.size >= maxWaiting) return ReadResult.Unavailable
-        val shared = CompletableDeferred<ReadResult>()
-        notSent[jobId] = shared
+        unsentReads[jobId]?.let { return it.await() }
+        if (unsentReads.size >= maxWaiting) return ReadResult.Unavailable
+        val sharedResult = CompletableDeferred<ReadResult>()
+        unsentReads[jobId] = sharedResult
         try {
             val result =
-                withTimeoutOrNull(timeoutMs) { readWithinBudget(jobId) { notSent.remove(jobId, shared) } }
+                withTimeoutOrNull(timeoutMs) { readWithinBudget(jobId) { unsentReads.remove(jobId, sharedResult) } }
                     ?: ReadResult.Unavailable
-            shared.complete(result)
+            sharedResult.complete(result)
             return result
         } finally {
-            notSent.remove(jobId, shared)
-            shared.complete(ReadResult.Unavailable)
+            unsentReads.remove(jobId, sharedResult)
+            sharedResult.complete(ReadResult.Unavailable)
         }
     }
 
--- a/src/main/kotlin/micatally/api/SubmissionHandler.kt
+++ b/src/main/kotlin/micatally/api/SubmissionHandler.kt
@@ -17,8 +17,8 @@
 import micatally.wire.submittedJobId
 
 /**
- * Users' submissions, which are idempotent: the job id decides whether a submission is a repetition, and of a job that has been accepted
- * its status is answered, whatever the repetition says.
+ * Handles users' submissions, which are idempotent. The job id decides whether a submission is a repetition. If a job
+ * with this id has been accepted, the response is its status, whatever the repeated submission contains.
  */
 class SubmissionHandler(
     private val admission: AdmissionRules,
@@ -30,10 +30,11 @@
     private val nowMs: () -> Long,
 ) {
     /**
-     * Accepts the job if no check speaks against it, and suspends until it is durable.
+     * Accepts the job if all checks pass, and suspends until it is durable.
      *
-     * Answers 201 if it has been accepted now, 200 with its status if it was before, 400 or 422 if it can't be, and 503 if that can't be
-     * said in time: then it may have been accepted, and the submission is to be repeated.
+     * Returns 201 if the job has been accepted now, 200 with its status if it had been accepted before, 400 or 422 if
+     * it can't be accepted, and 503 if the outcome is not known in time. After a 503 the job may have been accepted,
+     * and the user has to repeat the submission.
      */
     suspend fun submit(request: HttpRequest): HttpResponse {
         val body =
@@ -47,7 +48,10 @@
         return submit(jobId, body)
     }
 
-    /** From here on a repetition of an accepted job must not be judged by what it says now: see [statusOr]. */
+    /**
+     * Submits a job whose id is valid. The job may have been accepted before, by any controller. The response is its
+     * status then, so a refusal because of the content of this submission has to go through [statusOr].
+     */
     private suspend fun submit(
         jobId: String,
         body: JsonObject,
@@ -62,18 +66,18 @@
         val shard = writableShard() ?: return unavailable("no contact with the state service")
         obstacleToStart(shard, jobId)?.let { return statusOr(jobId, it) }
         if (contact.isWriteQueueFull) return unavailable("too many submissions at once")
-        val known = jobManager.job(jobId)
-        return if (known != null) repeated(known, shard) else accept(spec, shard)
+        val submittedBefore = jobManager.job(jobId)
+        return if (submittedBefore != null) respondToRepetition(submittedBefore, shard) else accept(spec, shard)
     }
 
-    /** This controller's own shard, if a job can be written to it now. */
+    /** This controller's own shard, or null if no job can be written to it now. */
     private fun writableShard(): JobShard? =
         jobManager.ownShard()?.takeIf {
             contact.isStateReachable &&
                 contact.holdsLease
         }
 
-    /** Why a new job might never be started by this controller. */
+    /** Returns a 503 if this controller might never start the new job, or null if there is no such obstacle. */
     private fun obstacleToStart(
         shard: JobShard,
         jobId: String,
@@ -83,16 +87,18 @@
         return if (isCutOff) unavailable("no contact with the workers") else null
     }
 
-    /** The job has been submitted before, to this controller. */
-    private suspend fun repeated(
+    /** Returns the response to a repeated submission of [job], which has been submitted to this controller before. */
+    private suspend fun respondToRepetition(
         job: Job,
         shard: JobShard,
     ): HttpResponse {
-        // Whether a shard that it has taken over is still led by this controller only the state store can tell.
+        // The job is in a shard that was taken over. Only the state store can tell whether this controller still leads
+        // it.
         if (job.shard !== shard) return statusOr(job.jobId, unavailable("not stored yet"))
         return awaitDurable(job) ?: fullStatus(job.answer())
     }
 
+    /** Creates the job, places its tasks and waits until it is durable. */
     private suspend fun accept(
         spec: JobSpec,
         shard: JobShard,
@@ -106,7 +112,10 @@
         return HttpResponse(CREATED, accepted.brief().bytes())
     }
 
-    /** Suspends until the job is durable. Returns the response if the job's status may not be told then; null if it may. */
+    /**
+     * Suspends until the job is durable. Returns null if its status may be told from memory then, and the response to
+     * the user otherwise.
+     */
     private suspend fun awaitDurable(job: Job): HttpResponse? {
         when (durability.await(job)) {
             WriteOutcome.PENDING -> return unavailable("not stored yet")
@@ -114,12 +123,12 @@
             WriteOutcome.DURABLE -> {}
         }
         if (!jobManager.cancellations.mayConfirm(job)) return unavailable("a cancellation is under way")
-        // The job may have ended meanwhile, and the write that says so may be under way.
-        val isSettled = !job.isEndBeingWritten && contact.holdsLease
-        return if (isSettled) null else statusOr(job.jobId, unavailable("not stored yet"))
+        // The job may have ended meanwhile, and the write of its end may still be in progress.
+        val mayAnswerFromMemory = !job.isEndBeingWritten && contact.holdsLease
+        return if (mayAnswerFromMemory) null else statusOr(job.jobId, unavailable("not stored yet"))
     }
 
-    /** The job's status if it has been accepted before, by whichever controller; [otherwise] if there is no such job. */
+    /** Returns the job's status if any controller has accepted it before, and [otherwise] if there is no such job. */
     private suspend fun statusOr(
         jobId: String,
         otherwise: HttpResponse,
--- a/src/main/kotlin/micatally/api/UserApi.kt
+++ b/src/main/kotlin/micatally/api/UserApi.kt
@@ -4,7 +4,7 @@
 import micatally.http.HttpResponse
 import micatally.wire.PeerJobResponse
 
-/** What users ask of a controller, and what other controllers ask on behalf of their users. */
+/** The requests of users, and those that other controllers send on behalf of their users. */
 class UserApi(
     private val healthCheck: HealthCheck,
     private val submissions: SubmissionHandler,
--- a/src/main/kotlin/micatally/api/WorkerApi.kt
+++ b/src/main/kotlin/micatally/api/WorkerApi.kt
@@ -22,8 +22,8 @@
 import micatally.worker.StatusSource
 
 /**
- * Workers' heartbeats. A 200 renews the worker's lease and so keeps its tasks alive; it is given only while this controller may act, and
- * so would hear of a cancellation in time.
+ * Handles the heartbeats of workers. A 200 renews the worker's lease and so keeps its tasks running. It is returned
+ * only while this controller is sure to learn of a cancellation in time.
  */
 class WorkerApi(
     private val settings: Settings,
@@ -36,9 +36,11 @@
     private val redirects = WorkerRedirects(settings, machines, nowMs) { peers.zoneRedirects.bestControllerFor(it) }
 
     /**
-     * Applies the heartbeat, whatever the answer to it: it is news about the machine in any case.
+     * Applies the heartbeat to the machine registry, whatever the response: it shows the present state of the machine
+     * in any case.
      *
-     * Answers 200 with the tasks to be killed, 421 with the controller to report to instead, or 400.
+     * Returns 200 with the tasks to kill, 421 with the controller to report to instead, or 400 if the heartbeat is
+     * malformed.
      */
     fun handleHeartbeat(request: HttpRequest): HttpResponse {
         val heartbeat =
@@ -59,28 +61,33 @@
         return HttpResponse(OK, response.bytes())
     }
 
+    /** Whether this controller may renew the lease of the worker that sent the heartbeat. */
     private fun mayRenewLease(heartbeat: Heartbeat): Boolean {
-        // This controller does not know a fencing token that the worker knows: it may have been replaced without having heard.
+        // The worker knows a higher fencing token than this controller. Another controller may have taken over this
+        // one's shards without this one having learned of it.
         if (heartbeat.token > membership.sharedKeys.fencingToken) {
             membership.catchUp(NO_CONTINUATION)
             return false
         }
         if (membership.checkLeadership() != LeadershipState.LEADING) return false
-        // Others reach the state store and this controller does not: they know of cancellations of which it can't hear.
-        return !isAloneWithoutState()
+        // Other controllers that reach the state store may know of cancellations that this controller can't learn of
+        // without it.
+        return !isAloneWithoutStateStore()
     }
 
     /**
-     * A peer's word counts only if it is newer than the time from which this controller has been without contact for too long. When a
-     * zone is cut off both end at the same moment: a worker refused then finds no other controller within its lease.
+     * Whether this controller has lost the state store for too long while a peer still reaches it. A peer's report
+     * counts only if it is newer than the time at which the loss became too long. When a zone is cut off, the contact
+     * with the peers and with the state store ends at the same moment. A worker that is refused then would find no
+     * other controller within its lease, so older reports must not count.
      */
-    private fun isAloneWithoutState(): Boolean {
-        val longestMs = settings.leaseMs * STATE_CONTACT_TENTHS / TENTHS
-        val overdueMs = membership.viewAgeMs - longestMs
+    private fun isAloneWithoutStateStore(): Boolean {
+        val maxViewAgeMs = settings.leaseMs * STATE_CONTACT_TENTHS / TENTHS
+        val overdueMs = membership.viewAgeMs - maxViewAgeMs
         return overdueMs > 0 && peers.contacts.hasStateStoreContactSince(nowMs() - overdueMs)
     }
 
-    /** Whether the leaders of the tasks learn something from the heartbeat. */
+    /** Whether the heartbeat contains something new for the leaders of the tasks' shards. */
     private fun isWorthForwarding(
         heartbeat: Heartbeat,
         tasksBefore: List<ListedTask>?,
@@ -92,7 +99,10 @@
         }
     }
 
-    /** Kills for tasks of cancelled jobs, whose leaders may not be able to reach the machine. */
+    /**
+     * Kill commands for the listed tasks of cancelled jobs. The leaders of their shards may be unable to reach the
+     * machine.
+     */
     private fun killsFor(heartbeat: Heartbeat): List<Command> =
         heartbeat.tasks
             .filter { !it.isEnded && cancelledTasks.has(heartbeat.machine, AttemptId.of(it)) }
@@ -101,7 +111,7 @@
     private fun redirectTo(controller: String?) = HttpResponse(MISDIRECTED, redirectBody(controller).bytes())
 
     private companion object {
-        /** One and the same object for all calls, so that it is registered once. */
+        /** The same object for all calls of [Membership.catchUp], so that it is registered only once. */
         val NO_CONTINUATION = {}
     }
 }
--- a/src/main/kotlin/micatally/api/WorkerRedirects.kt
+++ b/src/main/kotlin/micatally/api/WorkerRedirects.kt
@@ -6,13 +6,16 @@
 import micatally.worker.MachineRegistry
 
 /**
- * Sends workers to the controller of their own zone, so that a cut between zones does not end their leases.
+ * Redirects workers to a controller of their own zone, so that a network partition between zones does not end their
+ * leases.
  *
- * That controller may be one that its workers can't reach while it talks to the other controllers and to the state store. A worker
- * that came from there has left it because it got no response: sent back, it would lose its lease and all its tasks. So no worker is
- * sent where it came from, and while a controller hears no worker of the zone only one at a time is sent to try.
+ * Workers may be unable to reach that controller although it is in contact with the other controllers and the state
+ * store. A worker that came from it has left because it got no response, and would lose its lease and all its tasks if
+ * it were sent back. So a worker is not redirected to a controller that it came from lately. While the target
+ * controller hears no worker of the zone, only one worker per lease is redirected to it, as a trial.
  *
- * @param bestControllerOf the host of the controller to which workers of a zone report best; null if none is known
+ * @param bestControllerOf returns the host of the controller to which the workers of a zone should report, or null if
+ * none is known
  */
 class WorkerRedirects(
     private val settings: Settings,
@@ -20,25 +23,31 @@
     private val nowMs: () -> Long,
     private val bestControllerOf: (zone: String) -> String?,
 ) {
+    /** When each worker was last redirected, by machine name. */
     private val redirectedAtMs = HashMap<String, Long>()
-    private val triedAtMs = HashMap<String, Long>()
 
-    /** The controller that the worker is to report to instead of this one; null: it stays here. */
+    /** When a worker was last redirected as a trial to each controller, by host. */
+    private val trialAtMs = HashMap<String, Long>()
+
+    /**
+     * Returns the host of the controller that the worker is to report to instead of this one, or null if it stays here.
+     */
     fun targetFor(
         machine: Machine,
         heartbeat: Heartbeat,
     ): String? {
         val now = nowMs()
-        // Once in a while only, so that two controllers that see the others differently don't send it to and fro.
-        if (now - (redirectedAtMs[machine.name] ?: LONG_AGO) <= settings.leaseMs * PAUSE_LEASES) return null
+        // The pause keeps two controllers with different views of the others from sending the worker back and forth.
+        if (now - (redirectedAtMs[machine.name] ?: LONG_AGO) <= settings.leaseMs * LEASES_BETWEEN_REDIRECTS) return null
         val target = bestControllerOf(machine.zone)
         if (target == null || target == settings.host) return null
         if (cameFrom(target, machine, now)) return null
-        if (!isZoneHeardBy(target, machine.zone, now) && !mayTry(target, heartbeat, now)) return null
+        if (!isZoneHeardBy(target, machine.zone, now) && !mayRedirectAsTrial(target, heartbeat, now)) return null
         redirectedAtMs[machine.name] = now
         return target
     }
 
+    /** Whether the controller on [host] accepted a heartbeat of the machine lately. */
     private fun cameFrom(
         host: String,
         machine: Machine,
@@ -48,6 +57,7 @@
         return now - heardAt < settings.leaseMs * CAME_FROM_LEASES
     }
 
+    /** Whether the controller on [host] accepted a heartbeat of any worker of [zone] in the last half of a lease. */
     private fun isZoneHeardBy(
         host: String,
         zone: String,
@@ -57,32 +67,43 @@
         isInZone && machine.heardByAt(host)?.let { now - it < settings.leaseMs / 2 } ?: false
     }
 
-    /** One worker at a time, and only one that would be back in time if it got no response there. */
-    private fun mayTry(
+    /**
+     * Whether the worker may be redirected as a trial. At most one worker per lease is redirected to each controller,
+     * and a worker with tasks only if it would be back within its lease if it got no response there.
+     */
+    private fun mayRedirectAsTrial(
         host: String,
         heartbeat: Heartbeat,
         now: Long,
     ): Boolean {
-        val longestAbsenceMs =
-            settings.heartbeatIntervalMs * LONGEST_HEARTBEAT_GAP + RESPONSE_TIMEOUT_MS + NEXT_CONTROLLER_MS
-        val isBackInTime = longestAbsenceMs < settings.leaseMs * SAFE_SHARE
+        val maxAbsenceMs =
+            settings.heartbeatIntervalMs * MAX_INTERVAL_RATIO + RESPONSE_TIMEOUT_MS + NEXT_CONTROLLER_DELAY_MS
+        val isBackInTime = maxAbsenceMs < settings.leaseMs * SAFE_LEASE_SHARE
         if (heartbeat.tasks.isNotEmpty() && !isBackInTime) return false
-        if (now - (triedAtMs[host] ?: LONG_AGO) < settings.leaseMs) return false
-        triedAtMs[host] = now
+        if (now - (trialAtMs[host] ?: LONG_AGO) < settings.leaseMs) return false
+        trialAtMs[host] = now
         return true
     }
 
     private companion object {
         const val LONG_AGO = Long.MIN_VALUE / 2
-        const val PAUSE_LEASES = 3
+
+        /** The least time between two redirects of a worker, in multiples of its lease. */
+        const val LEASES_BETWEEN_REDIRECTS = 3
+
+        /** For how many leases after its last heartbeat to a controller a worker counts as coming from there. */
         const val CAME_FROM_LEASES = 3
 
-        /** The protocol: a heartbeat interval may be a quarter longer. */
-        const val LONGEST_HEARTBEAT_GAP = 1.25
+        /** The protocol allows the time between two heartbeats to be a quarter longer than the heartbeat interval. */
+        const val MAX_INTERVAL_RATIO = 1.25
 
-        /** The protocol: how long a worker waits for a response, and then until it tries the next controller. */
+        /** How long a worker waits for the response to a heartbeat, as the protocol specifies. */
         const val RESPONSE_TIMEOUT_MS = 4000L
-        const val NEXT_CONTROLLER_MS = 1500L
-        const val SAFE_SHARE = 0.9
+
+        /** How long a worker then waits until it tries the next controller, as the protocol specifies. */
+        const val NEXT_CONTROLLER_DELAY_MS = 1500L
+
+        /** The part of its lease within which a worker has to be back from a trial. */
+        const val SAFE_LEASE_SHARE = 0.9
     }
 }
