--- a/src/test/kotlin/micatally/api/RecordReadsTest.kt
+++ b/src/test/kotlin/micatally/api/RecordReadsTest.kt
@@ -18,50 +18,56 @@
 
 @OptIn(ExperimentalCoroutinesApi::class)
 class RecordReadsTest {
-    private var sent = 0
+    private var requestsSent = 0
 
-    /** A state service that answers 404 after a fifth of a second. */
+    /** Returns reads from a state store that responds with 404 after 200 ms. */
     private fun TestScope.reads(
         perSecond: Double,
-        mostWaiting: Int,
+        maxWaiting: Int,
     ): RecordReads {
         val caller =
             HttpCaller { _, _, _, _, _ ->
-                sent++
+                requestsSent++
                 delay(200)
                 Outcome.Answer(404, "{\"odometer\":1}".encodeToByteArray())
             }
 
         fun budget(rate: Double) = RateBudget(backgroundScope, rate, { testScheduler.currentTime })
         val state = StateStoreClient(caller, "state:1", budget(1000.0), budget(1000.0), 1000)
-        return RecordReads(RecordLookup(state) { false }, budget(perSecond), mostWaiting, 1000)
+        return RecordReads(RecordLookup(state) { false }, budget(perSecond), maxWaiting, 1000)
     }
 
-    /** Guard: a read that has left is joined by nobody: its answer may be older than what another node told meanwhile. */
+    /**
+     * A query must not join a read whose request has been sent: the result may be older than what another controller
+     * has told the user since.
+     */
     @Test
-    fun `questions share a read that waits, never one that has left`() =
+    fun `queries for one job share a read that waits but none that was sent`() =
         runTest {
-            val reads = reads(perSecond = 2.0, mostWaiting = 10)
+            val reads = reads(perSecond = 2.0, maxWaiting = 10)
             val first = async { reads.read("j-1") }
             val second = async { reads.read("j-2") }
             delay(1)
-            assertEquals(2, sent)
+            assertEquals(2, requestsSent)
             val joined = List(50) { async { reads.read("j-1") } }
             delay(1)
-            assertEquals(2, sent, "one second's worth has left, the next read waits for its turn")
+            assertEquals(2, requestsSent, "the budget of one second is used up, the next read waits")
             assertTrue((listOf(first, second) + joined).awaitAll().all { it is ReadResult.Missing })
-            assertEquals(3, sent)
+            assertEquals(3, requestsSent)
         }
 
-    /** Guard: a bounded number of reads waits; the rest is refused at once. */
+    /**
+     * Only a bounded number of reads may wait for the budget. A read beyond it must be refused at once instead of
+     * waiting.
+     */
     @Test
-    fun `what can't be read soon is refused at once`() =
+    fun `reads beyond the limit of waiting reads are refused at once`() =
         runTest {
-            val reads = reads(perSecond = 2.0, mostWaiting = 3)
+            val reads = reads(perSecond = 2.0, maxWaiting = 3)
             val all = List(20) { i -> async { reads.read("j-$i") } }
             delay(1)
-            assertEquals(15, all.count { it.isCompleted }, "all but two under way and three that wait")
+            assertEquals(15, all.count { it.isCompleted }, "all are refused but two that were sent and three that wait")
             all.awaitAll()
-            assertTrue(testScheduler.currentTime <= 1600, "nobody waits for longer than the limit")
+            assertTrue(testScheduler.currentTime <= 1600, "the time that a read may take is bounded")
         }
 }
