--- a/src/main/kotlin/micatally/config/ChangeCheck.kt
+++ b/src/main/kotlin/micatally/config/ChangeCheck.kt
@@ -5,9 +5,12 @@
 import micatally.wire.LineError
 import micatally.wire.TeamSetting
 
-/** Validates a change against a configuration. Pure functions without I/O. */
+/** Validates a change of the configuration against the current configuration. Pure functions without I/O. */
 object ChangeCheck {
-    /** Returns all errors of the change, each with the team that it concerns; empty if the change is valid. */
+    /**
+     * Returns all errors of the change, or an empty list if it is valid. Each error names the team that it concerns;
+     * the name is empty if the error concerns the change as a whole.
+     */
     fun errors(
         change: ConfigurationChange,
         current: Configuration,
@@ -90,26 +93,25 @@
     }
 
     /**
-     * A team can't switch between limited and unlimited. Work of an unlimited team is not counted in its
-     * allotments, so a
-     * limit that is set later would not apply to it; and work that runs when a limit is removed would be missing
-     * from the
-     * allotments if the limit were set again.
+     * Returns an error for each limit of a team that would be added or removed. A team can't switch between limited and
+     * unlimited. Tasks of an unlimited team are not counted in its allotments, so a limit that is set later would not
+     * apply to them. Likewise, tasks that run when a limit is removed would be missing from the allotments if the limit
+     * were set again.
      */
     private fun limitErrors(
         setting: TeamSetting,
-        former: Team,
+        stored: Team,
     ): List<String> {
         val errors = ArrayList<String>()
-        if ((setting.coresMax > 0) != (former.coresMax > 0)) errors.add(LIMIT_KIND_IS_FIXED.format("cpus_max"))
-        if ((setting.gpusMax > 0) != (former.gpusMax > 0)) errors.add(LIMIT_KIND_IS_FIXED.format("gpus_max"))
+        if ((setting.coresMax > 0) != (stored.coresMax > 0)) errors.add(LIMIT_KIND_IS_FIXED.format("cpus_max"))
+        if ((setting.gpusMax > 0) != (stored.gpusMax > 0)) errors.add(LIMIT_KIND_IS_FIXED.format("gpus_max"))
         return errors
     }
 
     private const val LIMIT_KIND_IS_FIXED =
         "%s can't go between 0 (no limit) and a limit while the team exists; set a high one"
 
-    /** Names are part of keys of the state store, which have at most 200 bytes. */
+    /** The longest name. Names are part of keys in the state store, and a key has at most 200 bytes. */
     private const val MAX_NAME_LENGTH = 100
     private val NAME = Regex("[A-Za-z0-9._-]{1,$MAX_NAME_LENGTH}")
     private const val MAX_TEXT_LENGTH = 200
--- a/src/main/kotlin/micatally/config/ChangeCodec.kt
+++ b/src/main/kotlin/micatally/config/ChangeCodec.kt
@@ -16,11 +16,11 @@
 import micatally.wire.textOrNull
 
 /**
- * The stored head of the configuration.
+ * The head of the stored configuration. It states which version and which snapshot are the newest.
  *
- * @property version the newest change
- * @property snapshot the version of the newest snapshot; changes before it may be gone. 0: none
- * @property snapshotParts into how many values that snapshot is split
+ * @property version the version of the newest change
+ * @property snapshot the version of the newest snapshot, or 0 if there is none; changes before it may have been pruned
+ * @property snapshotParts the number of values that hold this snapshot
  */
 class ConfigurationHead(
     val version: Long,
@@ -29,10 +29,12 @@
 )
 
 /**
- * A change as one stored value.
+ * A change as read from the state store.
  *
- * @property parts how many further values hold its teams; 0: they are in the record itself
- * @property stage names those values; no two writes of a change share them
+ * @property record the change; its teams and removals are empty if they are stored as parts
+ * @property parts the number of separate values that hold the teams and removals; 0 if they are in [record] itself
+ * @property stage the name under which the parts are stored, unique for each attempt to write a change; empty if there
+ * are no parts
  */
 class StoredChange(
     val record: ChangeRecord,
@@ -40,8 +42,9 @@
     val stage: String,
 )
 
-/** The codec of the values of the configuration in the state store. */
+/** Encodes and decodes the values of the configuration in the state store. */
 object ChangeCodec {
+    /** Encodes the head. */
     fun encode(head: ConfigurationHead): JsonObject =
         buildJsonObject {
             put("n", head.version)
@@ -49,6 +52,7 @@
             put("parts", head.snapshotParts)
         }
 
+    /** Decodes the head. */
     fun head(value: JsonObject) =
         ConfigurationHead(
             value.long("n"),
@@ -56,7 +60,11 @@
             (value.longOrNull("parts") ?: 0L).toInt(),
         )
 
-    /** @param parts how many values under [stage] hold the teams; 0: they go in here */
+    /**
+     * Encodes a change.
+     *
+     * @param parts the number of values under [stage] that hold the teams and removals; 0 to encode them in this value
+     */
     fun encode(
         change: ChangeRecord,
         parts: Int = 0,
@@ -77,9 +85,10 @@
             }
         }
 
-    /** Changes that were written together share a value. */
+    /** Returns the one value for a batch of encoded changes, which are committed together. */
     fun group(changes: List<JsonObject>): JsonObject = buildJsonObject { put("changes", JsonArray(changes)) }
 
+    /** Decodes the changes of a batch. */
     fun changes(group: JsonObject): List<StoredChange> =
         (group.listOrNull("changes") ?: emptyList()).map { change(it.asObject()) }
 
@@ -98,7 +107,7 @@
             value.textOrNull("stage") ?: "",
         )
 
-    /** Returns the change with the teams and removals of its [parts]. */
+    /** Returns the complete change, with the teams and removals that its [parts] hold. */
     fun joined(
         stored: StoredChange,
         parts: List<JsonObject>,
@@ -146,13 +155,17 @@
         }
     }
 
+    /** Decodes the teams in one value of a snapshot. */
     fun entries(part: JsonObject): List<TeamEntry> =
         (part.listOrNull("entries") ?: emptyList()).map {
             val row = it.asObject()
             TeamEntry(TeamJson.decode(row), row.longOrNull("removed") == 1L, row.long("n"))
         }
 
-    /** Splits [rows] into values of at most [valueBytes]; a row that is larger by itself gets a value of its own. */
+    /**
+     * Distributes [rows] over values of at most [valueBytes]. A row that is larger than that by itself gets a value of
+     * its own.
+     */
     private fun <T> packRows(
         rows: List<T>,
         valueBytes: Int,
@@ -181,5 +194,6 @@
         return JsonObject(TeamJson.encode(entry.team) + entryFields)
     }
 
+    /** Bytes of a value that are reserved for the JSON around its rows. */
     private const val ENVELOPE_BYTES = 64
 }
--- a/src/main/kotlin/micatally/config/ChangeFile.kt
+++ b/src/main/kotlin/micatally/config/ChangeFile.kt
@@ -15,22 +15,27 @@
 import micatally.wire.parseObject
 import micatally.wire.text
 
-/** A change file that can't be used; every wrong line is named. */
+/** Thrown for an invalid change file. [errors] lists every error in the file. */
 class ChangeFileError(
     val errors: List<LineError>,
 ) : Exception(errors.joinToString("; ") { "${it.team} ${it.message}".trim() })
 
 /**
- * Reads the file of `micatally config apply`: a JSON object with `base`, `author`, `reason`, `teams` (objects
- * with `name`,
- * `cpus`, `cpus_max`, `gpus` and `gpus_max`, as in the settings file) and `remove` (names).
+ * Parser of the file for `micatally config apply`. It is a JSON object with the fields `base`, `author`, `reason`,
+ * `teams` (objects with `name`, `cpus`, `cpus_max`, `gpus` and `gpus_max`, as in the settings file) and `remove` (names
+ * of teams).
  */
 object ChangeFile {
     private val FIELDS = listOf("base", "author", "reason", "teams", "remove")
     private val QUOTA_FIELDS = listOf("cpus", "cpus_max", "gpus", "gpus_max")
     private val TEAM_FIELDS = listOf("name") + QUOTA_FIELDS
 
-    /** @param id of the change, see [ConfigurationChange.id] */
+    /**
+     * Parses a change file.
+     *
+     * @param id the id of the change, see [ConfigurationChange.id]
+     * @throws ChangeFileError if the file has errors
+     */
     fun parse(
         body: ByteArray,
         id: String,
--- a/src/main/kotlin/micatally/config/Configuration.kt
+++ b/src/main/kotlin/micatally/config/Configuration.kt
@@ -6,10 +6,10 @@
 import micatally.wire.TeamSetting
 
 /**
- * The latest values of a team. A removed team keeps its values, because its remaining work counts against them if the
- * team is added again.
+ * The latest values of a team. A removed team keeps its entry, because its tasks that still run count against these
+ * values if the team is added again.
  *
- * @property changedAt the version that changed the team last
+ * @property changedAt the version that last changed or removed the team
  */
 class TeamEntry(
     val team: Team,
@@ -18,28 +18,31 @@
 )
 
 /**
- * The configuration at one version: an immutable snapshot, replaced as a whole.
+ * The configuration at one version. It is immutable; a change yields a new object.
  *
- * @property changeIds ids of the changes that are known to be in it, with their versions
+ * @property changeIds ids of recent changes that this configuration contains, with their versions
  */
 class Configuration private constructor(
     val version: Long,
     private val entries: PersistentMap<String, TeamEntry>,
     private val changeIds: PersistentMap<String, Long>,
 ) {
-    /** Returns the latest values of a team, also of a removed one. */
+    /** Returns the latest entry of a team, even if the team was removed; null if it never existed. */
     fun entry(name: String): TeamEntry? = entries[name]
 
     /** Returns the team, or null if it does not exist or was removed. */
     fun team(name: String): Team? = entries[name]?.takeUnless { it.isRemoved }?.team
 
+    /** All teams except for removed ones. */
     val teams: List<Team> get() = entries.values.filter { !it.isRemoved }.map { it.team }
+
+    /** All teams, with removed ones. */
     val allEntries: Collection<TeamEntry> get() = entries.values
 
-    /** The version under which a change with this id was applied; null if none is known. */
+    /** Returns the version under which the change with this id was applied; null if no such change is known. */
     fun versionOf(changeId: String): Long? = changeIds[changeId]
 
-    /** The configuration after [change], which must be the next one. */
+    /** Returns the configuration after [change], whose version must be the next one. */
     fun with(change: ChangeRecord): Configuration {
         check(change.version == version + 1) { "change ${change.version} does not follow version $version" }
         var next = entries
@@ -52,9 +55,9 @@
     }
 
     /**
-     * A change is repeated soon or never, so the older half of the ids is dropped when there are too many. The
-     * limit grows
-     * with the number of teams: all of them may be changed at once, and each change repeated.
+     * Returns the ids to keep. A change is repeated soon after its first attempt or not at all, so once there are too
+     * many ids the older half is dropped. The limit grows with the number of teams, because all teams may be changed at
+     * once and each of these changes may be repeated.
      */
     private fun recentIds(version: Long): PersistentMap<String, Long> {
         val maxIds = maxOf(MIN_REMEMBERED_IDS, entries.size * IDS_PER_TEAM)
@@ -66,9 +69,11 @@
     companion object {
         private const val MIN_REMEMBERED_IDS = 2000
         private const val IDS_PER_TEAM = 4
+
+        /** The configuration before the first change: version 0 without teams. */
         val EMPTY = Configuration(0, persistentMapOf(), persistentMapOf())
 
-        /** Restores a configuration from a snapshot, which does not hold the ids of its changes. */
+        /** Creates a configuration from a snapshot. The ids of its changes are unknown, since a snapshot omits them. */
         fun of(
             version: Long,
             entries: List<TeamEntry>,
@@ -79,14 +84,19 @@
     }
 }
 
+/** Converts a team to its form in messages. */
 fun Team.toSetting() = TeamSetting(name, cores, coresMax, gpus, gpusMax)
 
+/** Converts a team from its form in messages. */
 fun TeamSetting.toTeam() = Team(name, cores, coresMax, gpus, gpusMax)
 
 /**
- * One change as it is stored.
+ * A change that has a version and can be stored.
  *
- * @property atMs wall-clock time of the writer in milliseconds; informational, no decision depends on it
+ * @property atMs wall-clock time of the controller that wrote the change, in ms; informational, no decision depends on
+ * it
+ * @property set teams that are added or replaced
+ * @property remove names of removed teams
  */
 class ChangeRecord(
     val version: Long,
--- a/src/main/kotlin/micatally/config/ConfigurationApi.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationApi.kt
@@ -22,7 +22,9 @@
 import micatally.wire.RollbackRequest
 import micatally.wire.StatusRequest
 
-/** Serves the requests of operators and other controllers about the configuration, on the address for controllers. */
+/**
+ * Serves requests about the configuration. Operators and other controllers send them to the address for controllers.
+ */
 class ConfigurationApi(
     private val settings: Settings,
     private val http: HttpCaller,
@@ -31,7 +33,7 @@
     private val store: ConfigurationStore,
     private val nowMs: () -> Long,
 ) {
-    /** The answer to a request for [path], or null if there is no such resource. */
+    /** Returns the response body for a request, or null if there is no resource at [path]. */
     suspend fun handle(
         path: String,
         body: ByteArray,
@@ -65,7 +67,7 @@
         )
     }
 
-    /** A new change that makes the teams what they were at a former version. */
+    /** Applies a new change that restores the teams of an earlier version. */
     private suspend fun rollback(request: RollbackRequest): ChangeAnswer {
         if (!live.isOn) return ChangeAnswer(ChangeStatus.SWITCHED_OFF)
         if (!live.refresh()) return ChangeAnswer(ChangeStatus.UNAVAILABLE)
@@ -74,10 +76,10 @@
         if (request.version !in 1..current.version) {
             return invalid(current, "version ${request.version} does not exist; the newest is ${current.version}")
         }
-        val former =
+        val target =
             store.readVersion(request.version, head)
                 ?: return invalid(current, "version ${request.version} can't be read, or is too old to be known")
-        return writer.apply(changeBack(request, current, former))
+        return writer.apply(rollbackChange(request, current, target))
     }
 
     private fun invalid(
@@ -85,26 +87,25 @@
         message: String,
     ) = ChangeAnswer(ChangeStatus.INVALID, current.version, listOf(LineError("", message)))
 
-    /** The change that turns [current] into [former]. */
-    private fun changeBack(
+    /** Returns the change that turns [current] into [target]. */
+    private fun rollbackChange(
         request: RollbackRequest,
         current: Configuration,
-        former: Configuration,
+        target: Configuration,
     ) = ConfigurationChange(
         id = request.id,
         base = current.version,
         author = request.author,
         reason = request.reason,
-        set = former.teams.map { it.toSetting() }.filter { it != current.team(it.name)?.toSetting() },
-        remove = current.teams.map { it.name }.filter { former.team(it) == null },
+        set = target.teams.map { it.toSetting() }.filter { it != current.team(it.name)?.toSetting() },
+        remove = current.teams.map { it.name }.filter { target.team(it) == null },
     )
 
     /**
-     * Returns the rollout status of a version; 0 requests the newest. A version is in force when every controller has
-     * confirmed that it decides by it, or when so much time has passed since it was applied here that a controller
-     * without it can't start anything any more. The confirmation of a process holds for its successors too: they
-     * read the
-     * shared keys before they decide anything.
+     * Returns the rollout status of a version; 0 requests the newest. A version is in force in one of two cases: every
+     * controller has confirmed that it decides by this version, or so much time has passed since the version was
+     * applied here that a controller without it may no longer start tasks. The confirmation of a process also holds for
+     * the processes that replace it on its host, because they read the shared keys before they decide anything.
      */
     private suspend fun status(requestedVersion: Long): ConfigurationStatus {
         if (!live.isOn) return ConfigurationStatus(isOn = false)
@@ -128,11 +129,14 @@
 
     private fun List<AppliedVersion>.hostSet() = map { it.host }.toSet()
 
-    /** The time for which a controller that lacks the version may still start tasks, with the drift of both clocks. */
+    /**
+     * Returns for how many ms a controller without the version may still start tasks. Includes a margin for the drift
+     * of both controllers' clocks.
+     */
     private fun remainingMsUntilInForce(version: Long): Long {
         val boundMs = settings.startBoundMs * (1 + MAX_CLOCK_DRIFT * 2)
-        val seenAtMs = live.appliedAtMs(version) ?: return boundMs.toLong()
-        return maxOf(0L, (seenAtMs + boundMs - nowMs()).toLong())
+        val appliedAtMs = live.appliedAtMs(version) ?: return boundMs.toLong()
+        return maxOf(0L, (appliedAtMs + boundMs - nowMs()).toLong())
     }
 
     private suspend fun requestAppliedVersions(): List<AppliedVersion> =
@@ -157,7 +161,7 @@
     }
 }
 
-/** Paths of the configuration's resources on the address for controllers. */
+/** Paths of the resources of [ConfigurationApi]. */
 object ConfigurationPaths {
     const val GET = "/config/get"
     const val APPLY = "/config/apply"
--- a/src/main/kotlin/micatally/config/ConfigurationClient.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationClient.kt
@@ -13,15 +13,14 @@
 import micatally.wire.RollbackRequest
 import micatally.wire.StatusRequest
 
-/** The controller gave no usable answer. A change that was sent may have been applied nevertheless. */
+/** Thrown if a controller gave no usable response. A change that was sent to it may still have been applied. */
 class NoAnswer(
     message: String,
 ) : Exception(message)
 
 /**
- * Client of one controller's [ConfigurationApi]. Each call suspends for at most [timeoutMs] and throws
- * [NoAnswer] if there
- * is no usable answer.
+ * Client of the [ConfigurationApi] of the controller at [address]. Each call suspends for at most [timeoutMs] and
+ * throws [NoAnswer] if there is no usable response.
  */
 class ConfigurationClient(
     private val http: HttpCaller,
--- a/src/main/kotlin/micatally/config/ConfigurationSeed.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationSeed.kt
@@ -14,7 +14,10 @@
 import micatally.state.Urgency
 import org.slf4j.LoggerFactory
 
-/** Stores the teams of the settings file as the first version, by a transaction that requires that no head exists. */
+/**
+ * Stores the teams of the settings file as the first version of the configuration. The transaction requires that no
+ * head exists, so only one controller succeeds.
+ */
 class ConfigurationSeed(
     private val scope: CoroutineScope,
     private val settings: Settings,
@@ -27,9 +30,10 @@
     private val log = LoggerFactory.getLogger("micatally.config")
     private var isWriting = false
 
+    /** Whether the first version may be written and, as far as the shared keys show, has not been written yet. */
     private val isDue get() = sharedKeys.revision >= 0 && !sharedKeys.has(Keys.CONFIG) && mayWrite()
 
-    /** Starts to store the first version if none is stored. To be called after each change of the shared keys. */
+    /** Starts storing the first version if none is stored. Called after each change of the shared keys. */
     fun sharedKeysChanged() {
         if (!isDue || isWriting) return
         isWriting = true
@@ -43,8 +47,8 @@
     }
 
     /**
-     * Returns false if the attempt has to be repeated. Its condition makes that safe, also after an unknown
-     * outcome.
+     * Makes one attempt to store the first version. Returns false if it was not confirmed as applied. Repeating it is
+     * safe even if the outcome is unknown, because the transaction fails if a head exists.
      */
     private suspend fun write(): Boolean {
         val teams = settings.teams.values.toList()
--- a/src/main/kotlin/micatally/config/ConfigurationService.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationService.kt
@@ -9,9 +9,11 @@
 import micatally.upgrade.Upgrade
 
 /**
- * The parts of the stored configuration on one controller, put together.
+ * Creates and connects the components that handle the stored configuration on one controller.
  *
- * @param onApplied called with each new version of the teams, before it counts as applied
+ * @param nowMs the monotonic clock, in ms
+ * @param wallMs the wall clock, in ms
+ * @param onApplied see [LiveConfiguration]
  */
 class ConfigurationService(
     scope: CoroutineScope,
@@ -35,13 +37,13 @@
     /** The teams and their limits that are in force now. */
     val teams: TeamDirectory get() = live
 
-    /** Follows a change of the shared keys. To be called after each of them. */
+    /** Stores the first version or loads a newer one if needed. Called after each change of the shared keys. */
     fun sharedKeysChanged() {
         seed.sharedKeysChanged()
         live.sharedKeysChanged()
     }
 
-    /** The answer to a request on the address for controllers, or null if there is no such resource. */
+    /** Returns the response body for a request on the address for controllers, or null if there is no such resource. */
     suspend fun handle(
         path: String,
         body: ByteArray,
--- a/src/main/kotlin/micatally/config/ConfigurationStore.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationStore.kt
@@ -13,7 +13,7 @@
 import micatally.state.Urgency
 import micatally.state.Write
 
-/** The outcome of reading the stored head. */
+/** The result of reading the stored head. */
 sealed interface HeadRead {
     /** The head as it is stored now. */
     class Found(
@@ -23,22 +23,24 @@
     /** The configuration has not been stored yet. */
     data object Missing : HeadRead
 
-    /** The state store gave no answer. */
+    /** The state store gave no usable response. */
     data object Unavailable : HeadRead
 }
 
 /**
- * The configuration in the state store:
+ * Reads and writes the configuration in the state store. It consists of:
  * - the head, which all controllers watch;
- * - one immutable value for each batch of changes, under the version of its last change, written in one
- * transaction with
- *   the head;
- * - snapshots, written from time to time, so that a start reads a bounded number of changes.
+ * - one immutable value for each batch of changes. Its key contains the version of the batch's last change, and it is
+ *   written in one transaction with the head;
+ * - parts, which hold the teams and removals of a change that is too large for one value;
+ * - snapshots, which are written at intervals so that a starting controller reads a bounded number of changes.
  */
 class ConfigurationStore(
     private val state: StateStoreClient,
     private val limits: StateLimits,
-    /** The identity of this process. It keeps the parts of a large change apart from those of any other process. */
+    /**
+     * The name of this process. It keeps the keys of the parts that it writes distinct from those of other processes.
+     */
     private val process: String,
 ) {
     private var stageCount = 0L
@@ -51,7 +53,7 @@
             ReadResult.Unavailable -> HeadRead.Unavailable
         }
 
-    /** Returns the newest snapshot with all later changes applied; null if some of it can't be read now. */
+    /** Returns the newest snapshot with all later changes applied; null if some value can't be read now. */
     suspend fun load(head: ConfigurationHead): Configuration? {
         if (head.snapshot == 0L) return applyLaterChanges(Configuration.EMPTY)
         return applyLaterChanges(readSnapshot(head.snapshot, head.snapshotParts) ?: return null)
@@ -67,7 +69,7 @@
     }
 
     /**
-     * Returns [from] with all later changes up to [last] applied; null if they can't be read now or have been
+     * Returns [from] with all later changes up to version [last] applied; null if they can't be read now or have been
      * pruned.
      */
     suspend fun applyLaterChanges(
@@ -88,11 +90,15 @@
         version: Long,
         head: ConfigurationHead,
     ): Configuration? {
-        val start = startBefore(version, head) ?: return null
+        val start = newestSnapshotUpTo(version, head) ?: return null
         return applyLaterChanges(start, last = version)?.takeIf { it.version == version }
     }
 
-    private suspend fun startBefore(
+    /**
+     * Returns the newest stored snapshot that is not newer than [version], or the empty configuration if there is none;
+     * null if the snapshots can't be read now.
+     */
+    private suspend fun newestSnapshotUpTo(
         version: Long,
         head: ConfigurationHead,
     ): Configuration? {
@@ -111,8 +117,8 @@
             .toLong()
 
     /**
-     * Returns up to [count] changes before and including version [newest], newest first; null if they can't be
-     * read now.
+     * Returns the stored changes after version [newest] - [count], newest first; null if they can't be read now. A
+     * change whose parts can't be read is returned without its teams and removals.
      */
     suspend fun history(
         newest: Long,
@@ -129,6 +135,7 @@
             ?.flatMap { ChangeCodec.changes(it.value) }
             ?.filter { it.record.version > version }
 
+    /** Returns the change with the content of its parts; null if they can't be read now. */
     private suspend fun completeRecord(change: StoredChange): ChangeRecord? {
         if (change.parts == 0) return change.record
         val items = state.list(Keys.configPart(change.stage), Urgency.LEASE)?.items ?: return null
@@ -136,12 +143,11 @@
     }
 
     /**
-     * Prepares a change for its commit. The teams of a change that is too large for one value are written first, as
-     * parts under a key of their own, which nothing refers to until the change itself is committed. The parts of
-     * a change
-     * that is never committed are left in the store.
+     * Prepares a change for its commit. If its encoded form is larger than half of the value limit, its teams and
+     * removals are first written as parts under keys of their own. Nothing refers to the parts until the change itself
+     * is committed. The parts of a change that is never committed stay in the state store.
      *
-     * @return the form to store, at most half a value; null if the parts could not be written
+     * @return the encoded change, at most half as large as the value limit; null if the parts could not be written
      */
     suspend fun stage(change: ChangeRecord): JsonObject? {
         val plain = ChangeCodec.encode(change)
@@ -153,16 +159,18 @@
     }
 
     /**
-     * Writes a snapshot. Repeating it is idempotent: the content depends on the version alone.
+     * Writes a snapshot. This is idempotent, because the content depends on the version alone.
      *
-     * @return the number of values written; null if not all were confirmed
+     * @return the number of values written; null if one of the writes was not confirmed
      */
     suspend fun writeSnapshot(configuration: Configuration): Int? {
         val parts = ChangeCodec.snapshot(configuration, limits.valueBytes)
         return if (writeParts(Keys.configSnapshot(configuration.version), parts, Urgency.SUMMARY)) parts.size else null
     }
 
-    /** Writes the values one after the other under numbered keys; false as soon as one was not confirmed. */
+    /**
+     * Writes the values one after the other under numbered keys. Stops and returns false if a write is not confirmed.
+     */
     private suspend fun writeParts(
         prefix: String,
         parts: List<JsonObject>,
@@ -176,7 +184,10 @@
         return true
     }
 
-    /** Deletes what a start does not need any more: changes up to [version], their parts, and older snapshots. */
+    /**
+     * Deletes all changes up to [version], their parts, and the snapshots before [version]. A starting controller does
+     * not need them once a snapshot of [version] or a newer one exists.
+     */
     suspend fun prune(version: Long) {
         val changes = state.list(Keys.CONFIG_CHANGE, Urgency.SUMMARY)?.items ?: return
         val snapshots = state.list(Keys.CONFIG_SNAPSHOT, Urgency.SUMMARY)?.items ?: return
--- a/src/main/kotlin/micatally/config/ConfigurationWriter.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationWriter.kt
@@ -24,10 +24,10 @@
 /**
  * Commits changes of the configuration. Queued changes are committed in batches: each change gets a version of its own,
  * and the whole batch is stored as one value by a compare-and-swap of the head. The transaction is applied only if the
- * head is still the one that the changes were checked against, so no change is ever based on values that it was not
- * checked with.
+ * head is still the one that the changes were checked against, so a change is never applied to values other than those
+ * that it was checked against.
  *
- * At most one batch is in flight at a time on a controller; other controllers may write concurrently.
+ * A controller has at most one batch in flight. Other controllers may write concurrently.
  *
  * @param refreshSharedKeys reads the shared keys from the state store again
  */
@@ -54,8 +54,8 @@
         var isSent = false
 
         /**
-         * Whether the caller was answered without waiting for the outcome. A change that was not sent by then is
-         * dropped.
+         * Whether the caller was answered at the timeout, before the outcome was known. Such a change is dropped unless
+         * a transaction with it is in flight.
          */
         var hasTimedOut = false
     }
@@ -64,10 +64,10 @@
     private var isWriting = false
 
     /**
-     * Commits a change, or only checks it if it is a dry run. Suspends until the change is applied or rejected, but no
-     * longer than half a lease: then the answer is [ChangeStatus.UNKNOWN] if a transaction with the change has
-     * been sent and
-     * [ChangeStatus.UNAVAILABLE] otherwise. Repeating a change with the same id is idempotent.
+     * Commits a change, or only checks it if it is a dry run. Suspends until the change is applied or rejected, but for
+     * at most half a worker lease. After that time the answer is [ChangeStatus.UNKNOWN] if a transaction with the
+     * change has been sent, and [ChangeStatus.UNAVAILABLE] otherwise. Repeating a change with the same id is
+     * idempotent.
      */
     suspend fun apply(change: ConfigurationChange): ChangeAnswer {
         if (!live.isOn) return ChangeAnswer(ChangeStatus.SWITCHED_OFF)
@@ -87,7 +87,7 @@
             ?: ChangeAnswer(ChangeStatus.VALID, live.configuration.version)
     }
 
-    /** Why the change can't be applied to [current]; null if it can. */
+    /** Returns the answer that rejects the change, or null if it can be applied to [current]. */
     private fun rejection(
         change: ConfigurationChange,
         current: Configuration,
@@ -100,6 +100,7 @@
         return ChangeAnswer(ChangeStatus.CONFLICT, current.version, lines)
     }
 
+    /** Starts to commit the queued changes, unless that is already running. */
     private fun startWriting() {
         if (isWriting) return
         isWriting = true
@@ -119,6 +120,10 @@
         val value: JsonObject,
     )
 
+    /**
+     * Commits one batch of queued changes. Waits instead if this controller has not loaded the newest configuration
+     * yet.
+     */
     private suspend fun commitBatch() {
         val head = live.head
         if (head?.version != live.configuration.version || live.phase != ConfigurationPhase.CURRENT) {
@@ -139,7 +144,10 @@
         compact()
     }
 
-    /** The compare-and-swap of the head that was read at [modRevision], with [writes] beside it. */
+    /**
+     * Returns the transaction that replaces the head if it was last modified at [modRevision], and carries out [writes]
+     * together with that.
+     */
     private fun replaceHead(
         modRevision: Long,
         next: ConfigurationHead,
@@ -150,8 +158,8 @@
     }
 
     /**
-     * Takes changes from the queue as long as they fit in one value, and checks each against the configuration with all
-     * earlier changes of the batch. Changes that can't be applied are answered here.
+     * Takes changes from the queue as long as they fit in one value. Each is checked against the configuration with all
+     * earlier changes of the batch applied. Changes that can't be applied are answered here and left out.
      */
     private suspend fun stageBatch(): List<StagedChange> {
         val batch = ArrayList<StagedChange>()
@@ -168,7 +176,10 @@
         return batch
     }
 
-    /** Stages the change as the successor of [current]; answers it and returns null if that can't be done. */
+    /**
+     * Stages the change as the one that follows [current]. If it can't be staged, or has been applied already, answers
+     * it and returns null.
+     */
     private suspend fun stageOrAnswer(
         queued: QueuedChange,
         current: Configuration,
@@ -203,9 +214,9 @@
     )
 
     /**
-     * Returns whether this call applied the transaction. While the outcome of a request is unknown the transaction may
-     * still be applied later, so it is repeated under the same condition until an answer shows that it was applied or
-     * can't be applied any more.
+     * Sends the transaction and returns whether the response of the state store confirms it as applied. After a request
+     * with an unknown outcome the transaction may still be applied later. It is then repeated under the same condition
+     * until a response shows that it was applied or can no longer be applied.
      */
     private suspend fun commit(transaction: Transaction): Boolean {
         var mayBeCommitted = false
@@ -220,7 +231,10 @@
         }
     }
 
-    /** After a lost compare-and-swap (another writer was first, or an answer was lost): waits for the newer head. */
+    /**
+     * Waits for the newer configuration after the compare-and-swap of the head was not confirmed. Either another writer
+     * was first, or the response to a successful request was lost, or the state store did not carry out the request.
+     */
     private suspend fun catchUp(modRevision: Long) {
         refreshSharedKeys()
         if (sharedKeys.modRevision(Keys.CONFIG) == modRevision) delay(retryMs)
@@ -228,8 +242,8 @@
     }
 
     /**
-     * Answers a change of a finished transaction if it was applied; otherwise puts it back at the head of the
-     * queue.
+     * Answers a change whose transaction has ended if it was applied. Otherwise puts the change back at the front of
+     * the queue, unless it has timed out.
      */
     private fun completeOrRequeue(queued: QueuedChange) {
         val version = live.configuration.versionOf(queued.change.id)
@@ -243,7 +257,10 @@
         }
     }
 
-    /** Writes a snapshot once enough changes have piled up, so that a start reads a bounded number of them. */
+    /**
+     * Writes a snapshot if there are [SNAPSHOT_EVERY] changes since the last one, so that a starting controller reads a
+     * bounded number of changes.
+     */
     private suspend fun compact() {
         val head = live.head ?: return
         val configuration = live.configuration
@@ -252,7 +269,7 @@
         val parts = store.writeSnapshot(configuration) ?: return
         val nextHead = ConfigurationHead(head.version, head.version, parts)
         if (commit(replaceHead(modRevision, nextHead)) && head.snapshot > 0) store.prune(head.snapshot)
-        // The next change must be checked against the head that was just written.
+        // The compare-and-swap of the next batch must expect the head that was just written.
         refreshSharedKeys()
     }
 
@@ -260,12 +277,12 @@
         private const val RETRIES_PER_LEASE = 200
         private const val MAX_QUEUED_CHANGES = 1000
 
-        /** Bytes of a value around the changes in it. */
+        /** Bytes of a value that are reserved for the JSON around its changes. */
         private const val ENVELOPE_BYTES = 64
 
         /**
-         * Number of changes between two snapshots. At least as many versions can be rolled back to, at most
-         * twice as many.
+         * Number of changes between two snapshots. At least this many of the newest versions can be rolled back to, and
+         * at most twice as many.
          */
         const val SNAPSHOT_EVERY = 500
     }
--- a/src/main/kotlin/micatally/config/LiveConfiguration.kt
+++ b/src/main/kotlin/micatally/config/LiveConfiguration.kt
@@ -10,12 +10,12 @@
 import micatally.settings.TeamDirectory
 import org.slf4j.LoggerFactory
 
-/** How this controller's configuration relates to the stored one. */
+/** The state of this controller's configuration compared with the stored one. */
 enum class ConfigurationPhase {
-    /** No configuration is stored: the teams are those of the settings file. */
+    /** As far as this controller knows, no configuration is stored. The teams of the settings file apply. */
     OFF,
 
-    /** A newer version is known to exist but is not loaded yet; nothing may be decided. */
+    /** A newer version is known to exist but is not loaded yet. No decision may be based on the teams. */
     BEHIND,
 
     /** The newest version in this controller's copy of the shared keys is loaded. */
@@ -25,8 +25,8 @@
 /**
  * The configuration that this controller decides by. It is immutable and replaced as a whole.
  *
- * @param mayBeOn whether the stored configuration may have been switched on without this controller having seen it yet
- * @param onApplied called with each replacement of the configuration, before the new version counts as applied
+ * @param mayBeOn whether a configuration may have been stored that this controller has not seen yet
+ * @param onApplied called each time the configuration is replaced, before the new version counts as applied
  */
 class LiveConfiguration(
     private val scope: CoroutineScope,
@@ -47,14 +47,16 @@
     var configuration = Configuration.EMPTY
         private set
 
-    /** When this controller first decided by a version, oldest first. */
+    /** The times at which this controller applied the recent versions, oldest first. */
     private val appliedVersions = ArrayDeque<AppliedVersionTime>()
 
+    /** The time at which a version was applied, in ms on the clock of [nowMs]. */
     private class AppliedVersionTime(
         val version: Long,
         val atMs: Long,
     )
 
+    /** Whether the teams come from the state store instead of the settings file. */
     val isOn get() = phase != ConfigurationPhase.OFF
     override val isCurrent get() = phase != ConfigurationPhase.BEHIND
 
@@ -62,10 +64,10 @@
 
     override fun all(): Collection<Team> = if (isOn) configuration.teams else settings.teams.values
 
-    /** The stored head as this controller's copy of the shared keys shows it. */
+    /** The stored head according to this controller's copy of the shared keys; null if there is none. */
     val head get() = sharedKeys.value(Keys.CONFIG)?.let { ChangeCodec.head(it) }
 
-    /** The one place where the phase changes. */
+    /** Changes the phase. The phase is set nowhere else. */
     private fun transitionTo(next: ConfigurationPhase) {
         if (next == phase) return
         check(next != ConfigurationPhase.OFF) { "a stored configuration is never switched off" }
@@ -74,7 +76,7 @@
     }
 
     /**
-     * Loads the newest version if the shared keys show a newer one. To be called after each change of the shared
+     * Starts loading the newest version if the shared keys show a newer one. Called after each change of the shared
      * keys.
      */
     fun sharedKeysChanged() {
@@ -94,7 +96,7 @@
         }
     }
 
-    /** Makes one attempt to load the newest version; returns false if some of it can't be read now. */
+    /** Makes one attempt to load the newest version. Returns false if some value can't be read now. */
     private suspend fun load(): Boolean {
         val newest = head ?: return false
         val updated = if (configuration.version > 0) store.applyLaterChanges(configuration) else null
@@ -116,16 +118,17 @@
     }
 
     /**
-     * Returns the time in milliseconds at which this controller applied [version] or a later one; null if it has
-     * not.
+     * Returns the time at which this controller first applied [version] or a later one, in ms; null if it has not. Only
+     * the most recent versions are remembered, so for an old version the time may be that of a later one.
      */
     fun appliedAtMs(version: Long): Long? = appliedVersions.find { it.version >= version }?.atMs
 
     /**
-     * Returns whether the configuration permits starting a task. A controller without contact to the state store for
-     * nine tenths of a lease may lack a version that is in force by then, so it may not start anything.
+     * Returns whether the configuration permits starting a task. A controller that has had no contact with the state
+     * store for nine tenths of a worker lease ([Settings.startBoundMs]) may lack a version that is in force by then, so
+     * it may not start any task.
      *
-     * @param viewAgeMs the age of this controller's copy of the shared keys
+     * @param viewAgeMs the age of this controller's copy of the shared keys, in ms
      */
     fun mayStart(viewAgeMs: Long): Boolean {
         if (!isOn && !mayBeOn()) return true
@@ -140,7 +143,7 @@
         return awaitVersion(read.head.version, settings.leaseMs / REFRESHES_PER_LEASE)
     }
 
-    /** Suspends until [version] or a later one is applied here; returns false after [timeoutMs]. */
+    /** Suspends until [version] or a later one is applied here. Returns false if that takes longer than [timeoutMs]. */
     suspend fun awaitVersion(
         version: Long,
         timeoutMs: Long,
--- a/src/test/kotlin/micatally/config/ChangeFileTest.kt
+++ b/src/test/kotlin/micatally/config/ChangeFileTest.kt
@@ -8,9 +8,9 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** What is wrong with a change is found line by line, and all of it at once. */
+/** Validation reports all errors of a change at once, each with the team or line that it concerns. */
 class ChangeFileTest {
-    private val present =
+    private val current =
         Configuration.of(
             7,
             listOf(
@@ -25,11 +25,11 @@
         base: Long = 7,
     ): List<String> =
         ChangeCheck
-            .errors(ConfigurationChange("id", base, "operator", "test", set.toList(), remove), present)
+            .errors(ConfigurationChange("id", base, "operator", "test", set.toList(), remove), current)
             .map { "${it.team}: ${it.message}" }
 
     @Test
-    fun `values that make no sense are refused, each by its line`() {
+    fun `each invalid value of a change is reported with its team`() {
         assertEquals(emptyList<String>(), errorsOf(TeamSetting("vision", 1.0, 2.0, 0.0, 0.0)))
         val errors =
             errorsOf(
@@ -53,9 +53,13 @@
         assertTrue(errorsOf(TeamSetting("x", 1.0, 2.0), base = 8).single().contains("version 8 does not exist"))
     }
 
-    /** What an unlimited team runs is in no allotment: a limit that came while it runs would not hold. */
+    /**
+     * Guards against a limit that does not hold: tasks of an unlimited team are not counted in its allotments, so a
+     * limit that is set while they run would not apply to them. The values of a removed team remain and are checked
+     * likewise.
+     */
     @Test
-    fun `a limit neither comes nor goes while its team exists, nor by way of removing it`() {
+    fun `a limit of a team can't be added or removed, not even by removing the team and adding it again`() {
         assertTrue(errorsOf(TeamSetting("vision", 1.0, 0.0)).single().contains("cpus_max can't go between 0"))
         assertTrue(errorsOf(TeamSetting("vision", 1.0, 2.0, 0.0, 8.0)).single().contains("gpus_max can't go between 0"))
         assertTrue(errorsOf(TeamSetting("former", 1.0, 0.0)).single().contains("cpus_max can't go between 0"))
@@ -69,7 +73,7 @@
             base: Long,
         ) = ChangeCheck.conflicts(
             ConfigurationChange("id", base, "operator", "test", listOf(TeamSetting(name, 1.0, 2.0))),
-            present,
+            current,
         )
         assertEquals(listOf("vision"), conflicts("vision", 4))
         assertEquals(emptyList<String>(), conflicts("vision", 5))
@@ -78,7 +82,7 @@
     }
 
     @Test
-    fun `a file with wrong lines is refused whole, with each of them`() {
+    fun `a file with errors is rejected as a whole and all errors are reported`() {
         val file =
             """
             {"base": "x", "author": "operator", "reazon": "test", "teams": [
@@ -97,7 +101,7 @@
     }
 
     @Test
-    fun `stored forms are read as they were written, whole and in parts`() {
+    fun `a change in parts and a snapshot are decoded as they were encoded`() {
         val teams = List(300) { Team("team-$it", 1.0, it + 2.0, 0.0, 4.0) }
         val change = ChangeRecord(8, "id", "operator", "test", 5, teams, listOf("vision"))
         val parts = ChangeCodec.parts(change, 4096)
@@ -113,12 +117,12 @@
         assertEquals("s", stored.stage)
         val read = ChangeCodec.joined(stored, parts)
         assertEquals(teams.map { it.name to it.coresMax }, read.set.map { it.name to it.coresMax })
-        val next = present.with(read)
+        val next = current.with(read)
         assertEquals(null, next.team("vision"))
         val snapshot = ChangeCodec.snapshot(next, 4096).flatMap { ChangeCodec.entries(it) }
-        val again = Configuration.of(8, snapshot)
-        assertEquals(300, again.teams.size)
-        assertTrue(again.entry("vision")!!.isRemoved && again.entry("former")!!.isRemoved)
-        assertEquals(8L, again.entry("team-299")!!.changedAt)
+        val restored = Configuration.of(8, snapshot)
+        assertEquals(300, restored.teams.size)
+        assertTrue(restored.entry("vision")!!.isRemoved && restored.entry("former")!!.isRemoved)
+        assertEquals(8L, restored.entry("team-299")!!.changedAt)
     }
 }
--- a/src/test/kotlin/micatally/config/ConfigurationIdsTest.kt
+++ b/src/test/kotlin/micatally/config/ConfigurationIdsTest.kt
@@ -16,9 +16,12 @@
             remove = emptyList(),
         )
 
-    /** A fixed number of ids forgot those of a change of all teams before the last of them had been repeated. */
+    /**
+     * Guards against a fixed limit of remembered ids: if each team is changed by a change of its own, ids would be
+     * dropped before the last change has been repeated, and a repetition would not be recognized.
+     */
     @Test
-    fun `while every team is changed the ids of all changes are known`() {
+    fun `the ids of all changes are known while every team is changed`() {
         var configuration = Configuration.EMPTY
         for (version in 1..TEAMS * 2L) configuration = configuration.with(change(version))
         assertEquals(TEAMS + 1L, configuration.versionOf("change-${TEAMS + 1}"))
