--- a/src/main/kotlin/micatally/settings/NearestName.kt
+++ b/src/main/kotlin/micatally/settings/NearestName.kt
@@ -1,12 +1,14 @@
 package micatally.settings
 
-/** Returns the one of the [known] names with the smallest edit distance to [name]; null if none is known. */
+/** Returns the name in [known] with the smallest edit distance to [name]; null if [known] is empty. */
 fun nearestName(
     name: String,
     known: Collection<String>,
 ): String? = known.minByOrNull { editDistance(name, it) }
 
-/** The Levenshtein distance: how many letters have to be inserted, deleted or replaced to make one word of the other. */
+/**
+ * Returns the Levenshtein distance: how many letters have to be inserted, deleted or replaced to turn [from] into [to].
+ */
 private fun editDistance(
     from: String,
     to: String,
--- a/src/main/kotlin/micatally/settings/Operator.kt
+++ b/src/main/kotlin/micatally/settings/Operator.kt
@@ -4,15 +4,18 @@
 import java.util.Properties
 
 /**
- * Settings that operators may change in the properties file, beside the settings that the platform hands over.
+ * Settings that operators may change in the properties file. They are separate from [Settings], which the platform
+ * provides.
  *
- * @property queueBounds the service times at which the priority queues split, rising, in multiples of a worker's lease
- * @property promotionRatio the ratio of a job's wait to its service time beyond which it is promoted by one queue
- * @property fleetHeadroom free capacity that scaling in leaves, as a part of the capacity in use
- * @property fleetIdleBoots how long a machine is idle before it is returned, in multiples of its type's boot time
+ * @property queueBounds the attained service times at which one priority queue ends and the next begins, ascending, in
+ * multiples of the worker lease
+ * @property promotionRatio the ratio of a job's wait to its attained service time above which it is promoted by one
+ * queue
+ * @property fleetHeadroom free capacity that scale-in leaves, as a fraction of the capacity in use
+ * @property fleetIdleBoots how long a machine is idle before it is evicted, in multiples of its type's boot time
  * @property storesTeams whether the teams move from the settings file to the state store once all controllers can read
  * them there
- * @property archiveMode whether the records of jobs that are over are kept apart from those of open jobs
+ * @property archiveMode whether the records of ended jobs are stored separately from those of open jobs
  */
 class Operator(
     val queueBounds: List<Double>,
@@ -22,7 +25,7 @@
     val storesTeams: Boolean = false,
     val archiveMode: ArchiveMode = ArchiveMode.OFF,
 ) {
-    /** The defaults, and the reader of the properties file. */
+    /** The defaults and the parser of the properties file. */
     companion object {
         private const val QUEUE_BOUNDS = "queue.bounds-leases"
         private const val PROMOTION_RATIO = "queue.lift"
@@ -34,8 +37,9 @@
         private val QUEUE_BOUND_COUNTS = 1..8
 
         /**
-         * What holds without a properties file. The split of queues in the scheduler's source would put tasks of a minute
-         * into the top queue, beside the services that wait for their machines; so the bounds here are lower.
+         * The settings that apply without a properties file. The queue bounds are lower than in the source that the
+         * scheduler's design follows: with those bounds, tasks of one minute would share the top queue with the
+         * services that wait for their machines.
          */
         val DEFAULT =
             Operator(
@@ -46,12 +50,12 @@
             )
 
         /**
-         * Reads the properties file; what it leaves out keeps its default.
+         * Reads the properties file. A property that is missing has its default value.
          *
-         * @throws SettingsError if a name is unknown or a value makes no sense
+         * @throws SettingsError if a property is unknown or its value is invalid
          */
         fun parse(properties: Properties): Operator {
-            refuseUnknownKeys(properties)
+            rejectUnknownKeys(properties)
             return Operator(
                 queueBounds = properties.queueBounds() ?: DEFAULT.queueBounds,
                 promotionRatio = properties.number(PROMOTION_RATIO, 0.1..100.0) ?: DEFAULT.promotionRatio,
@@ -62,7 +66,7 @@
             )
         }
 
-        private fun refuseUnknownKeys(properties: Properties) {
+        private fun rejectUnknownKeys(properties: Properties) {
             val unknown = properties.stringPropertyNames().firstOrNull { it !in KEYS } ?: return
             throw SettingsError("unknown property $unknown; did you mean ${nearestName(unknown, KEYS)}?")
         }
--- a/src/main/kotlin/micatally/settings/SettingsReader.kt
+++ b/src/main/kotlin/micatally/settings/SettingsReader.kt
@@ -13,20 +13,20 @@
 import micatally.wire.parseObject
 import micatally.wire.text
 
-/** Reads and checks the settings file. The first setting that is wrong decides which error is reported. */
+/** Reads and validates the settings file. Only the first error that is found is reported. */
 internal object SettingsReader {
-    /** Deployments from before the gangs don't have these times; then a cautious number of worker leases is taken. */
+    /** Cautious defaults for the gang times, in worker leases. Deployments older than gangs don't set these times. */
     private const val DEFAULT_GANG_WAIT_LEASES = 2.0
     private const val DEFAULT_GANG_PEER_LEASES = 0.2
 
-    /** A failover changes two keys in one transaction. */
+    /** The smallest usable limit of a transaction, because a failover changes two keys in one transaction. */
     private const val MIN_TRANSACTION_OPERATIONS = 2.0
 
     private const val MILLIS_PER_SECOND = 1000
     private const val BYTES_PER_KIBIBYTE = 1024
     private const val MAX_PORT = 65535
 
-    /** @throws SettingsError if [body] is not JSON, or a setting is missing or makes no sense */
+    /** @throws SettingsError if [body] is not JSON, or a setting is missing or invalid */
     fun read(body: ByteArray): Settings =
         try {
             read(parseObject(body))
@@ -78,27 +78,27 @@
     }
 
     private fun readStateLimits(state: JsonObject): StateLimits {
-        val present =
+        val current =
             StateLimits(
                 state.positive("rps"),
                 state.positive("write_rps"),
                 bytes(state.positive("value_kb")),
                 state.positive("txn_ops").toInt(),
             )
-        val next = state.child("next") ?: return present
-        return present.smallerOf(readNextStateLimits(next, present, state.number("value_kb")))
+        val next = state.child("next") ?: return current
+        return current.smallerOf(readNextStateLimits(next, current, state.number("value_kb")))
     }
 
-    /** Each of the limits to come may be left out; then the present one stays. */
+    /** Reads the upcoming limits. Each of them may be missing; then the current limit remains. */
     private fun readNextStateLimits(
         next: JsonObject,
-        present: StateLimits,
-        presentValueKb: Double,
+        current: StateLimits,
+        currentValueKb: Double,
     ) = StateLimits(
-        next.nextLimit("rps") ?: present.rps,
-        next.nextLimit("write_rps") ?: present.writeRps,
-        bytes(next.nextLimit("value_kb") ?: presentValueKb),
-        next.nextOperations("txn_ops")?.toInt() ?: present.maxOperationsPerTransaction,
+        next.nextLimit("rps") ?: current.rps,
+        next.nextLimit("write_rps") ?: current.writeRps,
+        bytes(next.nextLimit("value_kb") ?: currentValueKb),
+        next.nextOperations("txn_ops")?.toInt() ?: current.maxOperationsPerTransaction,
     )
 
     private fun JsonObject.nextLimit(name: String): Double? {
@@ -125,9 +125,10 @@
         return value
     }
 
-    /** Reads a time in seconds. */
+    /** Reads a time in seconds and returns it in ms. */
     private fun JsonObject.millis(name: String): Long = (positive(name) * MILLIS_PER_SECOND).toLong()
 
+    /** Reads a time in seconds and returns it in ms. If it is missing, returns this many worker [leases] in ms. */
     private fun JsonObject.millisOrLeases(
         name: String,
         leases: Double,
@@ -136,6 +137,7 @@
         return (number("lease_s") * MILLIS_PER_SECOND * leases).toLong()
     }
 
+    /** Reads an address of the form host:port. */
     private fun JsonObject.address(name: String): String {
         val address = text(name)
         val port = address.substringAfterLast(':', "").toIntOrNull()
--- a/src/main/kotlin/micatally/settings/TeamDirectory.kt
+++ b/src/main/kotlin/micatally/settings/TeamDirectory.kt
@@ -1,29 +1,29 @@
 package micatally.settings
 
-/** The teams and their limits that are in force now. */
+/** Provides the teams and their quotas that are in force now. */
 interface TeamDirectory {
-    /** Returns the team, or null if there is none of that name. */
+    /** Returns the team, or null if there is no team of that name. */
     fun team(name: String): Team?
 
     /** Returns all teams. */
     fun all(): Collection<Team>
 
     /**
-     * False while a change is known to exist whose content has not been read yet. Nothing may be decided on the limits
-     * meanwhile.
+     * False while a newer version of the teams is known to exist but has not been loaded yet. During that time no
+     * decision may be based on the quotas.
      */
     val isCurrent: Boolean
 
     /**
-     * Reads what is stored now, so that a refusal after it rests on nothing older than this call. Suspends until the state
-     * store has answered.
+     * Brings the teams up to date with the state store. Called before a job is rejected, so that the rejection does not
+     * depend on teams that are older than this call. Suspends until the state store has responded.
      *
-     * @return false if it is not certain that the teams are as new as this call
+     * @return false if the teams may be older than this call
      */
     suspend fun refresh(): Boolean
 }
 
-/** The teams of the settings file, which never change while the program runs. */
+/** A directory of teams that never change. */
 class FixedTeams(
     private val teams: Map<String, Team>,
 ) : TeamDirectory {
--- a/src/main/kotlin/micatally/settings/TeamJson.kt
+++ b/src/main/kotlin/micatally/settings/TeamJson.kt
@@ -6,9 +6,9 @@
 import micatally.wire.numberOrNull
 import micatally.wire.text
 
-/** The codec of a team, as it stands in the settings file and in the state store. */
+/** Encodes and decodes a team in the form that the settings file and the state store share. */
 object TeamJson {
-    /** Encodes all fields, also those that are 0. */
+    /** Encodes all fields, including those that are 0. */
     fun encode(team: Team): JsonObject =
         buildJsonObject {
             put("name", team.name)
@@ -19,7 +19,7 @@
         }
 
     /**
-     * Decodes a team; a quota that is left out is 0.
+     * Decodes a team. A quota field that is missing is 0.
      *
      * @throws micatally.wire.MalformedMessage if a field has the wrong type or the name is missing
      */
