--- a/src/main/kotlin/micatally/cli/ControllerStart.kt
+++ b/src/main/kotlin/micatally/cli/ControllerStart.kt
@@ -5,7 +5,7 @@
 import micatally.controller.Controller
 import micatally.http.Client
 import micatally.http.Server
-import micatally.settings.Operator
+import micatally.settings.OperatorSettings
 import micatally.settings.Settings
 import java.io.IOException
 import kotlin.random.Random
@@ -52,7 +52,7 @@
 fun startController(
     loop: EventLoop,
     settings: Settings,
-    operator: Operator = Operator.DEFAULT,
+    operator: OperatorSettings = OperatorSettings.DEFAULT,
 ): Pair<Server, Server> {
     val client = Client(loop.group, settings.outgoingSockets, loop::nowMs)
     val controller =
--- a/src/main/kotlin/micatally/cli/Main.kt
+++ b/src/main/kotlin/micatally/cli/Main.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.coroutines.runBlocking
 import micatally.emulator.Rehearsal
-import micatally.settings.Operator
+import micatally.settings.OperatorSettings
 import micatally.settings.Settings
 import micatally.settings.SettingsError
 import org.slf4j.LoggerFactory
@@ -33,15 +33,15 @@
         throw SettingsError("settings file $file can't be read", e)
     }
 
-private fun readOperator(file: String?): Operator {
-    if (file == null) return Operator.DEFAULT
+private fun readOperator(file: String?): OperatorSettings {
+    if (file == null) return OperatorSettings.DEFAULT
     val properties = Properties()
     try {
         Files.newBufferedReader(Path.of(file)).use { properties.load(it) }
     } catch (e: IOException) {
         throw SettingsError("properties file $file can't be read", e)
     }
-    return Operator.parse(properties)
+    return OperatorSettings.parse(properties)
 }
 
 /** Runs a controller until the process is killed. */
--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -46,7 +46,7 @@
 import micatally.scheduling.PlacementActions
 import micatally.scheduling.PriorityQueues
 import micatally.scheduling.Scheduler
-import micatally.settings.Operator
+import micatally.settings.OperatorSettings
 import micatally.settings.Settings
 import micatally.state.ReadResult
 import micatally.state.StateStoreClient
@@ -77,7 +77,7 @@
     random: Random,
     private val nowMs: () -> Long,
     wallMs: () -> Long,
-    operator: Operator = Operator.DEFAULT,
+    operator: OperatorSettings = OperatorSettings.DEFAULT,
     nowNs: () -> Long = { nowMs() * NANOS_PER_MILLI },
 ) {
     private val cpuUsage = CpuUsage(nowNs)
@@ -198,7 +198,7 @@
     private val peerRouter = PeerRouter(peers, users, configuration, cpuUsage)
 
     /** The operators' bounds are in leases, the queues' in seconds. */
-    private fun priorityQueues(operator: Operator): PriorityQueues {
+    private fun priorityQueues(operator: OperatorSettings): PriorityQueues {
         val boundsSeconds = operator.queueBounds.map { it * settings.leaseMs / MILLIS_PER_SECOND }
         return PriorityQueues(boundsSeconds, operator.promotionRatio)
     }
--- a/src/main/kotlin/micatally/fleet/FleetManager.kt
+++ b/src/main/kotlin/micatally/fleet/FleetManager.kt
@@ -5,7 +5,7 @@
 import kotlinx.coroutines.launch
 import micatally.http.HttpCaller
 import micatally.membership.Membership
-import micatally.settings.Operator
+import micatally.settings.OperatorSettings
 import micatally.settings.Settings
 import micatally.state.StateStoreClient
 import micatally.wire.ResourceRequest
@@ -41,7 +41,7 @@
 class FleetManager(
     private val scope: CoroutineScope,
     private val settings: Settings,
-    operator: Operator,
+    operator: OperatorSettings,
     clients: FleetClients,
     private val membership: Membership,
     private val machines: MachineRegistry,
--- a/src/main/kotlin/micatally/fleet/GracefulEviction.kt
+++ b/src/main/kotlin/micatally/fleet/GracefulEviction.kt
@@ -1,6 +1,6 @@
 package micatally.fleet
 
-import micatally.settings.Operator
+import micatally.settings.OperatorSettings
 import micatally.settings.Settings
 import micatally.wire.ResourceRequest
 import micatally.worker.Machine
@@ -15,7 +15,7 @@
  */
 class GracefulEviction(
     private val settings: Settings,
-    private val operator: Operator,
+    private val operator: OperatorSettings,
     private val machines: MachineRegistry,
     private val instances: ProvisionedInstances,
     private val records: EvictionRecords,
--- a/src/main/kotlin/micatally/settings/Operator.kt
+++ b/src/main/kotlin/micatally/settings/OperatorSettings.kt
@@ -17,7 +17,7 @@
  * them there
  * @property archiveMode whether the records of ended jobs are stored separately from those of open jobs
  */
-class Operator(
+class OperatorSettings(
     val queueBounds: List<Double>,
     val promotionRatio: Double,
     val fleetHeadroom: Double,
@@ -42,7 +42,7 @@
          * services that wait for their machines.
          */
         val DEFAULT =
-            Operator(
+            OperatorSettings(
                 queueBounds = listOf(0.1, 1.0, 10.0),
                 promotionRatio = 2.0,
                 fleetHeadroom = 0.1,
@@ -54,9 +54,9 @@
          *
          * @throws SettingsError if a property is unknown or its value is invalid
          */
-        fun parse(properties: Properties): Operator {
+        fun parse(properties: Properties): OperatorSettings {
             rejectUnknownKeys(properties)
-            return Operator(
+            return OperatorSettings(
                 queueBounds = properties.queueBounds() ?: DEFAULT.queueBounds,
                 promotionRatio = properties.number(PROMOTION_RATIO, 0.1..100.0) ?: DEFAULT.promotionRatio,
                 fleetHeadroom = properties.number(HEADROOM, 0.0..1.0) ?: DEFAULT.fleetHeadroom,
--- a/src/test/kotlin/micatally/compatibility/MessagesTest.kt
+++ b/src/test/kotlin/micatally/compatibility/MessagesTest.kt
@@ -27,7 +27,7 @@
 import micatally.http.Server
 import micatally.http.errorResponse
 import micatally.peer.PeerPaths
-import micatally.settings.Operator
+import micatally.settings.OperatorSettings
 import micatally.settings.Settings
 import micatally.settings.SettingsError
 import micatally.settings.TeamJson
@@ -989,7 +989,7 @@
 
     @Test
     fun `operators' properties are read`() {
-        val operator = Operator.parse(properties())
+        val operator = OperatorSettings.parse(properties())
         assertEquals(listOf(0.5, 2.0, 20.0), operator.queueBounds)
         assertEquals(3.5, operator.promotionRatio)
         assertEquals(0.25, operator.fleetHeadroom)
@@ -998,7 +998,7 @@
         assertEquals(ArchiveMode.RESTORE, operator.archiveMode)
         for ((word, mode) in listOf("off" to ArchiveMode.OFF, "on" to ArchiveMode.ON)) {
             val changed = properties().apply { setProperty("recovery.archive", word) }
-            assertEquals(mode, Operator.parse(changed).archiveMode)
+            assertEquals(mode, OperatorSettings.parse(changed).archiveMode)
         }
     }
 }
--- a/src/test/kotlin/micatally/compatibility/RecordedRun.kt
+++ b/src/test/kotlin/micatally/compatibility/RecordedRun.kt
@@ -7,7 +7,7 @@
 import kotlinx.serialization.protobuf.ProtoBuf
 import micatally.archive.ArchiveMode
 import micatally.config.ConfigurationPaths
-import micatally.settings.Operator
+import micatally.settings.OperatorSettings
 import micatally.sim.Scenario
 import micatally.sim.SimFleet
 import micatally.sim.lease
@@ -35,7 +35,7 @@
 
     private fun SimFleet.prepare() {
         operator =
-            Operator(listOf(0.1, 1.0, 10.0), 2.0, 0.1, 1.3, storesTeams = true, archiveMode = ArchiveMode.ON)
+            OperatorSettings(listOf(0.1, 1.0, 10.0), 2.0, 0.1, 1.3, storesTeams = true, archiveMode = ArchiveMode.ON)
         stateFaults.holdWriteOf = { _, body ->
             record(body)
             null
--- a/src/test/kotlin/micatally/settings/SettingsTest.kt
+++ b/src/test/kotlin/micatally/settings/SettingsTest.kt
@@ -10,7 +10,7 @@
 
 class SettingsTest {
     private fun operator(vararg pairs: Pair<String, String>) =
-        Operator.parse(Properties().apply { pairs.forEach { setProperty(it.first, it.second) } })
+        OperatorSettings.parse(Properties().apply { pairs.forEach { setProperty(it.first, it.second) } })
 
     private fun rejectionOf(vararg pairs: Pair<String, String>) =
         assertThrows(SettingsError::class.java) {
--- a/src/test/kotlin/micatally/sim/ArchiveTest.kt
+++ b/src/test/kotlin/micatally/sim/ArchiveTest.kt
@@ -4,7 +4,7 @@
 import kotlinx.serialization.json.JsonPrimitive
 import micatally.archive.ArchiveMode
 import micatally.membership.Keys
-import micatally.settings.Operator
+import micatally.settings.OperatorSettings
 import micatally.wire.bytes
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -12,7 +12,8 @@
 
 /** Records of jobs that are over move away from the open ones, and back, while controllers come, go and differ. */
 class ArchiveTest {
-    private fun operator(mode: ArchiveMode) = Operator(listOf(0.1, 1.0, 10.0), 2.0, 0.1, 1.3, archiveMode = mode)
+    private fun operator(mode: ArchiveMode) =
+        OperatorSettings(listOf(0.1, 1.0, 10.0), 2.0, 0.1, 1.3, archiveMode = mode)
 
     private fun archived(
         seed: Int,
--- a/src/test/kotlin/micatally/sim/ConfigurationTest.kt
+++ b/src/test/kotlin/micatally/sim/ConfigurationTest.kt
@@ -8,7 +8,7 @@
 import micatally.config.ConfigurationWriter
 import micatally.job.AttemptState
 import micatally.membership.Keys
-import micatally.settings.Operator
+import micatally.settings.OperatorSettings
 import micatally.settings.Team
 import micatally.upgrade.FormatVersion
 import micatally.wire.ChangeAnswer
@@ -31,11 +31,11 @@
 class ConfigurationTest {
     private val seeds = 1..2
     private val storesTeams =
-        Operator(
-            Operator.DEFAULT.queueBounds,
-            Operator.DEFAULT.promotionRatio,
-            Operator.DEFAULT.fleetHeadroom,
-            Operator.DEFAULT.fleetIdleBoots,
+        OperatorSettings(
+            OperatorSettings.DEFAULT.queueBounds,
+            OperatorSettings.DEFAULT.promotionRatio,
+            OperatorSettings.DEFAULT.fleetHeadroom,
+            OperatorSettings.DEFAULT.fleetIdleBoots,
             storesTeams = true,
         )
 
--- a/src/test/kotlin/micatally/sim/SimFleet.kt
+++ b/src/test/kotlin/micatally/sim/SimFleet.kt
@@ -12,7 +12,7 @@
 import micatally.http.HttpCaller
 import micatally.http.HttpRequest
 import micatally.http.HttpResponse
-import micatally.settings.Operator
+import micatally.settings.OperatorSettings
 import micatally.settings.Settings
 import micatally.state.StateLimits
 import micatally.wire.asObject
@@ -55,7 +55,7 @@
     private val starvation = StarvationCheck(rules, cloud, net)
 
     /** Operators' settings of nodes started from now on. */
-    var operator = Operator.DEFAULT
+    var operator = OperatorSettings.DEFAULT
 
     /** The controller of each node, null while the node is down. */
     val live = arrayOfNulls<Controller>(nodes)
