--- a/src/main/kotlin/micatally/cli/ControllerStart.kt
+++ b/src/main/kotlin/micatally/cli/ControllerStart.kt
@@ -72,13 +72,13 @@
         Server(
             loop.scope,
             loop.group,
-            settings.back,
+            settings.peerListen,
             settings.maxSockets / PEER_SHARE + LEAST_PEER_SOCKETS,
             MOST_PEER_BYTES,
             controller::handlePeer,
         )
     bind(front, settings.listen, settings.leaseMs)
-    bind(back, settings.back, settings.leaseMs)
+    bind(back, settings.peerListen, settings.leaseMs)
     loop.scope.launch {
         controller.start()
         front.start()
--- a/src/main/kotlin/micatally/settings/Settings.kt
+++ b/src/main/kotlin/micatally/settings/Settings.kt
@@ -56,7 +56,7 @@
  * @property host the name of this controller's host, by which its peers know it
  * @property zone the zone of the host
  * @property listen the address on which users and workers are served
- * @property back the address on which other controllers are served
+ * @property peerListen the address on which other controllers are served
  * @property peers the other controllers of the deployment
  * @property cloudAddr the address of the cloud's API for instances
  * @property stateAddr the address of the state store
@@ -79,7 +79,7 @@
     val host: String,
     val zone: String,
     val listen: String,
-    val back: String,
+    val peerListen: String,
     val peers: List<Peer>,
     val cloudAddr: String,
     val stateAddr: String,
--- a/src/main/kotlin/micatally/settings/SettingsReader.kt
+++ b/src/main/kotlin/micatally/settings/SettingsReader.kt
@@ -47,7 +47,7 @@
             host = root.text("host_name"),
             zone = root.text("location"),
             listen = root.address("listen"),
-            back = root.address("back"),
+            peerListen = root.address("back"),
             peers = root.listOrNull("seeds").orEmpty().map { readPeer(it) },
             cloudAddr = services.address("cloud"),
             stateAddr = services.address("state"),
--- a/src/test/kotlin/micatally/compatibility/MessagesTest.kt
+++ b/src/test/kotlin/micatally/compatibility/MessagesTest.kt
@@ -941,7 +941,7 @@
     fun `the settings file is read`() {
         val s = settings()
         assertEquals(listOf("pitbox-0", "a"), listOf(s.host, s.zone))
-        assertEquals(listOf("10.0.0.1:8080", "10.0.0.1:8081"), listOf(s.listen, s.back))
+        assertEquals(listOf("10.0.0.1:8080", "10.0.0.1:8081"), listOf(s.listen, s.peerListen))
         assertEquals(
             listOf(listOf("pitbox-1", "b", "10.0.0.2:8081"), listOf("pitbox-2", "c", "10.0.0.3:8081")),
             s.peers.map { listOf(it.host, it.zone, it.addr) },
