--- a/src/main/kotlin/micatally/config/ConfigurationStore.kt
+++ b/src/main/kotlin/micatally/config/ConfigurationStore.kt
@@ -32,7 +32,7 @@
  * - the head, which all controllers watch;
  * - one immutable value for each batch of changes. Its key contains the version of the batch's last change, and it is
  *   written in one transaction with the head;
- * - parts, which hold the teams and removals of a change that is too large for one value;
+ * - parts, which hold the teams and removals of a large change;
  * - snapshots, which are written at intervals so that a starting controller reads a bounded number of changes.
  */
 class ConfigurationStore(
--- a/src/main/kotlin/micatally/settings/Settings.kt
+++ b/src/main/kotlin/micatally/settings/Settings.kt
@@ -125,7 +125,7 @@
      * that it does not know of is confirmed to its user at the earliest [cancellationDelayMs] after that proof. A
      * worker that was still answered at the end of this time may run the cancelled task until its lease expires. This
      * time is therefore chosen so that the lease, with a margin of a tenth of it, ends at most [cancelMs] after the
-     * confirmation.
+     * confirmation. It is at least half a lease.
      */
     val leadershipMs
         get() =
@@ -179,8 +179,8 @@
         private const val SOCKETS_PER_PROBE = 8
 
         /**
-         * The rest is for incoming connections: half of a controller's sockets for users and workers, a few for other
-         * controllers.
+         * The share of a controller's sockets that it may open itself. The rest is for incoming connections: half of the
+         * sockets for users and workers, a few for other controllers.
          */
         private const val OUTGOING_SHARE_PERCENT = 42
 
