--- a/src/main/kotlin/micatally/cli/ControllerStart.kt
+++ b/src/main/kotlin/micatally/cli/ControllerStart.kt
@@ -5,7 +5,7 @@
 import micatally.controller.Controller
 import micatally.http.Client
 import micatally.http.Server
-import micatally.settings.Operator
+import micatally.settings.OperatorSettings
 import micatally.settings.Settings
 import java.io.IOException
 import kotlin.random.Random
@@ -52,7 +52,7 @@
 fun startController(
     loop: EventLoop,
     settings: Settings,
-    operator: Operator = Operator.DEFAULT,
+    operator: OperatorSettings = OperatorSettings.DEFAULT,
 ): Pair<Server, Server> {
     val client = Client(loop.group, settings.outgoingSockets, loop::nowMs)
     val controller =
@@ -72,13 +72,13 @@
         Server(
             loop.scope,
             loop.group,
-            settings.back,
+            settings.peerListen,
             settings.maxSockets / PEER_SHARE + LEAST_PEER_SOCKETS,
             MOST_PEER_BYTES,
             controller::handlePeer,
         )
     bind(front, settings.listen, settings.leaseMs)
-    bind(back, settings.back, settings.leaseMs)
+    bind(back, settings.peerListen, settings.leaseMs)
     loop.scope.launch {
         controller.start()
         front.start()
--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -46,7 +46,7 @@
 import micatally.scheduling.PlacementActions
 import micatally.scheduling.PriorityQueues
 import micatally.scheduling.Scheduler
-import micatally.settings.Operator
+import micatally.settings.OperatorSettings
 import micatally.settings.Settings
 import micatally.state.ReadResult
 import micatally.state.StateStoreClient
@@ -78,7 +78,7 @@
     random: Random,
     private val nowMs: () -> Long,
     wallMs: () -> Long,
-    operator: Operator = Operator.DEFAULT,
+    operator: OperatorSettings = OperatorSettings.DEFAULT,
     nowNs: () -> Long = { nowMs() * NANOS_PER_MILLI },
 ) {
     private val cpuUsage = CpuUsage(nowNs)
@@ -212,7 +212,7 @@
     private val peerRouter = PeerRouter(peers, userApi, configuration, cpuUsage)
 
     /** Converts the operator's queue bounds from multiples of a worker's lease to seconds. */
-    private fun priorityQueues(operator: Operator): PriorityQueues {
+    private fun priorityQueues(operator: OperatorSettings): PriorityQueues {
         val boundsSeconds = operator.queueBounds.map { it * settings.leaseMs / MILLIS_PER_SECOND }
         return PriorityQueues(boundsSeconds, operator.promotionRatio)
     }
