--- a/src/main/kotlin/micatally/http/Client.kt
+++ b/src/main/kotlin/micatally/http/Client.kt
@@ -7,25 +7,31 @@
 import java.nio.channels.AsynchronousChannelGroup
 import java.nio.channels.AsynchronousSocketChannel
 
-/** An HTTP/1.1 client: one request at a time on a connection, kept-open connections used again, no waiting of one
- * address for another. Used from the event loop only. */
+/**
+ * An HTTP/1.1 client. It sends one request at a time on a connection and reuses connections that were kept open. A
+ * request to one address does not wait for requests to other addresses. Used from the event loop only.
+ *
+ * @param maxSockets maximum number of open connections. A request that needs one more is not sent.
+ * @param maxResponseBytes maximum size of a response body. The outcome of a larger one is [Outcome.TooLarge].
+ */
 class Client(
     private val group: AsynchronousChannelGroup,
     private val maxSockets: Int,
     private val nowMs: () -> Long,
-    private val maxResponseBytes: Long = Runtime.getRuntime().maxMemory() / HEAP_SHARE,
+    private val maxResponseBytes: Long = Runtime.getRuntime().maxMemory() / HEAP_DIVISOR,
 ) : HttpCaller {
     private val log = LoggerFactory.getLogger("micatally.http")
 
-    private class Link(
+    private class Connection(
         val channel: AsynchronousSocketChannel,
         val parser: Parser,
     ) {
-        var idleSince = 0L
+        var idleSinceMs = 0L
     }
 
-    private val idle = HashMap<String, ArrayDeque<Link>>()
-    private var sockets = 0
+    /** Open connections without a request, by address. Those that have been idle for longest come first. */
+    private val idleConnections = HashMap<String, ArrayDeque<Connection>>()
+    private var openSockets = 0
 
     override suspend fun call(
         addr: String,
@@ -34,15 +40,15 @@
         body: ByteArray?,
         timeoutMs: Long,
     ): Outcome {
-        var sent = false
-        var link: Link? = null
-        var answer: Outcome? = null
+        var mayHaveSent = false
+        var connectionToDiscard: Connection? = null
+        var outcome: Outcome? = null
         try {
-            answer =
+            outcome =
                 withTimeoutOrNull(timeoutMs) {
-                    val l = takeIdle(addr) ?: open(addr) ?: return@withTimeoutOrNull Outcome.NotSent
-                    link = l
-                    val head =
+                    val connection = takeIdle(addr) ?: connect(addr) ?: return@withTimeoutOrNull Outcome.NotSent
+                    connectionToDiscard = connection
+                    val requestHead =
                         StringBuilder(
                             128,
                         ).append(method)
@@ -53,107 +59,111 @@
                             .append("\r\nContent-Length: ")
                             .append(body?.size ?: 0)
                             .append("\r\n\r\n")
-                    sent = true
-                    l.channel.writeAll(joined(head, body ?: NOTHING))
-                    val h = l.parser.head()
+                    mayHaveSent = true
+                    connection.channel.writeAll(concatenate(requestHead, body ?: EMPTY_BODY))
+                    val responseHead = connection.parser.head()
                     val status =
-                        h.startLine
+                        responseHead.startLine
                             .split(' ')
                             .getOrNull(1)
                             ?.toIntOrNull() ?: throw HttpError(400, "bad status line")
-                    val bytes = l.parser.body(h, maxResponseBytes)
-                    if (!h.close && !l.parser.pending) {
-                        link = null
-                        keep(addr, l)
+                    val responseBody = connection.parser.body(responseHead, maxResponseBytes)
+                    if (!responseHead.close && !connection.parser.hasPendingBytes) {
+                        connectionToDiscard = null
+                        keepIdle(addr, connection)
                     }
-                    Outcome.Answer(status, bytes)
+                    Outcome.Answer(status, responseBody)
                 }
         } catch (e: CancellationException) {
             throw e
         } catch (e: HttpError) {
             if (e.status == CONTENT_TOO_LARGE) {
                 log.warn("{} {}{}: the answer has more than {} bytes", method, addr, target, maxResponseBytes)
-                answer = Outcome.TooLarge
+                outcome = Outcome.TooLarge
             }
         } catch (e: Exception) {
-            // Reset, refused or not HTTP: what it proves depends only on whether bytes may have left.
+            // The connection was refused or reset, or failed otherwise. The outcome depends only on whether bytes of
+            // the request may have been sent.
         } finally {
-            link?.let { discard(it) }
+            connectionToDiscard?.let { discard(it) }
         }
-        return answer ?: if (sent) Outcome.Silence else Outcome.NotSent
+        return outcome ?: if (mayHaveSent) Outcome.Silence else Outcome.NotSent
     }
 
-    private fun takeIdle(addr: String): Link? {
-        val list = idle[addr] ?: return null
+    private fun takeIdle(addr: String): Connection? {
+        val connections = idleConnections[addr] ?: return null
         while (true) {
-            val l = list.removeLastOrNull() ?: return null
-            if (nowMs() - l.idleSince < IDLE_MS && l.channel.isOpen) return l
-            discard(l)
+            val connection = connections.removeLastOrNull() ?: return null
+            if (nowMs() - connection.idleSinceMs < MAX_IDLE_MS && connection.channel.isOpen) return connection
+            discard(connection)
         }
     }
 
-    private fun keep(
+    private fun keepIdle(
         addr: String,
-        l: Link,
+        connection: Connection,
     ) {
-        l.idleSince = nowMs()
-        idle.getOrPut(addr) { ArrayDeque() }.addLast(l)
+        connection.idleSinceMs = nowMs()
+        idleConnections.getOrPut(addr) { ArrayDeque() }.addLast(connection)
     }
 
-    private suspend fun open(addr: String): Link? {
-        if (sockets >= maxSockets) sweep()
-        // A kept connection is worth less than one that is needed now.
-        if (sockets >=
+    private suspend fun connect(addr: String): Connection? {
+        if (openSockets >= maxSockets) sweep()
+        // The connection that has been idle for longest makes room for the new one, which is needed now.
+        if (openSockets >=
             maxSockets
         ) {
-            idle.values.filter { it.isNotEmpty() }.minByOrNull { it.first().idleSince }?.let {
+            idleConnections.values.filter { it.isNotEmpty() }.minByOrNull { it.first().idleSinceMs }?.let {
                 discard(
                     it.removeFirst(),
                 )
             }
         }
-        if (sockets >= maxSockets) return null
-        sockets++
+        if (openSockets >= maxSockets) return null
+        openSockets++
         val channel =
             try {
                 AsynchronousSocketChannel.open(group)
             } catch (e: Exception) {
-                sockets--
+                openSockets--
                 throw e
             }
         try {
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true)
             channel.connectTo(socketAddress(addr))
         } catch (e: Throwable) {
-            sockets--
+            openSockets--
             channel.closeQuietly()
             throw e
         }
-        return Link(channel, Parser({ channel.readInto(it) > 0 }))
+        return Connection(channel, Parser({ channel.readInto(it) > 0 }))
     }
 
-    private fun discard(l: Link) {
-        sockets--
-        l.channel.closeQuietly()
+    private fun discard(connection: Connection) {
+        openSockets--
+        connection.channel.closeQuietly()
     }
 
-    /** Closes connections that have been idle for long, so that machines that are gone hold no sockets. */
+    /** Closes connections that have been idle for [MAX_IDLE_MS], so that machines that are gone occupy no sockets. */
     fun sweep() {
         val now = nowMs()
-        val each = idle.entries.iterator()
-        while (each.hasNext()) {
-            val list = each.next().value
-            while (list.isNotEmpty() && now - list.first().idleSince >= IDLE_MS) discard(list.removeFirst())
-            if (list.isEmpty()) each.remove()
+        val entries = idleConnections.entries.iterator()
+        while (entries.hasNext()) {
+            val idle = entries.next().value
+            while (idle.isNotEmpty() && now - idle.first().idleSinceMs >= MAX_IDLE_MS) discard(idle.removeFirst())
+            if (idle.isEmpty()) entries.remove()
         }
     }
 
     private companion object {
-        const val IDLE_MS = 20_000L
+        const val MAX_IDLE_MS = 20_000L
         const val CONTENT_TOO_LARGE = 413
 
-        /** An answer may take this share of the heap: what is made of its text takes several times as much. */
-        const val HEAP_SHARE = 16
-        val NOTHING = ByteArray(0)
+        /**
+         * The size of the heap divided by this is the default limit of a response body. What is parsed from the text of
+         * a body takes several times as much memory as the text.
+         */
+        const val HEAP_DIVISOR = 16
+        val EMPTY_BODY = ByteArray(0)
     }
 }
--- a/src/main/kotlin/micatally/http/Parser.kt
+++ b/src/main/kotlin/micatally/http/Parser.kt
@@ -2,46 +2,61 @@
 
 import java.nio.ByteBuffer
 
-/** A message that is not HTTP/1.1 as this project speaks it; [status] is what a server answers. */
+/**
+ * Thrown for a message that is not valid HTTP/1.1, exceeds a limit or uses a part of HTTP/1.1 that [Parser] does not
+ * support.
+ *
+ * @property status status code with which a server refuses the message
+ */
 class HttpError(
     val status: Int,
     message: String,
 ) : Exception(message)
 
-/** Where the bytes come from: fills the buffer with at least one more byte, false at the end of the stream. */
+/** The source of the bytes that a [Parser] reads. */
 fun interface ByteSource {
+    /** Waits until it has put at least one more byte into [buffer]; returns false at the end of the stream. */
     suspend fun fill(buffer: ByteBuffer): Boolean
 }
 
-/** The start line and what matters of the header. */
+/**
+ * The start line of a message and the header fields that have an effect.
+ *
+ * @property contentLength value of the `Content-Length` field, in bytes; null if there is none
+ * @property isChunked whether the body is sent in chunks
+ * @property close whether the sender closes the connection after the message. This is also the case for HTTP/1.0.
+ * @property keepAlive whether the message has the field `Connection: keep-alive`
+ */
 class Head(
     val startLine: String,
-    val length: Long?,
-    val chunked: Boolean,
+    val contentLength: Long?,
+    val isChunked: Boolean,
     val close: Boolean,
     val keepAlive: Boolean,
 )
 
-/** An incremental HTTP/1.1 parser over one connection. Limits: [MAX_LINE] bytes a line, [MAX_LINES] header lines,
- * and the given number of body bytes. */
+/**
+ * An incremental HTTP/1.1 parser for the messages of one connection. It limits a line to [MAX_LINE_BYTES], a header to
+ * [MAX_HEADER_LINES] and a body to the size that the caller gives.
+ */
 class Parser(
     private val source: ByteSource,
-    size: Int = 4096,
+    bufferBytes: Int = 4096,
 ) {
-    private var buffer: ByteBuffer = ByteBuffer.allocate(size).flip()
+    private var buffer: ByteBuffer = ByteBuffer.allocate(bufferBytes).flip()
 
-    /** True when bytes of a next message are already here, which peers that don't pipeline never cause. */
-    val pending get() = buffer.hasRemaining()
+    /** Whether bytes of the next message have already arrived. This never happens with peers that don't pipeline. */
+    val hasPendingBytes get() = buffer.hasRemaining()
 
-    private suspend fun more(): Boolean {
+    private suspend fun fillBuffer(): Boolean {
         buffer.compact()
-        val ok = source.fill(buffer)
+        val hasMore = source.fill(buffer)
         buffer.flip()
-        return ok
+        return hasMore
     }
 
-    /** Waits for the first byte of a message; false when the stream ended before it. */
-    suspend fun awaitMessage(): Boolean = buffer.hasRemaining() || more()
+    /** Waits for the first byte of a message; returns false if the stream has ended before it. */
+    suspend fun awaitMessage(): Boolean = buffer.hasRemaining() || fillBuffer()
 
     private val line = StringBuilder()
 
@@ -49,38 +64,39 @@
         line.setLength(0)
         while (true) {
             while (buffer.hasRemaining()) {
-                val c = buffer.get().toInt().toChar()
-                if (c == '\n') {
+                val char = buffer.get().toInt().toChar()
+                if (char == '\n') {
                     if (line.isNotEmpty() && line[line.length - 1] == '\r') line.setLength(line.length - 1)
                     return line.toString()
                 }
-                if (line.length >= MAX_LINE) throw HttpError(431, "line too long")
-                line.append(c)
+                if (line.length >= MAX_LINE_BYTES) throw HttpError(431, "line too long")
+                line.append(char)
             }
-            if (!more()) throw HttpError(400, "the stream ended in a line")
+            if (!fillBuffer()) throw HttpError(400, "the stream ended in a line")
         }
     }
 
+    /** Reads the start line and the header of a message. */
     suspend fun head(): Head {
-        val start = readLine()
+        val startLine = readLine()
         var length: Long? = null
-        var chunked = false
-        var close = start.endsWith("HTTP/1.0") || start.startsWith("HTTP/1.0")
-        var keep = false
-        var lines = 0
+        var isChunked = false
+        var close = startLine.endsWith("HTTP/1.0") || startLine.startsWith("HTTP/1.0")
+        var keepAlive = false
+        var lineCount = 0
         while (true) {
-            val l = readLine()
-            if (l.isEmpty()) break
-            if (++lines > MAX_LINES) throw HttpError(431, "too many header lines")
-            val colon = l.indexOf(':')
+            val headerLine = readLine()
+            if (headerLine.isEmpty()) break
+            if (++lineCount > MAX_HEADER_LINES) throw HttpError(431, "too many header lines")
+            val colon = headerLine.indexOf(':')
             if (colon <= 0) throw HttpError(400, "bad header line")
-            val name = l.substring(0, colon)
+            val name = headerLine.substring(0, colon)
             if (name.equals("content-length", true)) {
-                val n = l.substring(colon + 1).trim().toLongOrNull()
+                val n = headerLine.substring(colon + 1).trim().toLongOrNull()
                 if (n == null || n < 0 || (length != null && length != n)) throw HttpError(400, "bad content-length")
                 length = n
             } else if (name.equals("transfer-encoding", true)) {
-                if (!l
+                if (!headerLine
                         .substring(
                             colon + 1,
                         ).trim()
@@ -88,65 +104,69 @@
                 ) {
                     throw HttpError(501, "unknown transfer-encoding")
                 }
-                chunked = true
+                isChunked = true
             } else if (name.equals("connection", true)) {
-                val v = l.substring(colon + 1).trim()
-                if (v.equals("close", true)) close = true
-                if (v.equals("keep-alive", true)) keep = true
+                val option = headerLine.substring(colon + 1).trim()
+                if (option.equals("close", true)) close = true
+                if (option.equals("keep-alive", true)) keepAlive = true
             }
         }
-        if (chunked && length != null) throw HttpError(400, "both content-length and chunked")
-        return Head(start, length, chunked, close, keep)
+        if (isChunked && length != null) throw HttpError(400, "both content-length and chunked")
+        return Head(startLine, length, isChunked, close, keepAlive)
     }
 
+    /** Reads the body that belongs to [head], of at most [maxBytes] bytes. */
     suspend fun body(
         head: Head,
-        max: Long,
+        maxBytes: Long,
     ): ByteArray {
-        if (head.chunked) return chunks(max)
-        val length = head.length ?: return NOTHING
-        if (length > max) throw HttpError(413, "body too large")
-        return exactly(length.toInt())
+        if (head.isChunked) return readChunks(maxBytes)
+        val length = head.contentLength ?: return EMPTY_BODY
+        if (length > maxBytes) throw HttpError(413, "body too large")
+        return readExactly(length.toInt())
     }
 
-    private suspend fun exactly(n: Int): ByteArray {
-        val out = ByteArray(n)
-        var at = 0
-        while (at < n) {
-            if (!buffer.hasRemaining() && !more()) throw HttpError(400, "the stream ended in a body")
-            val k = minOf(buffer.remaining(), n - at)
-            buffer.get(out, at, k)
-            at += k
+    private suspend fun readExactly(count: Int): ByteArray {
+        val bytes = ByteArray(count)
+        var position = 0
+        while (position < count) {
+            if (!buffer.hasRemaining() && !fillBuffer()) throw HttpError(400, "the stream ended in a body")
+            val available = minOf(buffer.remaining(), count - position)
+            buffer.get(bytes, position, available)
+            position += available
         }
-        return out
+        return bytes
     }
 
-    private suspend fun chunks(max: Long): ByteArray {
-        val parts = ArrayList<ByteArray>()
-        var total = 0L
+    private suspend fun readChunks(maxBytes: Long): ByteArray {
+        val chunks = ArrayList<ByteArray>()
+        var totalBytes = 0L
         while (true) {
-            val size = readLine().substringBefore(';').trim().toLongOrNull(16)
-            if (size == null || size < 0) throw HttpError(400, "bad chunk size")
-            total += size
-            if (total > max) throw HttpError(413, "body too large")
-            if (size == 0L) break
-            parts.add(exactly(size.toInt()))
+            val chunkBytes = readLine().substringBefore(';').trim().toLongOrNull(16)
+            if (chunkBytes == null || chunkBytes < 0) throw HttpError(400, "bad chunk size")
+            totalBytes += chunkBytes
+            if (totalBytes > maxBytes) throw HttpError(413, "body too large")
+            if (chunkBytes == 0L) break
+            chunks.add(readExactly(chunkBytes.toInt()))
             if (readLine().isNotEmpty()) throw HttpError(400, "bad chunk end")
         }
-        var trailers = 0
-        while (readLine().isNotEmpty()) if (++trailers > MAX_LINES) throw HttpError(431, "too many trailers")
-        val out = ByteArray(total.toInt())
-        var at = 0
-        for (p in parts) {
-            p.copyInto(out, at)
-            at += p.size
+        var trailerCount = 0
+        while (readLine().isNotEmpty()) if (++trailerCount > MAX_HEADER_LINES) throw HttpError(431, "too many trailers")
+        val body = ByteArray(totalBytes.toInt())
+        var position = 0
+        for (chunk in chunks) {
+            chunk.copyInto(body, position)
+            position += chunk.size
         }
-        return out
+        return body
     }
 
+    /** Limits of a message. */
     companion object {
-        const val MAX_LINE = 8192
-        const val MAX_LINES = 64
-        private val NOTHING = ByteArray(0)
+        const val MAX_LINE_BYTES = 8192
+
+        /** Also the limit of the trailer lines after a body in chunks. */
+        const val MAX_HEADER_LINES = 64
+        private val EMPTY_BODY = ByteArray(0)
     }
 }
--- a/src/main/kotlin/micatally/http/Server.kt
+++ b/src/main/kotlin/micatally/http/Server.kt
@@ -14,91 +14,107 @@
 import java.nio.channels.AsynchronousServerSocketChannel
 import java.nio.channels.AsynchronousSocketChannel
 
-/** An HTTP/1.1 server on one address. Beyond [maxConnections] a new connection is closed at once, so that the rest
- * of the process keeps sockets for its own calls. When three quarters are taken, connections are closed after each
- * answer: a node that is left alone with a whole fleet would otherwise shut out every worker that comes later. */
+/**
+ * An HTTP/1.1 server on one address.
+ *
+ * A new connection beyond [maxConnections] is closed at once, so that the process keeps sockets for its own requests.
+ * While more than three quarters of [maxConnections] are open, each connection is closed after its next response.
+ * Otherwise, if only one controller is left for the whole fleet, the first workers would hold all its connections, and
+ * later ones could not connect.
+ *
+ * @param maxBodyBytes maximum size of a request body; larger requests are refused
+ * @param handle produces the response to a request. If it throws, the response has status 503.
+ */
 class Server(
     private val scope: CoroutineScope,
     private val group: AsynchronousChannelGroup,
     private val addr: String,
     private val maxConnections: Int,
-    private val maxBody: Long,
+    private val maxBodyBytes: Long,
     private val handle: suspend (HttpRequest) -> HttpResponse,
 ) {
     private val log = LoggerFactory.getLogger("micatally.http")
-    private var open = 0
-    private lateinit var channel: AsynchronousServerSocketChannel
-    val port get() = (channel.localAddress as java.net.InetSocketAddress).port
+    private var openConnections = 0
+    private lateinit var serverChannel: AsynchronousServerSocketChannel
 
-    /** Takes the address; connections wait until [start].
+    /** The port that the server is bound to. */
+    val port get() = (serverChannel.localAddress as java.net.InetSocketAddress).port
+
+    /**
+     * Binds the server to its address. Incoming connections wait until [start].
      *
-     * @throws java.io.IOException if another process has it */
+     * @throws java.io.IOException if the address can't be used, for example because another process uses it
+     */
     fun bind() {
         val opened = AsynchronousServerSocketChannel.open(group)
         try {
             opened.setOption(StandardSocketOptions.SO_REUSEADDR, true)
-            opened.bind(socketAddress(addr), maxOf(LEAST_BACKLOG, maxConnections))
+            opened.bind(socketAddress(addr), maxOf(MIN_BACKLOG, maxConnections))
         } catch (e: IOException) {
             opened.close()
             throw e
         }
-        channel = opened
+        serverChannel = opened
     }
 
+    /**
+     * Starts to accept connections, after binding if [bind] has not been called. The server runs until the job is
+     * cancelled.
+     */
     fun start(): Job {
-        if (!::channel.isInitialized) bind()
+        if (!::serverChannel.isInitialized) bind()
         return scope.launch {
             while (true) {
-                val c =
+                val connection =
                     try {
-                        channel.acceptOne()
+                        serverChannel.acceptOne()
                     } catch (e: CancellationException) {
                         throw e
                     } catch (e: Exception) {
-                        // Out of sockets, most likely. Trying again at once would spin.
-                        log.error("accept on {} failed: {}", addr, e.toString())
-                        delay(ACCEPT_PAUSE_MS)
+                        // Most likely the process has no free sockets. Without the delay this would be a busy loop.
+                        log.error("accepting a connection on {} failed, retrying soon: {}", addr, e.toString())
+                        delay(ACCEPT_RETRY_DELAY_MS)
                         continue
                     }
-                if (open >= maxConnections) {
-                    c.closeQuietly()
+                if (openConnections >= maxConnections) {
+                    connection.closeQuietly()
                     continue
                 }
-                open++
+                openConnections++
                 launch {
                     try {
-                        serve(c)
+                        serve(connection)
                     } catch (
                         e: CancellationException,
                     ) {
                         throw e
                     } catch (e: Exception) {
-                        log.debug("connection ended: {}", e.toString())
+                        log.debug("connection closed after a failure: {}", e.toString())
                     } finally {
-                        open--
-                        c.closeQuietly()
+                        openConnections--
+                        connection.closeQuietly()
                     }
                 }
             }
         }
     }
 
-    private suspend fun serve(c: AsynchronousSocketChannel) {
-        c.setOption(StandardSocketOptions.TCP_NODELAY, true)
-        val parser = Parser({ c.readInto(it) > 0 }, 2048)
+    private suspend fun serve(connection: AsynchronousSocketChannel) {
+        connection.setOption(StandardSocketOptions.TCP_NODELAY, true)
+        val parser = Parser({ connection.readInto(it) > 0 }, 2048)
         while (true) {
-            val there = withTimeoutOrNull(IDLE_MS) { parser.awaitMessage() } ?: return
-            if (!there) return
+            val hasMessage = withTimeoutOrNull(MAX_IDLE_MS) { parser.awaitMessage() } ?: return
+            if (!hasMessage) return
             val request =
                 try {
-                    withTimeoutOrNull(MESSAGE_MS) {
+                    withTimeoutOrNull(MESSAGE_TIMEOUT_MS) {
                         val head = parser.head()
-                        val words = head.startLine.split(' ')
-                        if (words.size != 3 || !words[2].startsWith("HTTP/1.")) throw HttpError(400, "bad request line")
-                        HttpRequest(words[0], words[1], parser.body(head, maxBody), !head.close)
+                        val parts = head.startLine.split(' ')
+                        if (parts.size != 3 || !parts[2].startsWith("HTTP/1.")) throw HttpError(400, "bad request line")
+                        HttpRequest(parts[0], parts[1], parser.body(head, maxBodyBytes), !head.close)
                     } ?: return
                 } catch (e: HttpError) {
-                    write(c, errorResponse(e.status, e.message ?: ""), false)
+                    write(connection, errorResponse(e.status, e.message ?: ""), false)
                     return
                 }
             val response =
@@ -107,58 +123,66 @@
                 } catch (e: CancellationException) {
                     throw e
                 } catch (e: Exception) {
-                    log.error("{} {} failed", request.method, request.path, e)
+                    log.error("handling {} {} failed, responding with status 503", request.method, request.path, e)
                     HttpResponse(503, "{\"error\":\"internal\"}".encodeToByteArray(), retryAfterS = 1)
                 }
-            val keep = request.keepAlive && !response.close && open * 4 <= maxConnections * 3
-            write(c, response, keep)
-            if (!keep) return
+            val keepOpen = request.keepAlive && !response.close && openConnections * 4 <= maxConnections * 3
+            write(connection, response, keepOpen)
+            if (!keepOpen) return
         }
     }
 
     private suspend fun write(
-        c: AsynchronousSocketChannel,
-        r: HttpResponse,
-        keep: Boolean,
+        connection: AsynchronousSocketChannel,
+        response: HttpResponse,
+        keepOpen: Boolean,
     ) {
         val head = StringBuilder(160)
         head
             .append(
                 "HTTP/1.1 ",
-            ).append(r.status)
+            ).append(response.status)
             .append(' ')
-            .append(reasonOf(r.status))
+            .append(reasonPhrase(response.status))
             .append("\r\nContent-Type: ")
-            .append(r.type)
+            .append(response.type)
             .append("\r\nContent-Length: ")
-            .append(r.body.size)
-        if (r.retryAfterS != null) head.append("\r\nRetry-After: ").append(r.retryAfterS)
-        if (!keep) head.append("\r\nConnection: close")
+            .append(response.body.size)
+        if (response.retryAfterS != null) head.append("\r\nRetry-After: ").append(response.retryAfterS)
+        if (!keepOpen) head.append("\r\nConnection: close")
         head.append("\r\n\r\n")
-        withTimeoutOrNull(MESSAGE_MS) { c.writeAll(joined(head, r.body)) } ?: c.closeQuietly()
+        withTimeoutOrNull(MESSAGE_TIMEOUT_MS) {
+            connection.writeAll(concatenate(head, response.body))
+        } ?: connection.closeQuietly()
     }
 
     private companion object {
-        /** Connections that may wait to be accepted; after an outage a whole fleet comes back at once. */
-        const val LEAST_BACKLOG = 256
-        const val IDLE_MS = 120_000L
-        const val MESSAGE_MS = 10_000L
-        const val ACCEPT_PAUSE_MS = 100L
+        /** Least number of connections that may wait to be accepted. After an outage a whole fleet connects at once. */
+        const val MIN_BACKLOG = 256
+
+        /** A connection is closed if no request arrives for this time. */
+        const val MAX_IDLE_MS = 120_000L
+
+        /** A connection is closed if receiving a request or sending a response takes longer than this. */
+        const val MESSAGE_TIMEOUT_MS = 10_000L
+        const val ACCEPT_RETRY_DELAY_MS = 100L
     }
 }
 
-internal fun joined(
+/** A buffer that holds [head], encoded as ISO 8859-1, and then [body]. */
+internal fun concatenate(
     head: CharSequence,
     body: ByteArray,
 ): ByteBuffer {
-    val h = head.toString().toByteArray(Charsets.ISO_8859_1)
+    val headBytes = head.toString().toByteArray(Charsets.ISO_8859_1)
     return ByteBuffer
-        .allocate(h.size + body.size)
-        .put(h)
+        .allocate(headBytes.size + body.size)
+        .put(headBytes)
         .put(body)
         .flip()
 }
 
+/** A response whose JSON body has [message] in the field `error`. */
 fun errorResponse(
     status: Int,
     message: String,
--- a/src/test/kotlin/micatally/http/ClientTest.kt
+++ b/src/test/kotlin/micatally/http/ClientTest.kt
@@ -12,21 +12,24 @@
 import org.junit.jupiter.api.Test
 import java.io.IOException
 
-/** Client and server over real sockets. */
+/** Tests the client and the server over sockets on the loopback address. */
 class ClientTest {
-    private fun onLoopback(test: suspend (EventLoop) -> Unit) =
+    private fun withEventLoop(test: suspend (EventLoop) -> Unit) =
         EventLoop("test").use { loop -> runBlocking { withContext(loop.scope.coroutineContext) { test(loop) } } }
 
-    private fun EventLoop.serve(answer: ByteArray): String {
-        val server = Server(scope, group, "127.0.0.1:0", 10, 1000) { HttpResponse(200, answer) }
+    private fun EventLoop.serve(body: ByteArray): String {
+        val server = Server(scope, group, "127.0.0.1:0", 10, 1000) { HttpResponse(200, body) }
         server.start()
         return "127.0.0.1:${server.port}"
     }
 
-    /** The answer of a watch has no bound, and a controller has little memory. It used to be asked for again without end. */
+    /**
+     * The response to a watch has no maximum size, but a controller has little memory. The failure that this guards
+     * against: the controller repeats a watch whose response is too large without end.
+     */
     @Test
-    fun `a watch whose answer is too large is read again in pages`() =
-        onLoopback { loop ->
+    fun `a watch whose response is too large reports that the keys have to be listed again`() =
+        withEventLoop { loop ->
             val addr = loop.serve("{\"odometer\":9,\"news\":[],\"more\":\"${"x".repeat(5000)}\"}".encodeToByteArray())
             val client = Client(loop.group, 10, loop::nowMs, maxResponseBytes = 1000)
             assertEquals(Outcome.TooLarge, client.call(addr, "GET", "/watch", null, 2000))
@@ -36,8 +39,8 @@
         }
 
     @Test
-    fun `an address that another server has can't be bound`() =
-        onLoopback { loop ->
+    fun `binding an address that another server uses fails`() =
+        withEventLoop { loop ->
             val addr = loop.serve(ByteArray(0))
             val second = Server(loop.scope, loop.group, addr, 10, 1000) { HttpResponse(200, ByteArray(0)) }
             assertThrows(IOException::class.java) { second.bind() }
--- a/src/test/kotlin/micatally/http/ParserTest.kt
+++ b/src/test/kotlin/micatally/http/ParserTest.kt
@@ -8,18 +8,18 @@
 import kotlin.random.Random
 
 class ParserTest {
-    /** Hands out the bytes in pieces of random size, as a network does. */
+    /** A source that delivers the text in pieces of random size, as a network does. */
     private fun source(
         text: String,
         random: Random,
     ): ByteSource {
         val bytes = text.toByteArray(Charsets.ISO_8859_1)
-        var at = 0
-        return ByteSource { b ->
-            val n = minOf(b.remaining(), bytes.size - at, random.nextInt(1, 7))
-            b.put(bytes, at, n)
-            at += n
-            n > 0
+        var position = 0
+        return ByteSource { buffer ->
+            val count = minOf(buffer.remaining(), bytes.size - position, random.nextInt(1, 7))
+            buffer.put(bytes, position, count)
+            position += count
+            count > 0
         }
     }
 
@@ -28,13 +28,13 @@
         seed: Int = 1,
     ): Pair<Head, ByteArray> =
         runBlocking {
-            val p = Parser(source(text, Random(seed)), 16)
-            val h = p.head()
-            h to p.body(h, 64)
+            val parser = Parser(source(text, Random(seed)), 16)
+            val head = parser.head()
+            head to parser.body(head, 64)
         }
 
     @Test
-    fun `bodies by length and in chunks read the same in any pieces`() {
+    fun `a body with a length and a body in chunks are read alike however the bytes are split`() {
         for (seed in 1..50) {
             assertArrayEquals(
                 "hello".toByteArray(),
@@ -51,7 +51,7 @@
     }
 
     @Test
-    fun `what is not HTTP is refused with the right status`() {
+    fun `an invalid message or one above a limit is refused with the status for its fault`() {
         fun status(text: String) = assertThrows(HttpError::class.java) { read(text) }.status
         assertEquals(413, status("POST /x HTTP/1.1\r\nContent-Length: 65\r\n\r\n"))
         assertEquals(413, status("POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n41\r\n"))
