--- a/src/main/kotlin/micatally/fleet/CloudClient.kt
+++ b/src/main/kotlin/micatally/fleet/CloudClient.kt
@@ -68,7 +68,7 @@
         val body = CloudRequests.provision(request.name, offer.type, offer.zone, offer.isSpot, request.count)
         return when (val outcome = send("POST", CloudRequests.MACHINES, body, Urgency.ACCEPTANCE)) {
             is Outcome.NotSent -> ProvisioningResult.Refused
-            is Outcome.Silence, is Outcome.TooLarge -> ProvisioningResult.Unknown
+            is Outcome.NoResponse, is Outcome.TooLarge -> ProvisioningResult.Unknown
             is Outcome.Answer -> provisioningResult(outcome)
         }
     }
--- a/src/main/kotlin/micatally/fleet/MachineProber.kt
+++ b/src/main/kotlin/micatally/fleet/MachineProber.kt
@@ -61,7 +61,7 @@
     ) {
         when (outcome) {
             is Outcome.Answer -> recordAnswer(machine, outcome)
-            Outcome.Silence, Outcome.TooLarge -> recordSilence(machine)
+            Outcome.NoResponse, Outcome.TooLarge -> recordSilence(machine)
             Outcome.NotSent -> recordNoConnection(machine, tookMs)
         }
     }
--- a/src/main/kotlin/micatally/http/Client.kt
+++ b/src/main/kotlin/micatally/http/Client.kt
@@ -87,7 +87,7 @@
         } finally {
             connectionToDiscard?.let { discard(it) }
         }
-        return outcome ?: if (mayHaveSent) Outcome.Silence else Outcome.NotSent
+        return outcome ?: if (mayHaveSent) Outcome.NoResponse else Outcome.NotSent
     }
 
     private fun takeIdle(addr: String): Connection? {
--- a/src/main/kotlin/micatally/http/Messages.kt
+++ b/src/main/kotlin/micatally/http/Messages.kt
@@ -48,7 +48,7 @@
 }
 
 /**
- * Outcome of a request of this process. [NotSent] proves that the request is not carried out. After [Silence] it may
+ * Outcome of a request of this process. [NotSent] proves that the request is not carried out. After [NoResponse] it may
  * have been carried out, or may still be carried out later.
  */
 sealed interface Outcome {
@@ -62,7 +62,7 @@
     data object NotSent : Outcome
 
     /** The request may have been sent, but no valid response to it has arrived. */
-    data object Silence : Outcome
+    data object NoResponse : Outcome
 
     /** A response has arrived, but it is larger than this process accepts. */
     data object TooLarge : Outcome
--- a/src/main/kotlin/micatally/state/StateStoreClient.kt
+++ b/src/main/kotlin/micatally/state/StateStoreClient.kt
@@ -143,7 +143,7 @@
     private suspend fun commit(transaction: Transaction): TransactionResult =
         when (val outcome = call("POST", "/txn", StateStoreMessages.transactionRequest(transaction))) {
             is Outcome.NotSent -> TransactionResult.Refused
-            is Outcome.Silence, is Outcome.TooLarge -> TransactionResult.Unknown
+            is Outcome.NoResponse, is Outcome.TooLarge -> TransactionResult.Unknown
             is Outcome.Answer -> transactionResult(transaction, outcome)
         }
 
--- a/src/main/kotlin/micatally/worker/CommandDispatcher.kt
+++ b/src/main/kotlin/micatally/worker/CommandDispatcher.kt
@@ -136,7 +136,7 @@
             handle(outcome, machine, batch)
             return true
         }
-        val mayHaveArrived = outcome is Outcome.Silence || outcome is Outcome.TooLarge
+        val mayHaveArrived = outcome is Outcome.NoResponse || outcome is Outcome.TooLarge
         if (mayHaveArrived) recordUnansweredRuns(machine, batch)
         return false
     }
--- a/src/test/kotlin/micatally/compatibility/MessagesTest.kt
+++ b/src/test/kotlin/micatally/compatibility/MessagesTest.kt
@@ -600,7 +600,7 @@
             assertEquals(TransactionResult.TooLarge, transaction(answer(400)))
             assertEquals(TransactionResult.Limited, transaction(answer(429)))
             assertEquals(TransactionResult.Refused, transaction(answer(503)))
-            assertEquals(TransactionResult.Unknown, transaction(Outcome.Silence))
+            assertEquals(TransactionResult.Unknown, transaction(Outcome.NoResponse))
         }
 
     @Test
--- a/src/test/kotlin/micatally/job/ShardRecordsTest.kt
+++ b/src/test/kotlin/micatally/job/ShardRecordsTest.kt
@@ -51,7 +51,7 @@
             var largest = 0
             val http =
                 HttpCaller { _, method, target, body, _ ->
-                    if (answers++ >= refuseFrom) return@HttpCaller Outcome.Silence
+                    if (answers++ >= refuseFrom) return@HttpCaller Outcome.NoResponse
                     val response = service.handle(HttpRequest(method, target, body ?: ByteArray(0)))
                     largest = maxOf(largest, response.body.size)
                     Outcome.Answer(response.status, response.body)
--- a/src/test/kotlin/micatally/quota/FaultyStateStore.kt
+++ b/src/test/kotlin/micatally/quota/FaultyStateStore.kt
@@ -93,7 +93,7 @@
             service.handle(request)
         }
         delay(timeoutMs)
-        return Outcome.Silence
+        return Outcome.NoResponse
     }
 
     companion object {
--- a/src/test/kotlin/micatally/quota/QuotaTest.kt
+++ b/src/test/kotlin/micatally/quota/QuotaTest.kt
@@ -52,7 +52,7 @@
                 ) {
                     losesNextAnswer = false
                     kotlinx.coroutines.delay(timeoutMs)
-                    Outcome.Silence
+                    Outcome.NoResponse
                 } else {
                     Outcome.Answer(response.status, response.body)
                 }
--- a/src/test/kotlin/micatally/sim/SimNet.kt
+++ b/src/test/kotlin/micatally/sim/SimNet.kt
@@ -99,7 +99,7 @@
             } else {
                 withTimeoutOrNull(timeoutMs) {
                     deliver(from, to, addr, request, target)
-                } ?: Outcome.Silence
+                } ?: Outcome.NoResponse
             }
         }
 
@@ -114,7 +114,7 @@
         val answer = CompletableDeferred<Outcome>()
         val cut = cuts.firstOrNull { it.between(from, to) || it.between(to, from) }
         if (cut != null && cut.mode == CutMode.RESET) {
-            return if (random.nextBoolean()) Outcome.NotSent else Outcome.Silence
+            return if (random.nextBoolean()) Outcome.NotSent else Outcome.NoResponse
         }
         // What was sent goes on by itself, also when its sender has given up or died.
         scope.launch {
--- a/src/test/kotlin/micatally/sim/StateStoreFaults.kt
+++ b/src/test/kotlin/micatally/sim/StateStoreFaults.kt
@@ -114,7 +114,7 @@
             store.handle(request)
         }
         delay(timeoutMs)
-        return Outcome.Silence
+        return Outcome.NoResponse
     }
 
     private companion object {
