--- a/src/main/kotlin/micatally/cli/ControllerStart.kt
+++ b/src/main/kotlin/micatally/cli/ControllerStart.kt
@@ -85,7 +85,7 @@
         back.start()
         while (true) {
             delay(settings.leaseMs)
-            client.sweep()
+            client.closeIdleConnections()
         }
     }
     return front to back
--- a/src/main/kotlin/micatally/http/Client.kt
+++ b/src/main/kotlin/micatally/http/Client.kt
@@ -108,7 +108,7 @@
     }
 
     private suspend fun connect(addr: String): Connection? {
-        if (openSockets >= maxSockets) sweep()
+        if (openSockets >= maxSockets) closeIdleConnections()
         // The connection that has been idle for longest makes room for the new one, which is needed now.
         if (openSockets >=
             maxSockets
@@ -145,7 +145,7 @@
     }
 
     /** Closes connections that have been idle for [MAX_IDLE_MS], so that machines that are gone occupy no sockets. */
-    fun sweep() {
+    fun closeIdleConnections() {
         val now = nowMs()
         val entries = idleConnections.entries.iterator()
         while (entries.hasNext()) {
