--- a/src/test/kotlin/micatally/quota/FaultyStateStore.kt
+++ b/src/test/kotlin/micatally/quota/FaultyStateStore.kt
@@ -94,7 +94,7 @@
             emulator.handle(request)
         }
         delay(timeoutMs)
-        return Outcome.Silence
+        return Outcome.NoResponse
     }
 
     companion object {
