--- a/src/test/kotlin/micatally/sim/StateStoreLimitsTest.kt
+++ b/src/test/kotlin/micatally/sim/StateStoreLimitsTest.kt
@@ -5,14 +5,14 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Stored values keep to the size limits of the state store. */
+/** Stored values stay within the size limit of the state store. */
 class StateStoreLimitsTest {
     /**
-     * Found under load: a capacity summary of hundreds of machines was larger than a value may be, and was never
-     * published again. Guard: a summary is split over several values.
+     * Guards the split of a capacity summary over several values. A summary of hundreds of machines is larger than a
+     * value may be; unsplit it would never be stored again.
      */
     @Test
-    fun `summaries of many machines fit the state store's values`() =
+    fun `a summary of 500 machines is split over values within the size limit`() =
         withFleet(5) { fleet ->
             for (n in 0 until 500) {
                 val machine = fleet.live[0]!!.machines.findOrAdd("m-%06d".format(n), "10.0.0.1:9", "g8", "a", false)
--- a/src/test/kotlin/micatally/sim/StateStoreOutageTest.kt
+++ b/src/test/kotlin/micatally/sim/StateStoreOutageTest.kt
@@ -5,16 +5,17 @@
 import org.junit.jupiter.api.Test
 
 /**
- * The state store is slow, down, or refuses single controllers: tasks outlive it, and a controller alone stops acting in time.
+ * The state store is slow, down, or refuses single controllers. Tasks survive that, and a controller without any
+ * contact stops answering workers in time.
  */
 class StateStoreOutageTest {
     /**
-     * Found on a day with many faults: in an outage longer than a node's leadership lasts every node stopped
-     * answering, and the whole fleet lost its leases, though no cancellation can be recorded during an outage of the
-     * state store and the nodes heard from each other. Guard: nodes that hear from each other keep answering workers.
+     * Guards the rule that nodes in contact with each other keep answering workers. In an outage of the state store
+     * that was longer than a node's leadership lasts, every node stopped answering, and all workers lost their leases.
+     * That is not necessary: no cancellation can be stored during such an outage.
      */
     @Test
-    fun `tasks outlive a long outage of the state store while the controllers hear each other`() =
+    fun `tasks survive a long outage of the state store while the controllers are in contact`() =
         withFleet(2) { fleet ->
             val jobId = fleet.submit(0, 1, "daemon", 2)
             fleet.runFor(20_000)
@@ -28,11 +29,11 @@
         }
 
     /**
-     * Found in a repeated day: users were sent for half a minute to a node that the state store refused alone. Guard:
-     * such a node is not healthy, but in an outage for all every node is.
+     * Guards the health check: a node that the state store refuses alone is unhealthy, or else users are sent to it for
+     * half a minute. In an outage that affects all nodes, every node is healthy.
      */
     @Test
-    fun `a node refused alone is not healthy, in an outage for all every node is`() =
+    fun `a node that the state store refuses alone is unhealthy, but an outage for all nodes makes none unhealthy`() =
         withFleet(7) { fleet ->
             fleet.stateFaults.refusedHosts.add("n0")
             fleet.runFor(5000)
@@ -45,11 +46,11 @@
         }
 
     /**
-     * The other side of the long outage. Guard: a node that reaches neither the state store nor another controller
-     * stops answering in time.
+     * Guards the opposite case to a long outage with contact between the nodes: a node that reaches neither the state
+     * store nor another controller stops answering workers in time.
      */
     @Test
-    fun `a node alone without the state store stops answering workers`() =
+    fun `a node that reaches neither the state store nor a peer stops answering workers`() =
         withFleet(3) { fleet ->
             fleet.runFor(3000)
             fleet.crash(1)
@@ -59,23 +60,23 @@
             assertEquals(LeadershipState.EXPIRED, fleet.live[0]!!.membership.leadership)
         }
 
-    /** Guard: as in [CancellationDeadlineTest]; and a request that cannot be decided is answered 503 at once. */
+    /** Guards the rules of [CancellationDeadlineTest]. Also, a request that cannot be decided gets 503 at once. */
     @Test
-    fun `the state store is slow, refuses the leader alone and then everybody, while users cancel and ask`() =
+    fun `cancellations hold while the state store is slow, refuses the leader, and then is down`() =
         forEachSeed(largeDeployment) {
             val jobIds = (0..2).flatMap { listOf(submit(it, "daemon", 2), submitLongArray(it, 3)) }
             allRun(jobIds)
-            fleet.net.slowMs["state"] = 400
+            fleet.net.extraLatencyMs["state"] = 400
             for (jobId in jobIds) poll(jobId)
             fleet.runFor(2000)
             fleet.stateFaults.refusedHosts.add("n0")
             for (jobId in jobIds.filterIndexed { i, _ -> i % 2 == 1 }) cancel(jobId, listOf(0, 1, 2))
-            runUntil(fleet.lease, "one is confirmed") { jobIds.any { fleet.rules.isCancelled(it) } }
+            runUntil(fleet.lease, "a cancellation is confirmed") { jobIds.any { fleet.rules.isCancelled(it) } }
             fleet.state.down = true
             fleet.runFor(fleet.cancelMs * 6 / 5)
             fleet.state.down = false
             fleet.stateFaults.refusedHosts.clear()
-            fleet.net.slowMs.clear()
+            fleet.net.extraLatencyMs.clear()
             fleet.runFor(fleet.lease * 2)
             checkRecovery(jobIds)
         }
--- a/src/test/kotlin/micatally/sim/Timing.kt
+++ b/src/test/kotlin/micatally/sim/Timing.kt
@@ -1,6 +1,12 @@
 package micatally.sim
 
-/** The workers' times of a deployment in seconds, and how many controllers it has. */
+/**
+ * The timing of the workers of a deployment, and its number of controllers.
+ *
+ * @property reportS the interval of heartbeats, in seconds
+ * @property leaseS the lease of a worker, in seconds
+ * @property cancelS how long a cancelled task may still run after its user was told, in seconds
+ */
 class Timing(
     val reportS: Double,
     val leaseS: Double,
@@ -8,10 +14,10 @@
     val nodes: Int = 3,
 ) {
     companion object {
-        /** Short times of three controllers, for tests that need no particular deployment. */
+        /** Short times with three controllers, for tests that need no particular deployment. */
         val PLAIN = Timing(1.0, 10.0, 30.0)
 
-        /** The times of the real deployments, by name; the two first ones also at their full size. */
+        /** The times of real deployments by name; for the first two also those at full size. */
         val DEPLOYMENTS =
             mapOf(
                 "addis" to Timing(2.0, 10.0, 40.0),
--- a/src/test/kotlin/micatally/sim/WorkerReachabilityTest.kt
+++ b/src/test/kotlin/micatally/sim/WorkerReachabilityTest.kt
@@ -4,14 +4,17 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** A controller that its workers cannot reach sends them to another one, and leaves its shard to one that can reach them. */
+/**
+ * The workers of a controller that they cannot reach are served by another controller, and its shard passes to a
+ * controller that workers can reach.
+ */
 class WorkerReachabilityTest {
     /**
-     * Found in an incident: a controller that its workers could not reach still exchanged messages with the others,
-     * which sent each worker back to it until its lease had expired. Guard: [micatally.api.WorkerRedirects].
+     * Guards [micatally.api.WorkerRedirects]: a controller that its workers could not reach still exchanged messages
+     * with the others, which sent each worker back to it until the worker's lease had expired.
      */
     @Test
-    fun `workers that can't reach their zone's controller keep their tasks`() {
+    fun `workers that can't reach the controller of their zone keep their tasks`() {
         for (mode in CutMode.entries) {
             forEachSeed {
                 val jobIds = (0..2).map { submit(it, "daemon", 3, "loaners" to false) }
@@ -22,66 +25,72 @@
                 fleet.runFor(fleet.lease * 4)
                 heal(cut)
                 fleet.runFor(fleet.lease * 5)
-                assertEquals(starts, fleet.rules.starts, "$mode: nothing starts again")
+                assertEquals(starts, fleet.rules.starts, "$mode: no task starts again")
                 val zone = zoneOf(0)
-                val there =
+                val machines =
                     fleet.live[0]!!
                         .machines.byName.values
                         .filter { it.zone == zone && !it.deleted }
-                val latest = there.maxOf { it.heardAt }
-                assertTrue(there.any { it.heardHereAt > latest - fleet.lease }, "workers go back to their zone")
+                val latest = machines.maxOf { it.heardAt }
+                assertTrue(
+                    machines.any {
+                        it.heardHereAt > latest - fleet.lease
+                    },
+                    "workers send heartbeats to the controller of their zone again",
+                )
             }
         }
     }
 
     /**
-     * Guard: a controller that reaches no worker reports that it is not healthy, accepts nothing, and leaves its shard
-     * to one that does ([micatally.worker.WorkerReach], [micatally.membership.MembershipConditions.shouldStepDown]).
+     * Guards [micatally.worker.WorkerReach] and [micatally.membership.MembershipConditions.shouldStepDown]: a
+     * controller that reaches no worker reports that it is unhealthy, accepts no job, and gives its shard up to a
+     * controller that reaches workers.
      */
     @Test
-    fun `the jobs of a controller that is cut from the workers go on at another one, and short cuts move nothing`() {
+    fun `the shard of a controller that is cut off from workers moves to another one, but not during short cuts`() {
         for (mode in CutMode.entries) {
             forEachSeed {
-                val before = (0..2).map { submit(it, "daemon", 2, "loaners" to false) }
-                allRun(before)
+                val services = (0..2).map { submit(it, "daemon", 2, "loaners" to false) }
+                allRun(services)
                 val fencingToken =
                     fleet.live[1]!!
                         .membership.sharedKeys.fencingToken
                 repeat(2) {
-                    val short = cutFromWorkers(mode)
+                    val shortCut = cutFromWorkers(mode)
                     fleet.runFor(fleet.lease / 4)
-                    heal(short)
+                    heal(shortCut)
                     fleet.runFor(fleet.lease / 4)
                 }
                 assertEquals(
                     fencingToken,
                     fleet.live[1]!!
                         .membership.sharedKeys.fencingToken,
-                    "short cuts move nothing",
+                    "no shard moves during short cuts",
                 )
                 val cut = cutFromWorkers(mode)
                 fleet.runFor(100)
-                val waiting = submit(0, "sweep", 2, "loaners" to false, runMs = 1000)
+                val newJob = submit(0, "sweep", 2, "loaners" to false, runMs = 1000)
                 runUntil(
                     fleet.lease,
-                    "it says that it is not healthy",
+                    "node 0 reports that it is unhealthy",
                 ) { fleet.asked(0, "GET", "/healthz").first == 503 }
                 assertEquals(
                     503,
                     fleet.asked(0, "POST", "/work", spec("sweep", 1).source.toString().encodeToByteArray()).first,
                 )
                 runUntil(fleet.lease * 2, "the job is done at another controller") {
-                    fleet.rules.completed[waiting]?.size == 2
+                    fleet.rules.completed[newJob]?.size == 2
                 }
-                cancel(before[0], listOf(1, 2))
-                runUntil(fleet.lease * 2, "its jobs can be cancelled") { fleet.rules.isCancelled(before[0]) }
+                cancel(services[0], listOf(1, 2))
+                runUntil(fleet.lease * 2, "a job of node 0 can be cancelled") { fleet.rules.isCancelled(services[0]) }
                 fleet.runFor(fleet.lease * 4)
                 heal(cut)
-                runUntil(fleet.lease * 2, "it has its shard again") {
+                runUntil(fleet.lease * 2, "node 0 leads its shard again and is healthy") {
                     isLeaderOf(0, 0) &&
                         fleet.asked(0, "GET", "/healthz").first == 200
                 }
-                checkRecovery(before)
+                checkRecovery(services)
             }
         }
     }
