--- a/src/test/kotlin/micatally/compatibility/MessagesTest.kt
+++ b/src/test/kotlin/micatally/compatibility/MessagesTest.kt
@@ -424,7 +424,7 @@
                 observe("m-", seen, observed)
                 step(100)
             }
-            net.mute.addAll(cloud.workers.map { it.name })
+            net.outboundBlocked.addAll(cloud.workers.map { it.name })
             runFor(60_000)
             val toMachines = seen.filter { it.first.startsWith("m-") }.map { it.second }.toSet()
             assertEquals(setOf("POST /orders", "GET /show"), toMachines)
--- a/src/test/kotlin/micatally/sim/CancellationSafetyTest.kt
+++ b/src/test/kotlin/micatally/sim/CancellationSafetyTest.kt
@@ -114,7 +114,7 @@
             val machine = tasks(first).single().machine
             // The machine answers too late and sends no heartbeats, so the start command of its next task is repeated.
             fleet.net.responseDelayMs[machine] = fleet.lease
-            fleet.net.mute.add(machine)
+            fleet.net.outboundBlocked.add(machine)
             val jobId = submit(0, "daemon", 1, "circuit" to zone, "cores" to 1.0)
             runUntil(
                 fleet.lease,
--- a/src/test/kotlin/micatally/sim/GangTest.kt
+++ b/src/test/kotlin/micatally/sim/GangTest.kt
@@ -403,7 +403,7 @@
             val jobId = gang(0, 3, runMs = 5000)
             runUntilKnownRunning(jobId)
             val otherMachines = tasks(jobId).map { it.machine }.drop(1)
-            fleet.net.mute.addAll(otherMachines)
+            fleet.net.outboundBlocked.addAll(otherMachines)
             fleet.net.inboundBlocked.addAll(otherMachines)
             runUntil(fleet.lease * 2, "all tasks have completed") { done(jobId) }
             val starts = fleet.rules.starts
@@ -479,12 +479,12 @@
             val jobId = gang(0, 3, runMs = 4000)
             runUntilKnownRunning(jobId)
             for (machine in tasks(jobId).map { it.machine }) {
-                fleet.net.mute.add(machine)
+                fleet.net.outboundBlocked.add(machine)
                 fleet.net.inboundBlocked.add(machine)
             }
             fleet.runFor(5000)
             assertTrue(done(jobId))
-            fleet.net.mute.clear()
+            fleet.net.outboundBlocked.clear()
             fleet.net.inboundBlocked.clear()
             runUntilDone(jobId)
         }
--- a/src/test/kotlin/micatally/sim/PartitionTest.kt
+++ b/src/test/kotlin/micatally/sim/PartitionTest.kt
@@ -96,7 +96,7 @@
                 fleet.rules.running
                     .map { it.machine }
                     .distinct()
-            fleet.net.mute.addAll(machines)
+            fleet.net.outboundBlocked.addAll(machines)
             fleet.runFor(fleet.lease / 2)
             cancel(jobIds[0], listOf(0, 1, 2))
             runUntil(
@@ -107,7 +107,7 @@
             fleet.runFor(500)
             fleet.startNode(0)
             fleet.runFor(fleet.lease)
-            fleet.net.mute.clear()
+            fleet.net.outboundBlocked.clear()
             fleet.runFor(fleet.lease * 5)
             assertAllTasksRun(jobIds.drop(1))
             checkRecovery(jobIds)
--- a/src/test/kotlin/micatally/sim/RandomFaults.kt
+++ b/src/test/kotlin/micatally/sim/RandomFaults.kt
@@ -308,8 +308,8 @@
     private fun blockOutbound() {
         for (machine in cloud.workers.shuffled(random).take(2)) {
             note("outbound blocked ${machine.name}")
-            net.mute.add(machine.name)
-            afterRandomDelay(3000, 25_000) { net.mute.remove(machine.name) }
+            net.outboundBlocked.add(machine.name)
+            afterRandomDelay(3000, 25_000) { net.outboundBlocked.remove(machine.name) }
         }
     }
 
--- a/src/test/kotlin/micatally/sim/SimNet.kt
+++ b/src/test/kotlin/micatally/sim/SimNet.kt
@@ -74,7 +74,7 @@
     var lateCopyDelayMs = 500L..25_000L
 
     /** Hosts that can open no connections, while others can reach them. */
-    val mute = HashSet<String>()
+    val outboundBlocked = HashSet<String>()
 
     /**
      * The delay of commands to a host, in milliseconds. They are delivered even if their sender gives up or ends
@@ -106,7 +106,7 @@
         HttpCaller { addr, method, target, body, timeoutMs ->
             val to = host(addr)
             val request = HttpRequest(method, target, body ?: ByteArray(0))
-            if (from.name in mute) {
+            if (from.name in outboundBlocked) {
                 delay(timeoutMs)
                 Outcome.NotSent
             } else if (to?.isPoweredOff == true) {
--- a/src/test/kotlin/micatally/sim/StaleMessageTest.kt
+++ b/src/test/kotlin/micatally/sim/StaleMessageTest.kt
@@ -114,9 +114,9 @@
                 fleet.cloud.workers
                     .map { it.name }
                     .toSet()
-            fleet.net.mute.addAll(machines)
+            fleet.net.outboundBlocked.addAll(machines)
             fleet.runFor(fleet.lease * 5 / 4)
-            fleet.net.mute.clear()
+            fleet.net.outboundBlocked.clear()
             assertTrue(
                 fleet.cloud.workers.any { it.incarnation > (incarnationsBefore[it.name] ?: Long.MAX_VALUE) },
                 "workers have new incarnations",
--- a/src/test/kotlin/micatally/sim/StarvationCheck.kt
+++ b/src/test/kotlin/micatally/sim/StarvationCheck.kt
@@ -43,7 +43,7 @@
 
     /** Whether the machine is reachable, works and will not be taken back. */
     private fun isUsable(worker: WorkerEmulator): Boolean {
-        val isReachable = worker.name !in net.inboundBlocked && worker.name !in net.mute
+        val isReachable = worker.name !in net.inboundBlocked && worker.name !in net.outboundBlocked
         return isReachable && !worker.hung && !worker.sick && worker.spotNoticeS == null
     }
 
