--- a/src/test/kotlin/micatally/compatibility/MessagesTest.kt
+++ b/src/test/kotlin/micatally/compatibility/MessagesTest.kt
@@ -214,7 +214,7 @@
         return response
     }
 
-    /** Sends the request [methodAndPath], such as `GET /work`, to node 0 and asserts that file [name] is the response. */
+    /** Sends the request [methodAndPath], such as `GET /work`, to node 0. Asserts that file [name] is the response. */
     private fun SimFleet.expect(
         methodAndPath: String,
         status: Int,
@@ -632,7 +632,10 @@
 
     // Peers
 
-    /** Asserts that [value] is encoded to the file's bytes, and so is the message decoded from them. Returns the latter. */
+    /**
+     * Asserts that [value] is encoded to the bytes in file [name], and that these bytes stay the same when decoded and
+     * encoded again. Returns the decoded message.
+     */
     private inline fun <reified T> roundTrip(
         name: String,
         value: T,
@@ -849,7 +852,10 @@
     private val status =
         ConfigurationStatus(true, 41, 42, true, 1500, listOf(AppliedVersion("pitbox-0", 41)), listOf("pitbox-1"))
 
-    /** Asserts that [call] sends one request, with the body in file [request]. It gets the body in file [answer] back. */
+    /**
+     * Runs [call] on a configuration client and returns its result. Asserts that it sends one request, to [path] and
+     * with the body in file [request], or an empty body if that is null. The response has the body in file [answer].
+     */
     private suspend fun <T> callClient(
         path: String,
         request: String?,
--- a/src/test/kotlin/micatally/compatibility/RecordedRun.kt
+++ b/src/test/kotlin/micatally/compatibility/RecordedRun.kt
@@ -22,7 +22,7 @@
 /**
  * Runs a simulated fleet whose controllers store values of nearly every kind, and records those values.
  *
- * Of each kind (see [StoredKind]) the first [MAX_LINES_PER_KIND] distinct values are kept.
+ * Of each kind (see [StoredKind]) the first [MAX_LINES_PER_KIND] distinct pairs of key and value are kept.
  */
 internal class RecordedRun(
     private val seed: Int,
