--- a/src/main/kotlin/micatally/cli/ConfigCommand.kt
+++ b/src/main/kotlin/micatally/cli/ConfigCommand.kt
@@ -22,16 +22,17 @@
 import java.time.Instant
 import java.util.UUID
 
-/** `micatally config get|apply|history|rollback|status`: the stored teams, asked of one controller. */
+/** `micatally config get|apply|history|rollback|status`: reads and changes the stored teams through one controller. */
 object ConfigCommand {
     private const val OK = 0
     private const val REFUSED = 1
-    private const val MISUSED = 2
-    private const val NOT_KNOWN = 3
+    private const val USAGE_ERROR = 2
+    private const val OUTCOME_UNKNOWN = 3
     private const val TIMEOUT_MS = 30_000L
     private const val POLL_MS = 100L
-    private const val SOCKETS = 4
+    private const val MAX_SOCKETS = 4
 
+    /** Subcommands, options and help texts of `micatally config`. */
     fun spec(): CommandSpec {
         val spec = CommandSpec.create()
         spec.usageMessage().description("Reads and changes the teams that are stored in the state service.")
@@ -46,29 +47,31 @@
     private fun command(description: String): CommandSpec {
         val spec = CommandSpec.create()
         spec.usageMessage().description(description)
-        spec.addOption(text("--controller", "address of a controller for controllers (back), as 10.0.0.1:8081", true))
+        spec.addOption(
+            textOption("--controller", "address of a controller for its peers (setting back): 10.0.0.1:8081", true),
+        )
         return spec
     }
 
     private fun applySpec(): CommandSpec {
         val spec = command("Applies a change file, all or nothing.")
-        spec.addPositional(positional("FILE", "change file (JSON)", String::class.java))
-        spec.addOption(flag("--dry-run", "only says whether it could be applied"))
-        spec.addOption(flag("--wait", "waits until it is in force everywhere"))
-        spec.addOption(text("--id", "id of the change; a repeat under the same id is applied once", false))
+        spec.addPositional(positionalParameter("FILE", "change file (JSON)", String::class.java))
+        spec.addOption(flagOption("--dry-run", "only checks whether the change could be applied"))
+        spec.addOption(flagOption("--wait", "waits until the change is in force on all controllers"))
+        spec.addOption(textOption("--id", "id of the change; a repeat under the same id is applied once", false))
         return spec
     }
 
     private fun rollbackSpec(): CommandSpec {
-        val spec = command("Makes the teams what they were at a version, as a new change.")
-        spec.addPositional(positional("VERSION", "version to go back to", Long::class.javaObjectType))
-        spec.addOption(text("--author", "who asks for it", true))
-        spec.addOption(text("--reason", "why", true))
+        val spec = command("Sets the teams back to what they were at a version, as a new change.")
+        spec.addPositional(positionalParameter("VERSION", "version to go back to", Long::class.javaObjectType))
+        spec.addOption(textOption("--author", "who asks for the rollback", true))
+        spec.addOption(textOption("--reason", "why the rollback is needed", true))
         return spec
     }
 
     private fun statusSpec(): CommandSpec {
-        val spec = command("Says whether a version is in force, and who has not confirmed it.")
+        val spec = command("Prints whether a version is in force, and which controllers have not confirmed it.")
         spec.addOption(
             OptionSpec
                 .builder("--version")
@@ -80,7 +83,7 @@
         return spec
     }
 
-    private fun text(
+    private fun textOption(
         name: String,
         description: String,
         isRequired: Boolean,
@@ -92,7 +95,7 @@
         .description(description)
         .build()
 
-    private fun flag(
+    private fun flagOption(
         name: String,
         description: String,
     ) = OptionSpec
@@ -102,7 +105,7 @@
         .description(description)
         .build()
 
-    private fun positional(
+    private fun positionalParameter(
         label: String,
         description: String,
         type: Class<*>,
@@ -114,31 +117,31 @@
         .description(description)
         .build()
 
-    /** @return the exit code */
+    /** Runs the command and returns the exit code. */
     fun run(parsed: ParseResult): Int {
-        val sub = parsed.subcommand()
-        if (sub == null) {
+        val subcommand = parsed.subcommand()
+        if (subcommand == null) {
             parsed.commandSpec().commandLine().usage(System.err)
-            return MISUSED
+            return USAGE_ERROR
         }
         val loop = EventLoop("config")
-        val http = Client(loop.group, SOCKETS, loop::nowMs)
-        val client = ConfigurationClient(http, sub.matchedOptionValue("--controller", ""), TIMEOUT_MS)
+        val http = Client(loop.group, MAX_SOCKETS, loop::nowMs)
+        val client = ConfigurationClient(http, subcommand.matchedOptionValue("--controller", ""), TIMEOUT_MS)
         return try {
-            runBlocking { withContext(loop.scope.coroutineContext) { carryOut(sub, client) } }
+            runBlocking { withContext(loop.scope.coroutineContext) { runCommand(subcommand, client) } }
         } catch (e: ChangeFileError) {
             printErrors(e.errors)
-            MISUSED
+            USAGE_ERROR
         } catch (e: NoAnswer) {
             System.err.println("micatally: ${e.message}")
-            NOT_KNOWN
+            OUTCOME_UNKNOWN
         } catch (e: IllegalArgumentException) {
             System.err.println("micatally: --controller must look like 10.0.0.1:8081")
-            MISUSED
+            USAGE_ERROR
         }
     }
 
-    private suspend fun carryOut(
+    private suspend fun runCommand(
         parsed: ParseResult,
         client: ConfigurationClient,
     ): Int =
@@ -171,7 +174,7 @@
                 Files.readAllBytes(Path.of(file))
             } catch (e: IOException) {
                 System.err.println("micatally: $file can't be read")
-                return MISUSED
+                return USAGE_ERROR
             }
         val id = parsed.matchedOptionValue("--id", UUID.randomUUID().toString())
         val answer = client.apply(ChangeFile.parse(body, id, parsed.hasMatchedOption("--dry-run")))
@@ -196,31 +199,34 @@
         return print(client.rollback(request), id)
     }
 
+    /** Prints the [answer] to a change with this [id], and returns the exit code. */
     private fun print(
         answer: ChangeAnswer,
         id: String,
     ): Int {
         printErrors(answer.errors)
         return when (answer.status) {
-            ChangeStatus.APPLIED -> say(OK, "applied as version ${answer.version}")
-            ChangeStatus.VALID -> say(OK, "valid against version ${answer.version}; nothing was changed")
+            ChangeStatus.APPLIED -> printResult(OK, "applied as version ${answer.version}")
+            ChangeStatus.VALID -> printResult(OK, "valid against version ${answer.version}; nothing was changed")
             ChangeStatus.CONFLICT ->
-                say(
+                printResult(
                     REFUSED,
                     "conflict: the present version is ${answer.version}; nothing was changed",
                 )
-            ChangeStatus.INVALID -> say(REFUSED, "not valid; nothing was changed")
-            ChangeStatus.SWITCHED_OFF -> say(REFUSED, "teams are those of the settings files")
+            ChangeStatus.INVALID -> printResult(REFUSED, "not valid; nothing was changed")
+            ChangeStatus.SWITCHED_OFF -> printResult(REFUSED, "teams are those of the settings files")
             ChangeStatus.UNAVAILABLE ->
-                say(
-                    NOT_KNOWN,
+                printResult(
+                    OUTCOME_UNKNOWN,
                     "the state service is not reached; nothing was changed, try again",
                 )
-            ChangeStatus.UNKNOWN -> say(NOT_KNOWN, "not known whether it was applied; repeat with --id $id")
+            ChangeStatus.UNKNOWN ->
+                printResult(OUTCOME_UNKNOWN, "not known whether it was applied; repeat with --id $id")
         }
     }
 
-    private fun say(
+    /** Prints a line to standard output, or to standard error if [code] is a failure; returns [code]. */
+    private fun printResult(
         code: Int,
         line: String,
     ): Int {
@@ -238,7 +244,7 @@
 
     private suspend fun history(client: ConfigurationClient): Int {
         val answer = client.history()
-        if (!answer.isAvailable) return say(NOT_KNOWN, "the history can't be read now")
+        if (!answer.isAvailable) return printResult(OUTCOME_UNKNOWN, "the history can't be read now")
         for (entry in answer.entries) {
             val at = Instant.ofEpochMilli(entry.atMs)
             println(
@@ -253,7 +259,7 @@
         version: Long,
     ): Int {
         val status = client.status(version)
-        if (!status.isOn) return say(OK, "teams are those of the settings files")
+        if (!status.isOn) return printResult(OK, "teams are those of the settings files")
         val state = if (status.isInForce) "in force" else "in force in ${status.inForceInMs} ms at the latest"
         println("version ${status.version} of ${status.newest}: $state")
         for (applied in status.applied) println("${applied.host} decides by version ${applied.version}")
--- a/src/main/kotlin/micatally/cli/ControllerStart.kt
+++ b/src/main/kotlin/micatally/cli/ControllerStart.kt
@@ -10,45 +10,54 @@
 import java.io.IOException
 import kotlin.random.Random
 
-/** What other controllers have sockets for: a twentieth, and a few that a small deployment needs too. */
-private const val PEER_SHARE = 20
-private const val LEAST_PEER_SOCKETS = 4
-private const val MOST_REQUEST_BYTES = 64 * 1024L
-private const val MOST_PEER_BYTES = 4L * 1024 * 1024
+/**
+ * Connections from other controllers may take a twentieth of the controller's sockets, plus a few so that there are
+ * enough in a small deployment too.
+ */
+private const val PEER_SOCKET_DIVISOR = 20
+private const val EXTRA_PEER_SOCKETS = 4
+private const val MAX_REQUEST_BYTES = 64 * 1024L
+private const val MAX_PEER_REQUEST_BYTES = 4L * 1024 * 1024
 
-/** One of the controller's addresses belongs to another process. */
+/** One of the controller's addresses is in use by another process. */
 class AddressTaken(
     message: String,
     cause: Throwable? = null,
 ) : Exception(message, cause)
 
-/** A former process of this host may be about to end; another program stays. */
-private const val BIND_TRIES = 8
+/**
+ * How often a controller tries to bind an address. Retries help if the address is still held by a former process of
+ * this host that is about to end. If another program holds it, all attempts fail.
+ */
+private const val BIND_ATTEMPTS = 8
 
 /**
- * Binds the server's address, or tries again for a quarter of a worker's lease.
+ * Binds the server's address. Retries for up to a quarter of a worker's lease.
  *
- * @throws AddressTaken if it is still another process's then
+ * @throws AddressTaken if the address is still in use after the last attempt
  */
 private fun bind(
     server: Server,
     addr: String,
     leaseMs: Long,
 ) {
-    repeat(BIND_TRIES) { attempt ->
+    repeat(BIND_ATTEMPTS) { attempt ->
         try {
             server.bind()
             return
         } catch (e: IOException) {
-            if (attempt == BIND_TRIES - 1) throw AddressTaken("address $addr can't be used: ${e.message}", e)
-            Thread.sleep(leaseMs / 4 / BIND_TRIES)
+            if (attempt == BIND_ATTEMPTS - 1) throw AddressTaken("address $addr can't be used: ${e.message}", e)
+            Thread.sleep(leaseMs / 4 / BIND_ATTEMPTS)
         }
     }
 }
 
-/** Starts a controller on the loop; returns its two servers. Does nothing before both addresses are its own.
+/**
+ * Starts a controller on the event loop. It sends and answers nothing before both its addresses are bound.
  *
- * @throws AddressTaken if they don't become so */
+ * @return the server for users and workers, and the server for other controllers
+ * @throws AddressTaken if one of the addresses stays in use
+ */
 fun startController(
     loop: EventLoop,
     settings: Settings,
@@ -66,27 +75,27 @@
             operator,
             System::nanoTime,
         )
-    val front =
-        Server(loop.scope, loop.group, settings.listen, settings.maxSockets / 2, MOST_REQUEST_BYTES, controller::handle)
-    val back =
+    val userWorkerServer =
+        Server(loop.scope, loop.group, settings.listen, settings.maxSockets / 2, MAX_REQUEST_BYTES, controller::handle)
+    val peerServer =
         Server(
             loop.scope,
             loop.group,
             settings.back,
-            settings.maxSockets / PEER_SHARE + LEAST_PEER_SOCKETS,
-            MOST_PEER_BYTES,
+            settings.maxSockets / PEER_SOCKET_DIVISOR + EXTRA_PEER_SOCKETS,
+            MAX_PEER_REQUEST_BYTES,
             controller::handlePeer,
         )
-    bind(front, settings.listen, settings.leaseMs)
-    bind(back, settings.back, settings.leaseMs)
+    bind(userWorkerServer, settings.listen, settings.leaseMs)
+    bind(peerServer, settings.back, settings.leaseMs)
     loop.scope.launch {
         controller.start()
-        front.start()
-        back.start()
+        userWorkerServer.start()
+        peerServer.start()
         while (true) {
             delay(settings.leaseMs)
             client.sweep()
         }
     }
-    return front to back
+    return userWorkerServer to peerServer
 }
--- a/src/main/kotlin/micatally/cli/EventLoop.kt
+++ b/src/main/kotlin/micatally/cli/EventLoop.kt
@@ -17,19 +17,21 @@
 import java.util.concurrent.TimeUnit
 import kotlin.coroutines.CoroutineContext
 
-/** Runs one thing at a time, on whichever thread brings it: the one that waits for the kernel or the one that keeps the timers.
- * Handing each event to a thread of its own cost more system calls than the event itself. */
+/**
+ * Runs coroutines one at a time, on the thread on which the event arises: the I/O thread or the timer thread. Handing
+ * each event over to a third thread took more system calls than handling the event.
+ */
 @OptIn(InternalCoroutinesApi::class)
-private class Serial(
+private class SerialDispatcher(
     private val timers: ScheduledThreadPoolExecutor,
 ) : CoroutineDispatcher(),
     Delay {
-    private val inTurn = MoreExecutors.newSequentialExecutor(MoreExecutors.directExecutor())
+    private val sequentialExecutor = MoreExecutors.newSequentialExecutor(MoreExecutors.directExecutor())
 
     override fun dispatch(
         context: CoroutineContext,
         block: Runnable,
-    ) = inTurn.execute(block)
+    ) = sequentialExecutor.execute(block)
 
     override fun scheduleResumeAfterDelay(
         timeMillis: Long,
@@ -37,7 +39,7 @@
     ) {
         val timer =
             timers.schedule({
-                inTurn.execute { with(continuation) { resumeUndispatched(Unit) } }
+                sequentialExecutor.execute { with(continuation) { resumeUndispatched(Unit) } }
             }, timeMillis, TimeUnit.MILLISECONDS)
         continuation.invokeOnCancellation { timer.cancel(false) }
     }
@@ -47,14 +49,17 @@
         block: Runnable,
         context: CoroutineContext,
     ): DisposableHandle {
-        val timer = timers.schedule({ inTurn.execute(block) }, timeMillis, TimeUnit.MILLISECONDS)
+        val timer = timers.schedule({ sequentialExecutor.execute(block) }, timeMillis, TimeUnit.MILLISECONDS)
         return DisposableHandle { timer.cancel(false) }
     }
 }
 
-/** The event loop and its channel group: what one thread reads and another one times is decided in turn.
+/**
+ * An event loop and the channel group for its sockets. It has one thread for I/O and one for timers; the coroutines of
+ * [scope] run on either of them, but never two at the same time.
  *
- * @param name prefix of the names of both threads, so that processor time can be told apart by loop */
+ * @property name prefix of the names of both threads, by which the CPU time of loops can be told apart
+ */
 class EventLoop(
     val name: String = "node",
 ) : AutoCloseable {
@@ -63,12 +68,14 @@
     val group: AsynchronousChannelGroup =
         AsynchronousChannelGroup.withFixedThreadPool(1) { Thread(it, "$name-io").apply { isDaemon = true } }
     private val log = LoggerFactory.getLogger("micatally.controller")
-    private val onFailure = CoroutineExceptionHandler { _, e -> log.error("a task of the event loop failed", e) }
-    val scope = CoroutineScope(SupervisorJob() + Serial(timers) + onFailure)
+    private val exceptionHandler =
+        CoroutineExceptionHandler { _, e -> log.error("a coroutine of the event loop failed; the loop goes on", e) }
+    val scope = CoroutineScope(SupervisorJob() + SerialDispatcher(timers) + exceptionHandler)
 
+    /** Monotonic time in milliseconds. */
     fun nowMs() = System.nanoTime() / 1_000_000
 
-    /** Ends all that runs on the loop, closes its channels and lets its threads go. */
+    /** Cancels the coroutines of the loop, closes its channels and ends its threads. */
     override fun close() {
         scope.cancel()
         group.shutdownNow()
--- a/src/main/kotlin/micatally/cli/Main.kt
+++ b/src/main/kotlin/micatally/cli/Main.kt
@@ -20,9 +20,9 @@
 
 private const val OK = 0
 private const val FAILED = 1
-private const val MISUSED = 2
+private const val USAGE_ERROR = 2
 
-/** What the arguments of a controller begin with. */
+/** Options of a controller: a command line that begins with one of them starts it and has no subcommand. */
 private val CONTROLLER_OPTIONS = setOf("--config", "--properties")
 private val LOG_LEVELS = setOf("error", "info", "debug", "warn", "trace")
 
@@ -81,9 +81,9 @@
         .description(description)
         .build()
 
-private fun propertiesOption() = fileOption("--properties", "operators' own settings (Java properties)")
+private fun propertiesOption() = fileOption("--properties", "settings of the operators (Java properties)")
 
-private fun described(
+private fun describedCommand(
     description: String,
     vararg options: OptionSpec,
 ): CommandSpec {
@@ -93,79 +93,82 @@
     return spec
 }
 
-/** Options are described to picocli in code, not by annotations: reading those costs a start more than the parsing. For
- * the same reason a controller's start knows nothing of the other commands. */
-private fun commandSpec(hasCommands: Boolean): CommandSpec {
+/**
+ * Builds the command line in code instead of with picocli's annotations: reading those takes more of a start's time
+ * than parsing the arguments. For the same reason the subcommands are left out when a controller is started.
+ */
+private fun commandSpec(hasSubcommands: Boolean): CommandSpec {
     val spec =
-        described(
+        describedCommand(
             "A scheduler for fleets that serve language models.",
             fileOption("--config", "the platform's settings file (JSON); starts a controller"),
             propertiesOption(),
         ).name("micatally").version("micatally $VERSION").mixinStandardHelpOptions(true)
-    if (!hasCommands) return spec
+    if (!hasSubcommands) return spec
     val settingsFile = fileOption("--config", "the settings file to check", isRequired = true)
     spec.addSubcommand(
         "check-config",
-        described("Checks a settings file and says what is wrong with it.", settingsFile, propertiesOption()),
+        describedCommand("Checks a settings file and says what is wrong with it.", settingsFile, propertiesOption()),
     )
     spec.addSubcommand(
         "rehearse",
-        described("Runs a controller against stand-ins for a few seconds, for the build's class archive."),
+        describedCommand("Runs a controller against emulators for a few seconds, for the build's class archive."),
     )
     spec.addSubcommand("scale", ScaleCommand.spec())
     spec.addSubcommand("config", ConfigCommand.spec())
     return spec
 }
 
-private fun carryOut(
-    line: CommandLine,
+private fun runCommand(
+    commandLine: CommandLine,
     parsed: ParseResult,
 ): Int {
-    val sub = parsed.subcommand()
-    return when (sub?.commandSpec()?.name()) {
-        "check-config" -> checkConfig(sub)
+    val subcommand = parsed.subcommand()
+    return when (subcommand?.commandSpec()?.name()) {
+        "check-config" -> checkConfig(subcommand)
         "rehearse" -> rehearse()
-        "scale" -> ScaleCommand.run(sub)
-        "config" -> ConfigCommand.run(sub)
+        "scale" -> ScaleCommand.run(subcommand)
+        "config" -> ConfigCommand.run(subcommand)
         else -> {
             if (parsed.hasMatchedOption("--config")) return serve(parsed)
-            line.usage(System.err)
-            MISUSED
+            commandLine.usage(System.err)
+            USAGE_ERROR
         }
     }
 }
 
-/** System properties that have to be set before the classes that read them are loaded. */
+/** Sets system properties; to be called before the classes that read them are loaded. */
 private fun setSystemProperties() {
     val level = System.getenv("LOG_LEVEL")?.lowercase()?.takeIf { it in LOG_LEVELS } ?: "info"
     System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", level)
     System.setProperty("org.slf4j.simpleLogger.showThreadName", "false")
     System.setProperty("org.slf4j.simpleLogger.showLogName", "true")
     System.setProperty("java.net.preferIPv4Stack", "true")
-    // A read that is tried at once finds nothing: requests come seconds apart, answers after a round trip.
+    // Without this the JDK tries each asynchronous read at once. That would find nothing here: requests on a connection
+    // come seconds apart, and a response takes a round trip.
     System.setProperty("sun.nio.ch.disableSynchronousRead", "true")
 }
 
 fun main(args: Array<String>) {
     setSystemProperties()
     val isController = args.firstOrNull() in CONTROLLER_OPTIONS
-    val line = CommandLine(commandSpec(hasCommands = !isController))
-    line.setExecutionStrategy { parsed ->
+    val commandLine = CommandLine(commandSpec(hasSubcommands = !isController))
+    commandLine.setExecutionStrategy { parsed ->
         CommandLine.executeHelpRequest(parsed) ?: try {
-            carryOut(line, parsed)
+            runCommand(commandLine, parsed)
         } catch (e: SettingsError) {
             System.err.println("micatally: ${e.message}")
-            MISUSED
+            USAGE_ERROR
         } catch (e: AddressTaken) {
             System.err.println("micatally: ${e.message}")
             FAILED
         }
     }
-    // An Error is nobody's to catch inside, and the loop's threads would keep a process without a main thread alive: a build
-    // hung for minutes on its rehearsal.
+    // An Error is caught nowhere else. If it ended only the main thread, the threads of the event loop would keep the
+    // process alive: a build hung for minutes in its rehearsal that way.
     exitProcess(
         try {
-            line.execute(*args)
+            commandLine.execute(*args)
         } catch (e: Throwable) {
             System.err.println("micatally: $e")
             FAILED
--- a/src/main/kotlin/micatally/cli/ScaleCommand.kt
+++ b/src/main/kotlin/micatally/cli/ScaleCommand.kt
@@ -22,44 +22,45 @@
 import java.nio.file.Files
 import java.nio.file.Path
 
-/** `micatally scale run` and `micatally scale sweep`: our own load on controllers as processes, on loopback. */
+/** `micatally scale run` and `micatally scale sweep`: measure controller processes under emulated load on loopback. */
 object ScaleCommand {
     private const val OK = 0
-    private const val BROKEN = 1
+    private const val FAILED = 1
     private const val REFUSED = 2
     private val JSON = Json { prettyPrint = true }
 
-    /** Machines without tasks stay, so that a run keeps the number of workers it was asked for. */
+    /** Operator settings that keep machines without tasks, so that the number of workers stays as asked for. */
     private val KEEP_WORKERS = listOf("fleet.idle-boots=100", "fleet.headroom=1")
 
     private const val STORED_TEAMS = "config.stored-teams=true"
     private const val ARCHIVE = "recovery.archive=on"
 
+    /** Subcommands, options and help texts of `micatally scale`. */
     fun spec(): CommandSpec {
         val spec = CommandSpec.create()
-        spec.usageMessage().description("Runs controllers under load against stand-ins on loopback, and measures them.")
+        spec.usageMessage().description("Runs controllers under load against emulators on loopback, and measures them.")
         spec.addSubcommand("run", runSpec())
         spec.addSubcommand("sweep", sweepSpec())
         return spec
     }
 
     private fun runSpec(): CommandSpec {
-        val spec = common("Runs one scenario.")
-        spec.addOption(number("--workers", "workers; the load is scaled with them"))
-        spec.addOption(number("--controllers", "controllers, 1 to 11"))
-        spec.addOption(number("--teams", "teams"))
+        val spec = commonSpec("Runs one scenario.")
+        spec.addOption(numberOption("--workers", "number of workers; the load is scaled with it"))
+        spec.addOption(numberOption("--controllers", "number of controllers, 1 to 11"))
+        spec.addOption(numberOption("--teams", "number of teams"))
         return spec
     }
 
     private fun sweepSpec(): CommandSpec {
-        val spec = common("Runs a scenario at several sizes and fits lines through the figures.")
-        spec.addOption(list("--workers", "sizes along the first axis, the base in front"))
-        spec.addOption(list("--controllers", "sizes along the second axis, the base in front"))
-        spec.addOption(list("--teams", "sizes along the third axis, the base in front"))
+        val spec = commonSpec("Runs a scenario at several sizes and fits lines through the figures.")
+        spec.addOption(listOption("--workers", "numbers of workers to run with, the base size first"))
+        spec.addOption(listOption("--controllers", "numbers of controllers to run with, the base size first"))
+        spec.addOption(listOption("--teams", "numbers of teams to run with, the base size first"))
         return spec
     }
 
-    private fun common(description: String): CommandSpec {
+    private fun commonSpec(description: String): CommandSpec {
         val spec = CommandSpec.create()
         spec.usageMessage().description(description)
         spec.addPositional(
@@ -71,14 +72,16 @@
                 .description("${ScenarioFile.BUNDLED.joinToString(", ")}, or a TOML file")
                 .build(),
         )
-        spec.addOption(number("--seconds", "length of the measured part"))
-        spec.addOption(number("--seed", "of the load"))
-        spec.addOption(text("--deploy", "deploy file that says how a controller is started", "deploy/service.toml"))
-        spec.addOption(text("--report", "file for all figures (JSON)", null))
+        spec.addOption(numberOption("--seconds", "length of the measured part, in seconds"))
+        spec.addOption(numberOption("--seed", "seed of the load"))
+        spec.addOption(
+            fileOption("--deploy", "deploy file that says how a controller is started", "deploy/service.toml"),
+        )
+        spec.addOption(fileOption("--report", "file for all figures (JSON)", null))
         return spec
     }
 
-    private fun number(
+    private fun numberOption(
         name: String,
         description: String,
     ) = OptionSpec
@@ -88,7 +91,7 @@
         .description(description)
         .build()
 
-    private fun list(
+    private fun listOption(
         name: String,
         description: String,
     ) = OptionSpec
@@ -100,7 +103,7 @@
         .description(description)
         .build()
 
-    private fun text(
+    private fun fileOption(
         name: String,
         description: String,
         default: String?,
@@ -115,18 +118,18 @@
         return builder.build()
     }
 
-    /** @return the exit code */
+    /** Runs the command and returns the exit code. */
     fun run(parsed: ParseResult): Int {
-        val sub = parsed.subcommand() ?: return usage(parsed)
+        val subcommand = parsed.subcommand() ?: return usage(parsed)
         return try {
-            if (sub.commandSpec().name() == "sweep") sweep(sub) else runOnce(sub)
+            if (subcommand.commandSpec().name() == "sweep") sweep(subcommand) else runOnce(subcommand)
         } catch (e: ScenarioError) {
-            refuse(e)
+            printRefusal(e)
         } catch (e: InsufficientResources) {
-            refuse(e)
+            printRefusal(e)
         } catch (e: ScaleRunFailed) {
             System.err.println("micatally: ${e.message}")
-            BROKEN
+            FAILED
         }
     }
 
@@ -135,7 +138,7 @@
         return REFUSED
     }
 
-    private fun refuse(e: Exception): Int {
+    private fun printRefusal(e: Exception): Int {
         System.err.println("micatally: ${e.message}")
         return REFUSED
     }
@@ -156,7 +159,7 @@
                 parsed.matchedOptionValue("--controllers", base.controllers),
                 parsed.matchedOptionValue("--teams", base.teams.count),
             )
-        val report = carryOut(Sweep.scaled(base, size), parsed) ?: return BROKEN
+        val report = runScenario(Sweep.scaled(base, size), parsed) ?: return FAILED
         save(parsed, JSON.encodeToString(ScaleReport.serializer(), report))
         println(ReportTable.of(report))
         return OK
@@ -174,7 +177,7 @@
         val reports = LinkedHashMap<SweepSize, ScaleReport>()
         for (size in sizes.distinct()) {
             System.err.println("$size")
-            reports[size] = carryOut(Sweep.scaled(base, size), parsed) ?: return BROKEN
+            reports[size] = runScenario(Sweep.scaled(base, size), parsed) ?: return FAILED
         }
         val slopes = SweepAxis.entries.flatMap { Sweep.fit(reports, first, it) }
         val report = SweepReport(reports.values.toList(), slopes)
@@ -183,8 +186,8 @@
         return OK
     }
 
-    /** Null when a rule was broken; what is known of it is printed. */
-    private fun carryOut(
+    /** Runs a scenario and returns its report. If a rule was broken, prints what is known of it and returns null. */
+    private fun runScenario(
         scenario: Scenario,
         parsed: ParseResult,
     ): ScaleReport? {
@@ -194,8 +197,8 @@
         val deploy = Path.of(parsed.matchedOptionValue("--deploy", "deploy/service.toml"))
         val command = Deployment.command(deploy, listOf("--properties", properties.toString()))
         val run = ScaleRun(parsed.matchedPositionalValue(0, ""), scenario, command) { System.err.println(it) }
-        val hook = Thread { run.close() }
-        Runtime.getRuntime().addShutdownHook(hook)
+        val shutdownHook = Thread { run.close() }
+        Runtime.getRuntime().addShutdownHook(shutdownHook)
         try {
             val report = run.run()
             val violation = run.violation ?: return report
@@ -206,7 +209,7 @@
         } finally {
             run.close()
             Files.deleteIfExists(properties)
-            Runtime.getRuntime().removeShutdownHook(hook)
+            Runtime.getRuntime().removeShutdownHook(shutdownHook)
         }
     }
 
--- a/src/test/kotlin/micatally/cli/ControllerStartTest.kt
+++ b/src/test/kotlin/micatally/cli/ControllerStartTest.kt
@@ -12,9 +12,9 @@
 import java.net.ServerSocket
 
 class ControllerStartTest {
-    /** It used to log an exception, and stayed up without listening. */
+    /** Guards against a controller that only logs that it can't bind its address, and then runs without listening. */
     @Test
-    fun `a controller whose address is another process's does not start and says which`() {
+    fun `a controller whose address is in use by another process does not start and names the address`() {
         ServerSocket(0, 1, InetAddress.getLoopbackAddress()).use { other ->
             val taken = "127.0.0.1:${other.localPort}"
             val addresses = mapOf("listen" to JsonPrimitive(taken), "back" to JsonPrimitive("127.0.0.1:0"))
