--- a/src/main/kotlin/micatally/emulator/CloudEmulator.kt
+++ b/src/main/kotlin/micatally/emulator/CloudEmulator.kt
@@ -165,7 +165,7 @@
     }
 
     /** Removes a machine without notice, as when the cloud takes back a spot instance or a machine breaks down. */
-    fun take(name: String) = remove(name)
+    fun removeWithoutNotice(name: String) = remove(name)
 
     /** Answers with the machines as they were [lagMs] ago, in pages of at most 500. */
     private fun list(request: HttpRequest): HttpResponse {
--- a/src/main/kotlin/micatally/scale/FailureInjector.kt
+++ b/src/main/kotlin/micatally/scale/FailureInjector.kt
@@ -56,7 +56,7 @@
         plan: FailurePlan,
     ) {
         if (plan.forSeconds <= 0) {
-            for (worker in workers) fleet.cloud.take(worker.name)
+            for (worker in workers) fleet.cloud.removeWithoutNotice(worker.name)
             return
         }
         for (worker in workers) worker.hung = true
--- a/src/test/kotlin/micatally/sim/SimWorkers.kt
+++ b/src/test/kotlin/micatally/sim/SimWorkers.kt
@@ -88,7 +88,7 @@
 
     /** A machine stops with all that is on it: connections to it hang from now on. */
     fun loseMachine(worker: WorkerEmulator) {
-        cloud.take(worker.name)
+        cloud.removeWithoutNotice(worker.name)
         net.hosts[worker.name]?.dark = true
     }
 
