--- a/src/main/kotlin/micatally/emulator/CloudEmulator.kt
+++ b/src/main/kotlin/micatally/emulator/CloudEmulator.kt
@@ -160,7 +160,7 @@
     }
 
     /** Lets the cloud run out of machines of this [type]: it refuses to provision more of them. */
-    fun refuse(type: String) {
+    fun exhaustCapacity(type: String) {
         for (key in capacity.keys.filter { it.first == type }) capacity[key] = 0
     }
 
--- a/src/test/kotlin/micatally/sim/GangTest.kt
+++ b/src/test/kotlin/micatally/sim/GangTest.kt
@@ -344,7 +344,7 @@
                     "cores" to 5.0,
                     "ram_gb" to 20.0,
                 )
-            fleet.cloud.refuse("g8")
+            fleet.cloud.exhaustCapacity("g8")
             val array = submit(0, "sweep", 150, *place, "grid" to "low")
             runUntil(fleet.lease * 8, "the zone is full") { tasks(array).size == 8 }
             fleet.runFor(fleet.lease)
