--- a/src/main/kotlin/micatally/emulator/GangEmulator.kt
+++ b/src/main/kotlin/micatally/emulator/GangEmulator.kt
@@ -52,7 +52,7 @@
     private val safeProgressMs = HashMap<String, Long>()
 
     /** Tasks that received their kill command more than [GangTimes.peerMs] after the first task of their gang. */
-    var toldTooLate = 0
+    var lateKills = 0
         private set
 
     /** Tasks that ended because the other tasks did not start within [GangTimes.waitMs]. */
@@ -115,7 +115,7 @@
                 firstKillMs = nowMs()
                 recordProgressAtKill(progressMs())
             } else if (nowMs() - first > times.peerMs) {
-                toldTooLate++
+                lateKills++
             }
             member.save()
             scope.launch {
--- a/src/test/kotlin/micatally/sim/GangTest.kt
+++ b/src/test/kotlin/micatally/sim/GangTest.kt
@@ -213,7 +213,7 @@
             fleet.runFor(4000)
             worker(tasks(jobId).first().machine).spotNoticeS = 8.0
             runUntil(fleet.lease, "it is saved") { fleet.workers.gangs.savedStops == 1 }
-            assertEquals(0, fleet.workers.gangs.toldTooLate)
+            assertEquals(0, fleet.workers.gangs.lateKills)
             assertTrue(fleet.workers.gangs.safeProgressMs(jobId) >= 3000)
             untilDone(jobId)
         }
