--- a/src/main/kotlin/micatally/emulator/GangEmulator.kt
+++ b/src/main/kotlin/micatally/emulator/GangEmulator.kt
@@ -170,10 +170,8 @@
         private fun fail() {
             hasEnded = true
             val reachedMs = if (firstKillMs != null) progressAtKillMs else progressMs()
-            val intervalMs = (spec.checkpointS * 1000).toLong()
-            if (intervalMs > 0) {
-                safeProgressMs[spec.jobId] = maxOf(safeProgressMs(spec.jobId), reachedMs / intervalMs * intervalMs)
-            }
+            val stepMs = (spec.checkpointS * 1000).toLong()
+            if (stepMs > 0) safeProgressMs[spec.jobId] = maxOf(safeProgressMs(spec.jobId), reachedMs / stepMs * stepMs)
             for (member in members.values.toList()) {
                 scope.launch {
                     delay(random.nextLong(times.peerMs))
--- a/src/main/kotlin/micatally/emulator/RuleChecker.kt
+++ b/src/main/kotlin/micatally/emulator/RuleChecker.kt
@@ -49,7 +49,7 @@
     val completed = HashMap<String, HashSet<Int>>()
 
     private val accepted = HashSet<String>()
-    private val cancellationRequested = HashSet<String>()
+    private val cancelRequested = HashSet<String>()
 
     /** When users were first told that a job was accepted, cancelled or done. */
     private val toldAcceptedAt = HashMap<String, Long>()
@@ -78,7 +78,7 @@
 
     /** A user asks for the cancellation of a job. */
     fun asksToCancel(jobId: String) {
-        cancellationRequested.add(jobId)
+        cancelRequested.add(jobId)
     }
 
     fun isAccepted(jobId: String) = jobId in accepted
@@ -95,7 +95,7 @@
     /** When a user was first told that the job is cancelled; null if nobody was. */
     fun cancelledAt(jobId: String) = toldCancelledAt[jobId]
 
-    fun isAskedToCancel(jobId: String) = jobId in cancellationRequested
+    fun isAskedToCancel(jobId: String) = jobId in cancelRequested
 
     private fun used(team: String) =
         running
@@ -146,9 +146,7 @@
         }
         toldCancelledAt[task.jobId]?.let {
             startsAfterCancel++
-            if (now - it > cancelMs) {
-                throw RuleViolation("ran_cancelled", "$task started ${now - it} ms after the cancellation")
-            }
+            if (now - it > cancelMs) throw RuleViolation("ran_cancelled", "$task started ${now - it} ms after cancel")
         }
     }
 
@@ -193,7 +191,7 @@
                     if (now - it > cancelMs) {
                         throw RuleViolation(
                             "ran_cancelled",
-                            "$task is still on its machine ${now - it} ms after the cancellation",
+                            "$task is still on its machine ${now - it} ms after cancel",
                         )
                     }
                 }
@@ -287,9 +285,7 @@
             toldDoneAt.putIfAbsent(jobId, now)
         }
         if (word == "withdrawn") {
-            if (jobId !in cancellationRequested) {
-                throw RuleViolation("went_back", "$jobId was never cancelled by its user")
-            }
+            if (jobId !in cancelRequested) throw RuleViolation("went_back", "$jobId was never cancelled by its user")
             toldCancelledAt.putIfAbsent(jobId, now)
         }
     }
