--- a/src/test/kotlin/micatally/sim/GangTest.kt
+++ b/src/test/kotlin/micatally/sim/GangTest.kt
@@ -235,7 +235,7 @@
             fleet.runFor(4000)
             worker(tasks(jobId).first().machine).spotNoticeS = 8.0
             runUntil(fleet.lease, "the progress is saved") { fleet.workers.gangs.savedStops == 1 }
-            assertEquals(0, fleet.workers.gangs.toldTooLate)
+            assertEquals(0, fleet.workers.gangs.lateKills)
             assertTrue(fleet.workers.gangs.safeProgressMs(jobId) >= 3000)
             runUntilDone(jobId)
         }
@@ -377,7 +377,7 @@
                     "cores" to 5.0,
                     "ram_gb" to 20.0,
                 )
-            fleet.cloud.refuse("g8")
+            fleet.cloud.exhaustCapacity("g8")
             val array = submit(0, "sweep", 150, *zoneAndSize, "grid" to "low")
             runUntil(fleet.lease * 8, "the zone is full") { tasks(array).size == 8 }
             fleet.runFor(fleet.lease)
--- a/src/test/kotlin/micatally/sim/SimWorkers.kt
+++ b/src/test/kotlin/micatally/sim/SimWorkers.kt
@@ -93,7 +93,7 @@
 
     /** Stops a machine with all its tasks. Connections to it hang from now on. */
     fun loseMachine(worker: WorkerEmulator) {
-        cloud.take(worker.name)
+        cloud.removeWithoutNotice(worker.name)
         net.hosts[worker.name]?.isPoweredOff = true
     }
 
