--- a/src/main/kotlin/micatally/api/JobLookup.kt
+++ b/src/main/kotlin/micatally/api/JobLookup.kt
@@ -7,7 +7,7 @@
 import micatally.job.JobRecord
 import micatally.job.JobState
 import micatally.job.UnreadableRecord
-import micatally.job.readable
+import micatally.job.decodeRecord
 import micatally.membership.Membership
 import micatally.peer.PeerPaths
 import micatally.peer.Peers
@@ -91,7 +91,7 @@
             is ReadResult.Missing -> LookupResult.Missing
             is ReadResult.Found ->
                 try {
-                    readable(jobId) { fromRecord(jobId, result.item.value) }
+                    decodeRecord(jobId) { fromRecord(jobId, result.item.value) }
                 } catch (_: UnreadableRecord) {
                     LookupResult.Unclear
                 }
--- a/src/main/kotlin/micatally/archive/RecordArchive.kt
+++ b/src/main/kotlin/micatally/archive/RecordArchive.kt
@@ -8,7 +8,7 @@
 import micatally.job.JobRecord
 import micatally.job.JobShard
 import micatally.job.UnreadableRecord
-import micatally.job.readable
+import micatally.job.decodeRecord
 import micatally.membership.Keys
 import micatally.membership.Membership
 import micatally.settings.Settings
@@ -178,7 +178,7 @@
         item: KeyValue,
     ): JobShard? =
         try {
-            readable(jobId) {
+            decodeRecord(jobId) {
                 val record = JobRecord(item.value)
                 if (record.isSettled) shards.loaded(record.shard) else null
             }
--- a/src/main/kotlin/micatally/controller/Controller.kt
+++ b/src/main/kotlin/micatally/controller/Controller.kt
@@ -281,7 +281,7 @@
 
     private fun membershipConditions(): MembershipConditions =
         object : MembershipConditions {
-            override fun shouldStepDown() = workerReach.mayStepDown() && peers.contacts.hasStateStoreContact()
+            override fun shouldStepDown() = workerReach.shouldStepDown() && peers.contacts.hasStateStoreContact()
 
             override fun peersConfirmedAt() = peers.cancellations.confirmedByPeersAt()
 
@@ -291,10 +291,10 @@
     private fun membershipListener(): MembershipListener =
         object : MembershipListener {
             override fun sharedKeysChanged(keys: Set<String>) =
-                cpuUsage.of(CpuUsage.Kind.SHARED_KEYS) { applySharedKeyChanges(keys) }
+                cpuUsage.measure(CpuUsage.Kind.SHARED_KEYS) { applySharedKeyChanges(keys) }
 
             override fun summariesChanged(keys: Set<String>) {
-                cpuUsage.of(CpuUsage.Kind.SHARED_KEYS) { peers.storedSummariesChanged(keys) }
+                cpuUsage.measure(CpuUsage.Kind.SHARED_KEYS) { peers.storedSummariesChanged(keys) }
                 scheduler.requestCycle()
             }
         }
--- a/src/main/kotlin/micatally/controller/CpuUsage.kt
+++ b/src/main/kotlin/micatally/controller/CpuUsage.kt
@@ -52,7 +52,7 @@
     }
 
     /** Runs [work] and returns its result. The time that it takes is counted under [kind], also if it throws. */
-    inline fun <T> of(
+    inline fun <T> measure(
         kind: Kind,
         work: () -> T,
     ): T {
--- a/src/main/kotlin/micatally/controller/PeerRouter.kt
+++ b/src/main/kotlin/micatally/controller/PeerRouter.kt
@@ -52,7 +52,7 @@
         }
 
     private fun applyDelta(body: ByteArray): ByteArray {
-        val response = cpuUsage.of(CpuUsage.Kind.DELTAS) { peers.receiveDelta(body) }
+        val response = cpuUsage.measure(CpuUsage.Kind.DELTAS) { peers.receiveDelta(body) }
         cpuUsage.addDelta(body.size, response.size)
         return response
     }
--- a/src/main/kotlin/micatally/controller/StateReview.kt
+++ b/src/main/kotlin/micatally/controller/StateReview.kt
@@ -19,7 +19,7 @@
     private val cpuUsage: CpuUsage,
 ) {
     /** Runs all checks and counts their time as periodic tasks. */
-    fun run(nowMs: Long) = cpuUsage.of(CpuUsage.Kind.PERIODIC_TASKS) { review(nowMs) }
+    fun run(nowMs: Long) = cpuUsage.measure(CpuUsage.Kind.PERIODIC_TASKS) { review(nowMs) }
 
     /** Leadership is checked first, since the other checks depend on it. */
     private fun review(nowMs: Long) {
--- a/src/main/kotlin/micatally/controller/UserWorkerRouter.kt
+++ b/src/main/kotlin/micatally/controller/UserWorkerRouter.kt
@@ -21,7 +21,7 @@
         return when {
             path == HEARTBEAT ->
                 withMethod("POST", request) {
-                    cpuUsage.of(CpuUsage.Kind.HEARTBEATS) { workerApi.handleHeartbeat(request) }
+                    cpuUsage.measure(CpuUsage.Kind.HEARTBEATS) { workerApi.handleHeartbeat(request) }
                 }
             path == HEALTH -> userApi.health()
             path == JOBS -> withMethod("POST", request) { userApi.submit(request) }
--- a/src/main/kotlin/micatally/job/Attempt.kt
+++ b/src/main/kotlin/micatally/job/Attempt.kt
@@ -72,7 +72,8 @@
  *
  * @property number distinguishes the attempts of a task; all attempts of one run of a gang have the same number
  * @property incarnation the incarnation of the machine on which the attempt was placed
- * @property inherited the job's attained service ([Job.service]) when the attempt was created, in seconds
+ * @property inheritedServiceS the job's attained service ([Job.attainedServiceS]) when the attempt was created, in
+ *   seconds
  */
 class Attempt(
     val job: Job,
@@ -80,7 +81,7 @@
     val number: Long,
     val machine: Machine,
     val incarnation: Long,
-    val inherited: Double,
+    val inheritedServiceS: Double,
     startState: AttemptState,
 ) {
     var state = startState
--- a/src/main/kotlin/micatally/job/AttemptLifecycle.kt
+++ b/src/main/kotlin/micatally/job/AttemptLifecycle.kt
@@ -14,7 +14,7 @@
     private val settings: Settings,
     private val store: JobStore,
     private val gangs: GangSupervisor,
-    private val faults: FaultJudgement,
+    private val faults: FaultAttribution,
     private val collaborators: JobCollaborators,
     private val nowMs: () -> Long,
 ) {
@@ -33,7 +33,8 @@
         machine: Machine,
         number: Long,
     ): Attempt {
-        val attempt = Attempt(job, taskIndex, number, machine, machine.incarnation, job.service, AttemptState.INTENDED)
+        val attempt =
+            Attempt(job, taskIndex, number, machine, machine.incarnation, job.attainedServiceS, AttemptState.INTENDED)
         job.gang?.addTriedMachine(taskIndex, machine.name)
         attach(attempt)
         log.info("task {}/{} attempt {} placed on {}, not sent yet", job.jobId, taskIndex, attempt.number, machine.name)
@@ -186,7 +187,7 @@
         attempt: Attempt,
         ranMs: Long,
     ) {
-        job.service = maxOf(job.service, attempt.inherited + ranMs / MS_PER_SECOND)
+        job.attainedServiceS = maxOf(job.attainedServiceS, attempt.inheritedServiceS + ranMs / MS_PER_SECOND)
     }
 
     private companion object {
--- a/src/main/kotlin/micatally/job/FaultJudgement.kt
+++ b/src/main/kotlin/micatally/job/FaultAttribution.kt
@@ -10,7 +10,7 @@
  * mistake fails on every machine, while a faulty machine fails the tasks of every job. So the decision rests on which
  * jobs fail on which machines, and which tasks succeed there.
  */
-class FaultJudgement(
+class FaultAttribution(
     private val settings: Settings,
     private val machines: MachineRegistry,
 ) {
--- a/src/main/kotlin/micatally/job/Job.kt
+++ b/src/main/kotlin/micatally/job/Job.kt
@@ -62,7 +62,7 @@
     /**
      * The job's attained service: the run time of its longest chain of attempts that followed each other, in seconds.
      */
-    var service = 0.0
+    var attainedServiceS = 0.0
 
     /** The index of the priority queue that the job was in when tasks of it were last placed. */
     var queue = 0
@@ -112,7 +112,7 @@
     var attemptLimit = Int.MAX_VALUE
 
     /** Whether it has been logged that the job has more tasks than it may have attempts at once. */
-    var isBoundLogged = false
+    var isAttemptLimitLogged = false
 
     /** The version of the job in memory: it counts the requests to write the job. */
     var version = 0L
--- a/src/main/kotlin/micatally/job/JobAdoption.kt
+++ b/src/main/kotlin/micatally/job/JobAdoption.kt
@@ -96,7 +96,7 @@
                 stored.number,
                 machine,
                 described.incarnation,
-                job.service,
+                job.attainedServiceS,
                 AttemptState.DISPATCHED,
             ),
         )
--- a/src/main/kotlin/micatally/job/JobManager.kt
+++ b/src/main/kotlin/micatally/job/JobManager.kt
@@ -36,7 +36,7 @@
     private val finalAnswers = FinalAnswers()
 
     /** Decides whether jobs or machines are at fault when tasks fail. */
-    val faults = FaultJudgement(settings, machines)
+    val faults = FaultAttribution(settings, machines)
 
     /** Starts and ends the runs of gangs. */
     val gangs =
--- a/src/main/kotlin/micatally/job/JobRecordCodec.kt
+++ b/src/main/kotlin/micatally/job/JobRecordCodec.kt
@@ -84,8 +84,8 @@
             if (isOver && job.isCancellationConfirmable) put(JobRecordField.CONFIRMABLE, 1)
             put(JobRecordField.NEXT_ATTEMPT, job.nextAttempt)
             put(JobRecordField.SUBMITTED_AT, job.submittedAt)
-            if (job.service > 0) {
-                put(JobRecordField.SERVICE, Math.round(job.service))
+            if (job.attainedServiceS > 0) {
+                put(JobRecordField.SERVICE, Math.round(job.attainedServiceS))
                 put(JobRecordField.QUEUE, job.queue)
             }
             if (job.attempts.isNotEmpty()) put(JobRecordField.ATTEMPTS, attemptRows(job))
@@ -173,7 +173,7 @@
         val job = Job(jobId, spec, shard, taskCount, json.longOrNull(JobRecordField.SUBMITTED_AT) ?: 0L, state)
         markDone(job, json.listOrNull(JobRecordField.DONE_RANGES) ?: emptyList())
         job.nextAttempt = json.longOrNull(JobRecordField.NEXT_ATTEMPT) ?: 1L
-        job.service = json.numberOrNull(JobRecordField.SERVICE) ?: 0.0
+        job.attainedServiceS = json.numberOrNull(JobRecordField.SERVICE) ?: 0.0
         job.queue = (json.longOrNull(JobRecordField.QUEUE) ?: 0L).toInt()
         job.modRevision = modRevision
         job.durableState = state
--- a/src/main/kotlin/micatally/job/ShardLoader.kt
+++ b/src/main/kotlin/micatally/job/ShardLoader.kt
@@ -44,7 +44,7 @@
             val stored =
                 records.read(shard) { jobId, record -> adoption.rememberSettled(shard, jobId, record) } ?: return false
             if (!shard.isLedHere) return true
-            for (record in stored) readable(record.jobId) { adoption.adopt(shard, record) }
+            for (record in stored) decodeRecord(record.jobId) { adoption.adopt(shard, record) }
         } catch (e: UnreadableRecord) {
             if (!shard.isUnreadable) log.error("shard {} can't be loaded: {}", shard.name, e.message)
             shard.isUnreadable = true
--- a/src/main/kotlin/micatally/job/ShardRecords.kt
+++ b/src/main/kotlin/micatally/job/ShardRecords.kt
@@ -36,7 +36,7 @@
  * @throws UnreadableRecord if [read] throws one of the exceptions that the decoders throw for a record they can't
  * decode
  */
-inline fun <T> readable(
+inline fun <T> decodeRecord(
     jobId: String,
     read: () -> T,
 ): T =
@@ -94,7 +94,7 @@
         onSettled: (jobId: String, record: JobRecord) -> Unit,
     ) {
         try {
-            readable(jobIdOf(item)) { classify(item, shard, toLoad, onSettled) }
+            decodeRecord(jobIdOf(item)) { classify(item, shard, toLoad, onSettled) }
         } catch (e: UnreadableRecord) {
             if (JobRecord(item.value).shardOrNull == shard.name) throw e
             if (loggedJobIds.add(jobIdOf(item))) log.error("{}", e.message)
@@ -145,7 +145,7 @@
             if (!isWhole && isOwn && jobId !in shard.jobs) return null
             val plain =
                 if (isWhole) {
-                    readable(
+                    decodeRecord(
                         jobId,
                     ) { JobRecord(RecordPacking.unpack(item.value, overflow.map { it.value })) }
                 } else {
--- a/src/main/kotlin/micatally/membership/ControllerLease.kt
+++ b/src/main/kotlin/micatally/membership/ControllerLease.kt
@@ -47,7 +47,7 @@
 
     /**
      * Whether the lease is certainly still valid at the state store. While this is true, no other controller can have
-     * acquired this one's shards.
+     * acquired this controller's own shard.
      */
     fun holds(): Boolean = id != null && nowMs() < lastProofSentAtMs + settings.liveMs * SAFE_PERCENT / PERCENT
 
--- a/src/main/kotlin/micatally/membership/Membership.kt
+++ b/src/main/kotlin/micatally/membership/Membership.kt
@@ -94,7 +94,7 @@
 
     /**
      * Whether this controller's lease is certainly still valid at the state store. While this is true, no other
-     * controller can have acquired this one's shards.
+     * controller can have acquired this controller's own shard.
      */
     fun leaseHolds(): Boolean = controllerLease.holds()
 
--- a/src/main/kotlin/micatally/scheduling/JobPlacement.kt
+++ b/src/main/kotlin/micatally/scheduling/JobPlacement.kt
@@ -46,7 +46,7 @@
         }
         val pending = job.pending(batchSize(spec, maxAttempts))
         if (pending.isEmpty()) return false
-        if (spec.isPlacedWhole) {
+        if (spec.isAllOrNothing) {
             allOrNothing.placeAllOrNone(job, spec, pending, now) { job.nextAttempt++ }
             return false
         }
@@ -61,7 +61,7 @@
         job: Job,
         spec: JobSpec,
     ): Boolean {
-        if (spec.isPlacedWhole) return false
+        if (spec.isAllOrNothing) return false
         return misses.isWithoutCapacity(spec, Placement.zoneRule(job, spec)) && actions.isWithinQuota(job)
     }
 
@@ -105,7 +105,7 @@
 
     /** How many more attempts the job may have now. A job that fails on every machine gets one attempt at a time. */
     private fun remainingAttempts(job: Job): Int {
-        val isTriedSingly = job.health.isSuspect && job.spec?.isPlacedWhole == false
+        val isTriedSingly = job.health.isSuspect && job.spec?.isAllOrNothing == false
         if (isTriedSingly) return MAX_ATTEMPTS_OF_SUSPECT_JOB - job.attempts.size
         val maxAttempts = minOf(settings.stateLimits.attemptsOfOneJob(view.machines.byName.size), job.attemptLimit)
         val remaining = maxAttempts - job.attempts.size
@@ -117,8 +117,8 @@
         job: Job,
         maxAttempts: Int,
     ) {
-        if (job.isBoundLogged) return
-        job.isBoundLogged = true
+        if (job.isAttemptLimitLogged) return
+        job.isAttemptLimitLogged = true
         log.warn("job {}: {} of {} tasks at once, as many as its record holds", job.jobId, maxAttempts, job.taskCount)
     }
 
--- a/src/main/kotlin/micatally/scheduling/Preemption.kt
+++ b/src/main/kotlin/micatally/scheduling/Preemption.kt
@@ -125,8 +125,8 @@
         if (!isArray || attempt.stop != null || attempt.state != AttemptState.RUNNING) return false
         if (attempt.taskIndex in attempt.job.preemptedTasks || spec.priority.ordinal <= request.priority) return false
         val runS = (now - (attempt.runningSince ?: now)) / MS_PER_S
-        if (!queues.hasPassedUpperBound(attempt.inherited, runS)) return false
-        if (queues.queueOf(attempt.inherited + runS) < request.queue + QUEUES_ABOVE_VICTIM) return false
+        if (!queues.hasPassedUpperBound(attempt.inheritedServiceS, runS)) return false
+        if (queues.queueOf(attempt.inheritedServiceS + runS) < request.queue + QUEUES_ABOVE_VICTIM) return false
         // A task without checkpoints loses all its progress. Once that is more than the boot time of a new machine,
         // preempting it is not worth it.
         return spec.checkpointS > 0 || runS <= machineType.readyS
--- a/src/main/kotlin/micatally/scheduling/PriorityQueues.kt
+++ b/src/main/kotlin/micatally/scheduling/PriorityQueues.kt
@@ -26,9 +26,9 @@
      * are new or replace lost replicas.
      */
     fun queueOf(job: Job): Int {
-        if (job.spec?.isService != false || job.service <= 0.0) return 0
-        val queue = queueOf(job.service)
-        val isPromoted = queue > 0 && job.waitedMs / MS_PER_S / job.service > promotionRatio
+        if (job.spec?.isService != false || job.attainedServiceS <= 0.0) return 0
+        val queue = queueOf(job.attainedServiceS)
+        val isPromoted = queue > 0 && job.waitedMs / MS_PER_S / job.attainedServiceS > promotionRatio
         return if (isPromoted) queue - 1 else queue
     }
 
--- a/src/main/kotlin/micatally/scheduling/ReplicaMigration.kt
+++ b/src/main/kotlin/micatally/scheduling/ReplicaMigration.kt
@@ -152,7 +152,7 @@
     ): Boolean {
         val job = attempt.job
         val spec = job.spec ?: return false
-        if (!spec.isService || spec.isPlacedWhole) return false
+        if (!spec.isService || spec.isAllOrNothing) return false
         val isRunning = attempt.stop == null && attempt.state == AttemptState.RUNNING
         if (!isRunning || job.pendingCount > 0) return false
         // Only one replica of a job migrates at a time, since the zone rule counts the others in their present zones.
--- a/src/main/kotlin/micatally/scheduling/Scheduler.kt
+++ b/src/main/kotlin/micatally/scheduling/Scheduler.kt
@@ -67,7 +67,7 @@
             val waitMs = nextCycleStartMs - nowMs()
             if (waitMs > 0) delay(waitMs)
             isCycleRequested = false
-            cpuUsage.of(CpuUsage.Kind.SCHEDULING) { runCycle() }
+            cpuUsage.measure(CpuUsage.Kind.SCHEDULING) { runCycle() }
         }
     }
 
@@ -157,7 +157,7 @@
 
     private fun isSearchedByImage(job: Job): Boolean {
         val spec = job.spec ?: return false
-        if (spec.isService || spec.isPlacedWhole) return false
+        if (spec.isService || spec.isAllOrNothing) return false
         return !misses.isWithoutCapacity(spec, Placement.zoneRule(job, spec))
     }
 
--- a/src/main/kotlin/micatally/wire/JobSpec.kt
+++ b/src/main/kotlin/micatally/wire/JobSpec.kt
@@ -76,7 +76,7 @@
     val isGang get() = format == Format.GANG
 
     /** Whether its waiting tasks are placed all at once or not at all. */
-    val isPlacedWhole get() = isGang || isService && together
+    val isAllOrNothing get() = isGang || isService && together
 
     /** Parses a submitted job. */
     companion object {
--- a/src/main/kotlin/micatally/wire/PeerMessages.kt
+++ b/src/main/kotlin/micatally/wire/PeerMessages.kt
@@ -137,8 +137,8 @@
  *
  * @property machineStatuses machines whose heartbeats showed a change
  * @property summary null if the receiver has the current version
- * @property deletionRequests machines that the sender wants deleted, because they are unreachable or fail the tasks
- *   that they start
+ * @property deletionRequests machines that the sender wants deleted, because no controller has received their
+ *   heartbeats for too long
  * @property heartbeatAcknowledgements machines whose heartbeats the sender has received itself, without their tasks
  * @property hasStateStoreContact whether the sender has recent proof of contact with the state store
  * @property host host of the sender
--- a/src/main/kotlin/micatally/worker/WorkerReach.kt
+++ b/src/main/kotlin/micatally/worker/WorkerReach.kt
@@ -81,7 +81,7 @@
      * A cut-off shorter than [cutOffToleranceMs] moves no shards. After a cut-off for which it was to step down has
      * ended, the controller keeps its shards for [LEASES_BETWEEN_STEP_DOWNS] leases even if it is cut off again.
      */
-    fun mayStepDown(): Boolean {
+    fun shouldStepDown(): Boolean {
         val now = nowMs()
         if (!isCutOff) return false
         val isLasting = now - cutOffSince > cutOffToleranceMs
--- a/src/test/kotlin/micatally/compatibility/StoredValuesTest.kt
+++ b/src/test/kotlin/micatally/compatibility/StoredValuesTest.kt
@@ -156,7 +156,7 @@
                     attempt.number,
                     machine,
                     attempt.machine.incarnation,
-                    job.service,
+                    job.attainedServiceS,
                     AttemptState.DISPATCHED,
                 )
         }
--- a/src/test/kotlin/micatally/quota/QuotaFleet.kt
+++ b/src/test/kotlin/micatally/quota/QuotaFleet.kt
@@ -24,7 +24,7 @@
 import micatally.membership.SharedKeyCache
 import micatally.settings.FixedTeams
 import micatally.settings.Team
-import micatally.sim.Stoppable
+import micatally.sim.FreezableDispatcher
 import micatally.state.Compare
 import micatally.state.Delete
 import micatally.state.Put
@@ -87,7 +87,7 @@
     inner class Controller(
         private val index: Int,
     ) {
-        private val pausableDispatcher = Stoppable(dispatcher)
+        private val pausableDispatcher = FreezableDispatcher(dispatcher)
         private val controllerScope = CoroutineScope(SupervisorJob() + pausableDispatcher + handler)
         private val sharedKeys = SharedKeyCache()
         private val state =
--- a/src/test/kotlin/micatally/sim/FaultIsolationTest.kt
+++ b/src/test/kotlin/micatally/sim/FaultIsolationTest.kt
@@ -38,8 +38,8 @@
 
     /**
      * Guards two rules: the failures of a job that fails everywhere are not held against machines
-     * ([micatally.job.FaultJudgement]), and such a job is tried with one task at a time, with a longer wait after each
-     * failure ([micatally.job.JobHealth]). A machine without a success used to be excluded after one failure.
+     * ([micatally.job.FaultAttribution]), and such a job is tried with one task at a time, with a longer wait after
+     * each failure ([micatally.job.JobHealth]). A machine without a success used to be excluded after one failure.
      */
     @Test
     fun `jobs that always fail exclude no machine and take little of the fleet`() =
--- a/src/test/kotlin/micatally/sim/GangTest.kt
+++ b/src/test/kotlin/micatally/sim/GangTest.kt
@@ -468,8 +468,8 @@
                 fleet.lease * 3,
                 "the run has ended",
             ) { job.attempts.isEmpty() || phase(jobId) == GangPhase.WAITING }
-            assertTrue(job.service in 3.0..20.0, "${job.service}")
-            assertFalse(job.service > 20.0)
+            assertTrue(job.attainedServiceS in 3.0..20.0, "${job.attainedServiceS}")
+            assertFalse(job.attainedServiceS > 20.0)
         }
 
     /** Guards [micatally.job.TaskReconciler]: the result of a completed task counts, whichever attempt it was. */
--- a/src/test/kotlin/micatally/sim/SimFleet.kt
+++ b/src/test/kotlin/micatally/sim/SimFleet.kt
@@ -67,7 +67,7 @@
     /** The controller of each node, null while the node is down. */
     val live = arrayOfNulls<Controller>(nodes)
     private val nodeScopes = arrayOfNulls<CoroutineScope>(nodes)
-    private val dispatchers = arrayOfNulls<Stoppable>(nodes)
+    private val dispatchers = arrayOfNulls<FreezableDispatcher>(nodes)
     private val sentStartCommands = HashSet<String>()
     private val sentMessages = SentMessageDigest.ofFleet(seed)
 
@@ -105,7 +105,7 @@
     fun startNode(node: Int) {
         if (live[node] != null) return
         val host = net.hosts.getValue("n$node")
-        val dispatcher = Stoppable(time.dispatcher)
+        val dispatcher = FreezableDispatcher(time.dispatcher)
         val nodeScope = CoroutineScope(SupervisorJob() + dispatcher + time.exceptionHandler)
         val http = callerOf(node, host)
         val skew = 1.0 + random.nextDouble(0.0005)
--- a/src/test/kotlin/micatally/sim/SimNet.kt
+++ b/src/test/kotlin/micatally/sim/SimNet.kt
@@ -180,7 +180,7 @@
  * has become due runs at once.
  */
 @OptIn(InternalCoroutinesApi::class)
-class Stoppable(
+class FreezableDispatcher(
     private val inner: CoroutineDispatcher,
 ) : CoroutineDispatcher(),
     Delay {
--- a/src/test/kotlin/micatally/upgrade/FormatTest.kt
+++ b/src/test/kotlin/micatally/upgrade/FormatTest.kt
@@ -78,7 +78,7 @@
                     storedAttempt.number,
                     machine,
                     storedAttempt.machine.incarnation,
-                    job.service,
+                    job.attainedServiceS,
                     AttemptState.DISPATCHED,
                 )
         }
