--- a/src/test/kotlin/micatally/sim/GangTest.kt
+++ b/src/test/kotlin/micatally/sim/GangTest.kt
@@ -364,7 +364,7 @@
         }
 
     /**
-     * Guards [micatally.scheduling.ClusterView.requestsBefore]: without it, single tasks take each piece of freed
+     * Guards [micatally.scheduling.ClusterView.reservingRequests]: without it, single tasks take each piece of freed
      * capacity before there is enough for the gang.
      */
     @Test
