--- a/src/main/kotlin/micatally/scale/ControllerProcess.kt
+++ b/src/main/kotlin/micatally/scale/ControllerProcess.kt
@@ -5,17 +5,18 @@
 import java.nio.file.Path
 import java.util.concurrent.TimeUnit
 
-/** Processor time since its start and resident memory of a process. */
+/** CPU time in ms that a process has used since its start, and its resident memory. */
 class ProcessSample(
-    val processorMs: Long,
+    val cpuMs: Long,
     val residentBytes: Long,
     val peakResidentBytes: Long,
 )
 
 /**
- * A controller as a process of its own, started from [command], the settings file last.
+ * A controller that runs as a separate process.
  *
- * @property logFile what it writes to standard error, also over several starts
+ * @param command the command line that starts it, ending with the settings file
+ * @param logFile receives its standard error; each start appends to the file
  */
 class ControllerProcess(
     val place: ControllerPlace,
@@ -25,7 +26,7 @@
     private var process: Process? = null
 
     val isAlive get() = process?.isAlive == true
-    val id get() = process?.pid()
+    val processId get() = process?.pid()
     val logBytes get() = if (Files.exists(logFile)) Files.size(logFile) else 0L
 
     @Synchronized
@@ -38,7 +39,7 @@
         process = builder.start()
     }
 
-    /** Ends the process at once, by its own id, and waits until it is gone. */
+    /** Kills the process without a graceful shutdown and waits up to [KILL_SECONDS] s until it has ended. */
     @Synchronized
     fun kill() {
         val running = process ?: return
@@ -46,26 +47,27 @@
         running.waitFor(KILL_SECONDS, TimeUnit.SECONDS)
     }
 
-    /** Null when the process has ended. */
+    /** Reads the figures of the process from `/proc`; null if it was never started or has ended. */
     fun sample(): ProcessSample? {
-        val pid = id ?: return null
+        val pid = processId ?: return null
         return try {
-            // The second field may hold spaces; what follows its bracket is numbers.
+            // The second field is the command in parentheses and may hold spaces; only the fields after it are split.
             val fields =
                 Files
                     .readString(Path.of("/proc/$pid/stat"))
                     .substringAfterLast(')')
                     .trim()
                     .split(' ')
-            val ticks = fields[USER_TICKS].toLong() + fields[SYSTEM_TICKS].toLong()
+            val cpuTicks = fields[USER_TICKS].toLong() + fields[SYSTEM_TICKS].toLong()
             val status = Files.readAllLines(Path.of("/proc/$pid/status"))
-            ProcessSample(ticks * MS_A_TICK, kilobytes(status, "VmRSS:"), kilobytes(status, "VmHWM:"))
+            ProcessSample(cpuTicks * MS_PER_TICK, readBytes(status, "VmRSS:"), readBytes(status, "VmHWM:"))
         } catch (e: java.io.IOException) {
             null
         }
     }
 
-    private fun kilobytes(
+    /** Returns the value of the line [name] in bytes; the file states it in kB. */
+    private fun readBytes(
         status: List<String>,
         name: String,
     ): Long {
@@ -77,7 +79,7 @@
             .toLong() * 1024
     }
 
-    /** The lines logged after [offset] bytes of the log. */
+    /** Returns the lines that the log file holds after its first [offset] bytes. */
     fun logLinesSince(offset: Long): List<String> {
         if (!Files.exists(logFile)) return emptyList()
         val bytes = Files.readAllBytes(logFile)
@@ -87,9 +89,11 @@
     private companion object {
         const val KILL_SECONDS = 10L
 
-        /** Places in /proc/PID/stat, counted from the field after the name. */
+        /** Indices in `/proc/PID/stat`, counted from 0 at the field after the command. */
         const val USER_TICKS = 11
         const val SYSTEM_TICKS = 12
-        const val MS_A_TICK = 10L
+
+        /** `/proc/PID/stat` counts CPU time in ticks of 10 ms. */
+        const val MS_PER_TICK = 10L
     }
 }
--- a/src/main/kotlin/micatally/scale/CpuUsageLines.kt
+++ b/src/main/kotlin/micatally/scale/CpuUsageLines.kt
@@ -1,32 +1,38 @@
 package micatally.scale
 
-/** What a kind of work took over some time: how often, how long in all and at the longest. */
+/** How often something was done, its total time in ms and the longest single time in ms. */
 class CpuUsageFigures(
     val count: Long,
     val totalMs: Long,
     val longestMs: Long,
 )
 
-/** Reads the lines that controllers log once a lease, see [micatally.controller.CpuUsage]. */
+/**
+ * Sums the figures in the `cpu usage` lines of controller logs. A controller logs one such line about every worker
+ * lease, see [micatally.controller.CpuUsage].
+ *
+ * @param lines lines of the logs; all others are ignored
+ */
 class CpuUsageLines(
     lines: List<String>,
 ) {
     private val usageLines = lines.filter { "micatally.cpu" in it }
 
-    /** How many there are; each tells of about one lease. */
-    val count = usageLines.size
+    /** Number of `cpu usage` lines. Each covers the time of about one worker lease of one controller. */
+    val lineCount = usageLines.size
 
-    /** By kind of work, for all lines together. */
-    val work: Map<String, CpuUsageFigures> = sum(Regex("""([a-z][a-z ]*)=(\d+)x/(\d+)ms/(\d+)ms"""))
+    /** CPU usage by kind of work, summed over all lines. */
+    val work: Map<String, CpuUsageFigures> = sumFields(Regex("""([a-z][a-z ]*)=(\d+)x/(\d+)ms/(\d+)ms"""))
 
-    /** Writes to the state service by urgency; the longest time is how long one of them waited. */
+    /** Writes to the state store by urgency, summed over all lines. The times are those that the writes waited. */
     val writes: Map<String, CpuUsageFigures> =
-        sum(Regex("""([a-z]+):(\d+)x/(\d+)ms/(\d+)ms"""), "writes=", " requests=")
+        sumFields(Regex("""([a-z]+):(\d+)x/(\d+)ms/(\d+)ms"""), "writes=", " requests=")
 
-    val deltaBytesReceived = usageLines.sumOf { number(it, "deltaBytesReceived=") }
-    val deltaBytesAnswered = usageLines.sumOf { number(it, "deltaBytesAnswered=") }
+    val deltaBytesReceived = usageLines.sumOf { byteCount(it, "deltaBytesReceived=") }
+    val deltaBytesAnswered = usageLines.sumOf { byteCount(it, "deltaBytesAnswered=") }
 
-    private fun sum(
+    /** Sums the fields that match [pattern] between [from] and [to] of each line, by their name. */
+    private fun sumFields(
         pattern: Regex,
         from: String = "- cpu usage ",
         to: String = " machines=",
@@ -47,7 +53,7 @@
         return sums
     }
 
-    private fun number(
+    private fun byteCount(
         line: String,
         name: String,
     ) = line.substringAfter(name, "0").takeWhile { it.isDigit() }.toLong()
--- a/src/main/kotlin/micatally/scale/Deployment.kt
+++ b/src/main/kotlin/micatally/scale/Deployment.kt
@@ -6,9 +6,15 @@
 import java.nio.file.Files
 import java.nio.file.Path
 
-/** How a file under `deploy/` starts a controller. */
+/** Reads from a file under `deploy/` how a controller is started. */
 object Deployment {
-    /** The words of the deploy file's `run`, with the log of the controllers' own figures switched on. */
+    /**
+     * Returns the command line of the deploy file's `run`, up to and including `--config`; the caller appends the
+     * settings file. A Java option after the first word turns on the `cpu usage` log lines, and [extraArguments]
+     * precede `--config`.
+     *
+     * @throws ScenarioError if the file can't be read, or `run` does not end with `--config`
+     */
     fun command(
         deployFile: Path,
         extraArguments: List<String> = emptyList(),
@@ -25,8 +31,8 @@
         if (words.size < 2 || words.last() != "--config") {
             throw ScenarioError("deploy file $deployFile: run must end with --config")
         }
-        return listOf(words.first(), LOG_EFFORT) + words.drop(1).dropLast(1) + extraArguments + words.last()
+        return listOf(words.first(), CPU_USAGE_LOG_OPTION) + words.drop(1).dropLast(1) + extraArguments + words.last()
     }
 
-    private const val LOG_EFFORT = "-Dorg.slf4j.simpleLogger.log.micatally.cpu=info"
+    private const val CPU_USAGE_LOG_OPTION = "-Dorg.slf4j.simpleLogger.log.micatally.cpu=info"
 }
--- a/src/main/kotlin/micatally/scale/FailureInjector.kt
+++ b/src/main/kotlin/micatally/scale/FailureInjector.kt
@@ -9,39 +9,46 @@
 import micatally.emulator.WorkerEmulator
 import kotlin.random.Random
 
-/** Carries out the failures of a scenario at their times. */
+/**
+ * Injects the failures of a scenario at their times.
+ *
+ * @param workerScope scope of the loop that runs the emulated workers and the cloud
+ * @param stateScope scope of the loop that runs the state store emulator
+ * @param beforeAllRestart called each time before all controllers are started again after they were killed together
+ */
 class FailureInjector(
     private val workerScope: CoroutineScope,
     private val stateScope: CoroutineScope,
     private val fleet: LoopbackFleet,
     private val controllers: List<ControllerProcess>,
     private val random: Random,
-    private val onAllReturn: () -> Unit = {},
+    private val beforeAllRestart: () -> Unit = {},
 ) {
-    /** How often each controller was started again, by its place in the list. */
+    /** How often each controller was restarted, by its index in the list of controllers. */
     val restarts = IntArray(controllers.size)
 
+    /** Schedules the failures of [plans]; their times count from this call. */
     fun start(plans: List<FailurePlan>) {
         for (plan in plans) {
             val scope = if (plan.kind == FailurePlan.STATE_OUTAGE) stateScope else workerScope
             scope.launch {
                 delay((plan.atSecond * 1000).toLong())
-                carryOut(plan)
+                inject(plan)
             }
         }
     }
 
-    private suspend fun carryOut(plan: FailurePlan) {
+    private suspend fun inject(plan: FailurePlan) {
         when (plan.kind) {
             FailurePlan.WORKERS ->
-                end(
+                failWorkers(
                     fleet.cloud.workers
                         .shuffled(random)
                         .take(plan.count),
                     plan,
                 )
-            FailurePlan.ZONE -> end(fleet.cloud.workers.filter { it.zone == plan.zone }, plan)
-            FailurePlan.CONTROLLERS -> restart(plan)
+            FailurePlan.ZONE -> failWorkers(fleet.cloud.workers.filter { it.zone == plan.zone }, plan)
+            FailurePlan.CONTROLLERS -> restartControllers(plan)
             FailurePlan.STATE_OUTAGE -> {
                 fleet.state.down = true
                 delay((plan.forSeconds * 1000).toLong())
@@ -50,8 +57,10 @@
         }
     }
 
-    /** Machines that come back hang meanwhile; the others are gone for good. */
-    private suspend fun end(
+    /**
+     * Hangs the workers for the time of the plan; without such a time, removes their machines from the cloud for good.
+     */
+    private suspend fun failWorkers(
         workers: List<WorkerEmulator>,
         plan: FailurePlan,
     ) {
@@ -64,12 +73,13 @@
         for (worker in workers) worker.hung = false
     }
 
-    private suspend fun restart(plan: FailurePlan) {
-        val chosen = controllers.indices.shuffled(random).take(plan.count)
-        withContext(Dispatchers.IO) { for (i in chosen) controllers[i].kill() }
+    /** Kills randomly chosen controllers and starts them again after the time of the plan. */
+    private suspend fun restartControllers(plan: FailurePlan) {
+        val chosenIndices = controllers.indices.shuffled(random).take(plan.count)
+        withContext(Dispatchers.IO) { for (i in chosenIndices) controllers[i].kill() }
         delay((plan.forSeconds * 1000).toLong())
-        if (chosen.size == controllers.size) onAllReturn()
-        for (i in chosen) {
+        if (chosenIndices.size == controllers.size) beforeAllRestart()
+        for (i in chosenIndices) {
             restarts[i]++
             withContext(Dispatchers.IO) { controllers[i].start() }
         }
--- a/src/main/kotlin/micatally/scale/JobPlan.kt
+++ b/src/main/kotlin/micatally/scale/JobPlan.kt
@@ -9,9 +9,12 @@
 /**
  * A job that a user will submit.
  *
- * @property runMs of its tasks on average; null: until they are stopped
- * @property atMs when, from the beginning of the load
- * @property cancelAfterMs when its user cancels it, from its submission; null: not before the end of the run
+ * @param runMs mean run time of its tasks in ms; null if they run until they are stopped
+ * @param runSpread maximum deviation of a task's run time from [runMs], as a fraction of it
+ * @property atMs time of the submission in ms since the start of the load
+ * @property isUrgent whether the start latencies of its tasks are measured separately
+ * @property cancelAfterMs time in ms from submission to cancellation by its user; null if it is not cancelled during
+ * the run
  */
 class PlannedJob(
     val spec: JobSpec,
@@ -21,37 +24,39 @@
     val isUrgent: Boolean,
     val cancelAfterMs: Long?,
 ) {
-    /** How long a task runs, the same each time it is asked; null: until it is stopped. */
+    /** Returns the run time of a task in ms, the same on every call; null if the task runs until it is stopped. */
     fun runMs(taskIndex: Int): Long? {
         val average = runMs ?: return null
-        val random = Random(spec.jobId.hashCode() * TASKS_APART + taskIndex)
+        val random = Random(spec.jobId.hashCode() * JOB_SEED_FACTOR + taskIndex)
         return (average * (1 + runSpread * random.nextDouble(-1.0, 1.0))).toLong()
     }
 
     private companion object {
-        const val TASKS_APART = 1_000_003
+        /** Keeps the random seeds of the tasks of different jobs apart; larger than any task index. */
+        const val JOB_SEED_FACTOR = 1_000_003
     }
 }
 
-/** The load of a scenario, in the order of submission. Depends on the scenario alone. */
+/** Generates the jobs of a scenario. The result depends on the scenario alone, including its seed. */
 object JobPlan {
+    /** Returns all jobs of the scenario in the order of submission. */
     fun of(scenario: Scenario): List<PlannedJob> {
         val random = Random(scenario.seed)
-        val endMs = (scenario.warmupSeconds + scenario.seconds) * MS
+        val endMs = (scenario.warmupSeconds + scenario.seconds) * MS_PER_S
         val arrivals = ArrayList<Pair<Long, JobClassPlan>>()
-        for (jobs in scenario.jobs) {
-            val startSpreadMs = scenario.warmupSeconds * MS / 2
-            repeat(jobs.atStart) { arrivals.add(random.nextLong(startSpreadMs + 1) to jobs) }
-            if (jobs.perSecond <= 0) continue
-            // Independent users: the times between arrivals are distributed exponentially.
-            var atMs = exponentialMs(random, jobs.perSecond)
+        for (jobClass in scenario.jobs) {
+            val startSpreadMs = scenario.warmupSeconds * MS_PER_S / 2
+            repeat(jobClass.atStart) { arrivals.add(random.nextLong(startSpreadMs + 1) to jobClass) }
+            if (jobClass.perSecond <= 0) continue
+            // Users act independently of each other, so the times between arrivals are exponentially distributed.
+            var atMs = exponentialMs(random, jobClass.perSecond)
             while (atMs < endMs) {
-                arrivals.add(atMs to jobs)
-                atMs += exponentialMs(random, jobs.perSecond)
+                arrivals.add(atMs to jobClass)
+                atMs += exponentialMs(random, jobClass.perSecond)
             }
         }
-        return arrivals.sortedBy { it.first }.mapIndexed { i, (atMs, jobs) ->
-            plan(i + 1, atMs, jobs, scenario.teams.count, random)
+        return arrivals.sortedBy { it.first }.mapIndexed { i, (atMs, jobClass) ->
+            plannedJob(i + 1, atMs, jobClass, scenario.teams.count, random)
         }
     }
 
@@ -60,46 +65,46 @@
     private fun exponentialMs(
         random: Random,
         perSecond: Double,
-    ): Long = (-Math.log(1 - random.nextDouble()) / perSecond * MS).toLong()
+    ): Long = (-Math.log(1 - random.nextDouble()) / perSecond * MS_PER_S).toLong()
 
-    private fun plan(
+    private fun plannedJob(
         number: Int,
         atMs: Long,
-        jobs: JobClassPlan,
+        jobClass: JobClassPlan,
         teams: Int,
         random: Random,
     ): PlannedJob {
         val team = teamName(random.nextInt(teams))
-        val image = "${jobs.name}-${random.nextInt(jobs.images)}"
-        val isCancelled = jobs.cancelAfterSeconds != null && random.nextDouble() < jobs.cancelShare
+        val image = "${jobClass.name}-${random.nextInt(jobClass.images)}"
+        val isCancelled = jobClass.cancelAfterSeconds != null && random.nextDouble() < jobClass.cancelShare
         return PlannedJob(
-            spec = JobSpec.parse(submission(number, jobs, team, image).encode()),
-            runMs = if (jobs.format == Format.SERVICE.word) null else (jobs.runSeconds * MS).toLong(),
-            runSpread = jobs.runSpread,
+            spec = JobSpec.parse(submission(number, jobClass, team, image).encode()),
+            runMs = if (jobClass.format == Format.SERVICE.word) null else (jobClass.runSeconds * MS_PER_S).toLong(),
+            runSpread = jobClass.runSpread,
             atMs = atMs,
-            isUrgent = jobs.urgent,
-            cancelAfterMs = if (isCancelled) (jobs.cancelAfterSeconds * MS).toLong() else null,
+            isUrgent = jobClass.urgent,
+            cancelAfterMs = if (isCancelled) (jobClass.cancelAfterSeconds * MS_PER_S).toLong() else null,
         )
     }
 
     private fun submission(
         number: Int,
-        jobs: JobClassPlan,
+        jobClass: JobClassPlan,
         team: String,
         image: String,
     ) = JobSubmission(
         jobId = "j-%06d".format(number),
-        jobClass = jobs.name,
+        jobClass = jobClass.name,
         team = team,
-        format = jobs.format,
-        priority = jobs.priority,
-        taskCount = jobs.tasks,
-        resources = Resources(jobs.cores, jobs.gpus, jobs.ramGb),
+        format = jobClass.format,
+        priority = jobClass.priority,
+        taskCount = jobClass.tasks,
+        resources = Resources(jobClass.cores, jobClass.gpus, jobClass.ramGb),
         image = image,
-        imageGb = jobs.imageGb,
-        scatter = jobs.spreadOverZones && jobs.tasks > 1,
-        estimateS = jobs.runSeconds,
+        imageGb = jobClass.imageGb,
+        scatter = jobClass.spreadOverZones && jobClass.tasks > 1,
+        estimateS = jobClass.runSeconds,
     )
 
-    private const val MS = 1000L
+    private const val MS_PER_S = 1000L
 }
--- a/src/main/kotlin/micatally/scale/Latencies.kt
+++ b/src/main/kotlin/micatally/scale/Latencies.kt
@@ -3,7 +3,11 @@
 import kotlinx.serialization.Serializable
 import org.HdrHistogram.ConcurrentHistogram
 
-/** What is timed during a run. */
+/**
+ * A latency that is measured during a run.
+ *
+ * @property label its name in the report
+ */
 enum class LatencyKind(
     val label: String,
 ) {
@@ -17,7 +21,7 @@
     CONFIGURATION_IN_FORCE("configuration change to in force everywhere"),
 }
 
-/** Quantiles of one kind, in milliseconds. */
+/** Number of measurements of one [LatencyKind], and their quantiles in ms. */
 @Serializable
 data class LatencyFigures(
     val kind: String,
@@ -28,7 +32,7 @@
     val maxMs: Long,
 )
 
-/** Histograms of what users wait for. Safe on all loops at once; only what is recorded while [isRecording] counts. */
+/** Histograms of the latencies, in ms. Values are dropped while [isRecording] is false. Thread-safe. */
 class Latencies {
     @Volatile
     var isRecording = false
--- a/src/main/kotlin/micatally/scale/LoadBalancer.kt
+++ b/src/main/kotlin/micatally/scale/LoadBalancer.kt
@@ -7,7 +7,10 @@
 import micatally.http.Outcome
 import kotlin.random.Random
 
-/** Chooses a controller for each request of a user, among those that are healthy. */
+/**
+ * Chooses a random healthy controller for each user request. A controller is healthy if it answers its last health
+ * check with status 200.
+ */
 class LoadBalancer(
     private val scope: CoroutineScope,
     private val http: HttpCaller,
@@ -16,11 +19,12 @@
 ) {
     private val healthy = HashSet<String>()
 
-    /** How many controllers answer their health check; read from other threads too. */
+    /** Number of healthy controllers; may be read from any thread. */
     @Volatile
     var healthyCount = 0
         private set
 
+    /** Starts a health check of each controller every [PROBE_MS] ms. */
     fun start() {
         for (address in addresses) {
             scope.launch {
@@ -38,7 +42,7 @@
         healthyCount = healthy.size
     }
 
-    /** The address of a controller; one that is not healthy only when none is. */
+    /** Returns the address of a healthy controller, or of any controller if none is healthy. */
     fun choose(): String = addresses.filter { it in healthy }.ifEmpty { addresses }.random(random)
 
     private companion object {
--- a/src/main/kotlin/micatally/scale/Measurement.kt
+++ b/src/main/kotlin/micatally/scale/Measurement.kt
@@ -5,7 +5,14 @@
 import micatally.emulator.StoredKeys
 import java.lang.management.ManagementFactory
 
-/** The figures of all roles at one moment. */
+/**
+ * The counters of a run at one moment.
+ *
+ * @property changes changes in the state store by key prefix
+ * @property controllers figures of the controller processes; null for one that has ended
+ * @property loops CPU time in ms by event loop
+ * @property logOffsets size in bytes of each controller's log
+ */
 private class Snapshot(
     val atNs: Long,
     val starts: Int,
@@ -17,7 +24,11 @@
     val logOffsets: List<Long>,
 )
 
-/** Takes the figures of a run between [begin] and [end]. */
+/**
+ * Computes the figures of a run for the time between [begin] and [end].
+ *
+ * @param leaseMs the worker lease, which is about the time that each `cpu usage` line of a controller covers
+ */
 class Measurement(
     private val loops: List<EventLoop>,
     private val fleet: LoopbackFleet,
@@ -31,18 +42,24 @@
     private lateinit var first: Snapshot
 
     fun begin() {
-        first = take()
+        first = takeSnapshot()
         latencies.isRecording = true
     }
 
-    /** @param stored what the state service holds now, taken on its own loop */
+    /**
+     * Ends the measurement and returns its figures.
+     *
+     * @param origin the parameters of the run; the measured time is filled in here
+     * @param restarts how often each controller was restarted
+     * @param stored keys in the state store at present by prefix, read on the store's own loop
+     */
     fun end(
         origin: RunParameters,
         restarts: IntArray,
         stored: Map<String, StoredKeys>,
     ): ScaleReport {
         latencies.isRecording = false
-        val last = take()
+        val last = takeSnapshot()
         val seconds = (last.atNs - first.atNs) / 1e9
         val usageLines =
             CpuUsageLines(controllers.indices.flatMap { controllers[it].logLinesSince(first.logOffsets[it]) })
@@ -60,7 +77,7 @@
         )
     }
 
-    private fun take() =
+    private fun takeSnapshot() =
         Snapshot(
             System.nanoTime(),
             history.starts,
@@ -68,12 +85,12 @@
             messageCounters.counts(),
             fleet.state.changesByPrefix(),
             controllers.map { it.sample() },
-            loops.associate { it.name to loopMs(it) },
+            loops.associate { it.name to loopCpuMs(it) },
             controllers.map { it.logBytes },
         )
 
-    /** Processor time of a loop's two threads. */
-    private fun loopMs(loop: EventLoop): Long =
+    /** Returns the CPU time in ms of the two threads of a loop. */
+    private fun loopCpuMs(loop: EventLoop): Long =
         threads.allThreadIds
             .filter { threads.getThreadInfo(it)?.threadName?.startsWith("${loop.name}-") == true }
             .sumOf { threads.getThreadCpuTime(it) } / 1_000_000
@@ -97,14 +114,14 @@
         restarts: IntArray,
     ) = controllers.mapIndexed { i, controller ->
         val now = last.controllers[i]
-        val before = first.controllers[i]?.processorMs ?: 0L
-        // A process that was started anew has only its own time.
-        val usedMs = (now?.processorMs ?: 0L) - if (restarts[i] > 0) 0L else before
+        val before = first.controllers[i]?.cpuMs ?: 0L
+        // The CPU time of a restarted process begins at 0, so the time before the restart is not subtracted.
+        val usedMs = (now?.cpuMs ?: 0L) - if (restarts[i] > 0) 0L else before
         ControllerFigures(
             controller.place.host,
             usedMs / 1000.0 / seconds,
-            (now?.residentBytes ?: 0L) / BYTES_A_MB,
-            (now?.peakResidentBytes ?: 0L) / BYTES_A_MB,
+            (now?.residentBytes ?: 0L) / BYTES_PER_MB,
+            (now?.peakResidentBytes ?: 0L) / BYTES_PER_MB,
             restarts[i],
         )
     }
@@ -142,24 +159,26 @@
         StoredFigures(prefix, stored[prefix]?.count ?: 0, stored[prefix]?.bytes ?: 0, changes / seconds)
     }
 
-    /** What makes sums over the lines of all controllers rates of all of them together: each line tells of about one lease
-     * of one controller. */
-    private fun perSecond(usageLines: CpuUsageLines) =
-        controllers.size / (maxOf(1, usageLines.count) * leaseMs / 1000.0)
+    /**
+     * Returns the factor that turns a sum over the `cpu usage` lines of all controllers into a rate per second of all
+     * controllers together. Each line covers about one worker lease of one controller.
+     */
+    private fun perSecondFactor(usageLines: CpuUsageLines) =
+        controllers.size / (maxOf(1, usageLines.lineCount) * leaseMs / 1000.0)
 
     private fun cpuUsageShares(usageLines: CpuUsageLines) =
         usageLines.work.map { (kind, figures) ->
-            val factor = perSecond(usageLines)
+            val factor = perSecondFactor(usageLines)
             CpuUsageShare(kind, figures.count * factor, figures.totalMs / 1000.0 * factor, figures.longestMs)
         }
 
     private fun writeFigures(usageLines: CpuUsageLines) =
         usageLines.writes.map { (urgency, figures) ->
-            WriteFigures(urgency, figures.count * perSecond(usageLines), figures.longestMs)
+            WriteFigures(urgency, figures.count * perSecondFactor(usageLines), figures.longestMs)
         }
 
     private fun peerFigures(usageLines: CpuUsageLines): PeerFigures {
-        val factor = perSecond(usageLines)
+        val factor = perSecondFactor(usageLines)
         return PeerFigures(
             (usageLines.work["deltas"]?.count ?: 0L) * factor,
             usageLines.deltaBytesReceived * factor,
@@ -168,6 +187,6 @@
     }
 
     private companion object {
-        const val BYTES_A_MB = 1024.0 * 1024.0
+        const val BYTES_PER_MB = 1024.0 * 1024.0
     }
 }
--- a/src/main/kotlin/micatally/scale/MessageCounters.kt
+++ b/src/main/kotlin/micatally/scale/MessageCounters.kt
@@ -4,13 +4,21 @@
 import java.util.concurrent.ConcurrentHashMap
 import java.util.concurrent.atomic.LongAdder
 
-/** A kind of message on one interface, as `state txn` or `report /v1/report`. */
+/**
+ * A kind of message on one interface.
+ *
+ * @property name an operation such as `poll`, or the last segment of the request path, such as `txn`
+ */
 data class MessageKind(
     val peer: MessageObserver.Interface,
     val name: String,
 )
 
-/** Messages of one kind so far. */
+/**
+ * Number and size of the messages of one kind.
+ *
+ * @property refused requests without an answer, or with a status that does not count as a normal answer
+ */
 data class MessageCount(
     val requests: Long,
     val refused: Long,
@@ -30,7 +38,7 @@
     }
 }
 
-/** Counts messages and bodies' bytes by interface and kind. Safe on all loops at once. */
+/** Counts messages and the bytes of their bodies by interface and kind. Thread-safe. */
 class MessageCounters : MessageObserver {
     private class Counters {
         val requests = LongAdder()
@@ -51,9 +59,9 @@
         status: Int,
         answerBytes: Int,
     ) {
-        val counter = counters.computeIfAbsent(MessageKind(peer, nameOf(method, target))) { Counters() }
+        val counter = counters.computeIfAbsent(MessageKind(peer, kindName(method, target))) { Counters() }
         counter.requests.increment()
-        if (status !in ANSWERED) counter.refused.increment()
+        if (status !in NOT_REFUSED) counter.refused.increment()
         counter.requestBytes.add(requestBytes.toLong())
         counter.answerBytes.add(answerBytes.toLong())
     }
@@ -61,10 +69,13 @@
     fun counts(): Map<MessageKind, MessageCount> = counters.mapValues { (_, counter) -> counter.count() }
 
     private companion object {
-        /** Conditions that fail and jobs that are not there are answers too. */
-        val ANSWERED = setOf(200, 201, 404, 409, 410)
+        /**
+         * Statuses that don't count as refused. A transaction whose condition fails and a job that does not exist are
+         * normal answers too.
+         */
+        val NOT_REFUSED = setOf(200, 201, 404, 409, 410)
 
-        fun nameOf(
+        fun kindName(
             method: String,
             target: String,
         ): String {
--- a/src/main/kotlin/micatally/scale/RecoveryTimer.kt
+++ b/src/main/kotlin/micatally/scale/RecoveryTimer.kt
@@ -3,10 +3,11 @@
 import kotlinx.serialization.Serializable
 
 /**
- * How soon a run was served again after all controllers had been down; counted from the start of their processes.
+ * How long recovery took after all controllers had been down, in ms since their processes were started again. Both are
+ * null if that did not happen.
  *
- * @property firstAcceptedMs the first submission was accepted
- * @property firstStartMs the first task started on a machine
+ * @property firstAcceptedMs time until the first submission was accepted
+ * @property firstStartMs time until the first task started on a machine
  */
 @Serializable
 data class RecoveryFigures(
@@ -14,27 +15,27 @@
     val firstStartMs: Long? = null,
 )
 
-/** Takes the times of [RecoveryFigures]. Not safe on several threads at once: its user sees to that. */
+/** Measures the [RecoveryFigures]. Not thread-safe; the caller must synchronize. */
 class RecoveryTimer(
     private val nowMs: () -> Long,
 ) {
-    private var beganAtMs: Long? = null
+    private var startedAtMs: Long? = null
     var figures = RecoveryFigures()
         private set
 
-    /** The processes of all controllers start again. */
+    /** Starts the measurement anew; called when the processes of all controllers are about to start again. */
     fun begin() {
-        beganAtMs = nowMs()
+        startedAtMs = nowMs()
         figures = RecoveryFigures()
     }
 
-    fun accepted() {
-        val began = beganAtMs ?: return
-        if (figures.firstAcceptedMs == null) figures = figures.copy(firstAcceptedMs = nowMs() - began)
+    fun submissionAccepted() {
+        val startedAt = startedAtMs ?: return
+        if (figures.firstAcceptedMs == null) figures = figures.copy(firstAcceptedMs = nowMs() - startedAt)
     }
 
-    fun started() {
-        val began = beganAtMs ?: return
-        if (figures.firstStartMs == null) figures = figures.copy(firstStartMs = nowMs() - began)
+    fun taskStarted() {
+        val startedAt = startedAtMs ?: return
+        if (figures.firstStartMs == null) figures = figures.copy(firstStartMs = nowMs() - startedAt)
     }
 }
--- a/src/main/kotlin/micatally/scale/ScaleEnvironment.kt
+++ b/src/main/kotlin/micatally/scale/ScaleEnvironment.kt
@@ -13,13 +13,14 @@
 import kotlin.random.Random
 
 /**
- * All parts of one scale run: the event loops, the emulators, the controller processes and the load. Nothing but the
- * emulators' servers runs before the start functions are called; [close] ends everything, once or several times.
+ * All parts of one scale run: the event loops, the emulators, the controller processes and the load. The constructor
+ * starts only the servers of the emulators; the start functions start the rest. [close] ends everything and may be
+ * called more than once.
  *
- * The random generators have seeds of their own, derived from the scenario's, so that the draws of one part do not depend on
- * those of another.
+ * Each part has a random generator with its own seed, derived from the scenario's, so that the random numbers of one
+ * part don't depend on how many another part draws.
  *
- * @param command starts a controller; the settings file is appended
+ * @param command command line that starts a controller; the settings file is appended
  */
 internal class ScaleEnvironment(
     private val scenario: Scenario,
@@ -29,10 +30,10 @@
     private val stateLoop = EventLoop("state")
     private val userLoop = EventLoop("users")
 
-    /** Workers and cloud, state service, users: in this order. */
+    /** The loops of the workers and the cloud, of the state store and of the users, in this order. */
     val loops = listOf(workerLoop, stateLoop, userLoop)
 
-    /** Holds the settings files and the logs of the controllers. */
+    /** Temporary directory for the settings files and the logs of the controllers. */
     val directory: Path = Files.createTempDirectory("micatally-scale")
     val latencies = Latencies()
     val messageCounters = MessageCounters()
@@ -78,13 +79,16 @@
         )
     private val failureInjector =
         FailureInjector(workerLoop.scope, stateLoop.scope, fleet, controllers, Random(scenario.seed + 3)) {
-            history.controllersReturn()
+            history.controllersRestarting()
         }
 
-    /** How often each controller was started again, in the order of [controllers]. */
+    /** How often each controller was restarted, in the order of [controllers]. */
     val restarts get() = failureInjector.restarts
 
-    /** Each controller has a loopback address of its own: thousands of connections use up the ports of 127.0.0.1. */
+    /**
+     * Chooses hosts, zones and addresses of the controllers. Each controller has its own loopback address, because
+     * thousands of connections would use up the ports of 127.0.0.1.
+     */
     private fun choosePlaces(): List<ControllerPlace> {
         val network = "127.${Random.nextInt(1, 255)}.${Random.nextInt(1, 255)}"
         return List(scenario.controllers) {
@@ -103,7 +107,10 @@
         return file.toString()
     }
 
-    /** Stores the jobs of earlier days, and starts the controllers, the workers and the load balancer's health checks. */
+    /**
+     * Stores the records of jobs that finished before the run, then starts the controllers, the workers and the health
+     * checks of the load balancer.
+     */
     fun start() {
         fleet.state.preload(scenario.buildFinishedJobRecords(jobs, places.map { it.host }))
         fleet.controllers = places.associate { it.host to it.listen }
@@ -112,6 +119,7 @@
         userLoop.scope.launch { balancer.start() }
     }
 
+    /** Starts the workers of each type, spread evenly over the zones. */
     private fun startWorkers() {
         workerLoop.scope.launch {
             for ((type, machineType) in scenario.workers.types.zip(machineTypes)) {
@@ -128,24 +136,27 @@
         userLoop.scope.launch { userLoad.start(jobs) }
     }
 
-    /** Starts what belongs to the measured part alone: failures and changes of the configuration. */
-    fun startDisturbances() {
+    /** Starts the failures and the configuration changes, which happen only in the measured part of a run. */
+    fun startFailuresAndChanges() {
         failureInjector.start(scenario.failures)
         scenario.configuration?.let { plan -> userLoop.scope.launch { configuration.start(plan) } }
     }
 
-    /** What the state service holds, by prefix; read on its own loop, for which the calling thread waits. */
+    /**
+     * Returns what the state store holds, by key prefix. Read on the store's own loop; the calling thread waits for it.
+     */
     fun readStoredKeys() =
         runBlocking { withContext(stateLoop.scope.coroutineContext) { fleet.state.storedByPrefix() } }
 
-    /** Ends the load: no new jobs from now on, and users cancel their services. */
+    /** Ends the load: users submit no more jobs and cancel their services. */
     fun endLoad() {
         userLoad.isEnding = true
     }
 
     /**
-     * Ends the load and every controller, by its own process id; may be called from any thread, also during a run. The loops
-     * are closed first: they carry failures that start controllers again, and those would run on beside the next run.
+     * Ends the load and kills every controller process. May be called from any thread, also during a run. Deletes
+     * [directory] unless a rule was broken. The loops are closed first: the failure injector on them could otherwise
+     * restart a controller, which would still run during the next run.
      */
     override fun close() {
         for (loop in loops) loop.close()
--- a/src/main/kotlin/micatally/scale/ScaleFleet.kt
+++ b/src/main/kotlin/micatally/scale/ScaleFleet.kt
@@ -18,13 +18,16 @@
 private const val CLOUD_RPS = 12.0
 private const val CACHE_GB = 400.0
 
-/** Boot time that the cloud states; it paces the replacement of machines, so that a run keeps the workers it was asked for. */
+/**
+ * Boot time that the cloud states, in seconds. Controllers derive from it how long they wait before they return or
+ * replace machines. A long boot time therefore keeps the number of workers that the run was asked for.
+ */
 private const val STATED_BOOT_SECONDS = 600.0
 
-/** Connections of the emulators besides two of each worker. */
+/** Connections that the emulators may have in addition to two for each worker. */
 private const val EMULATOR_CONNECTIONS = 1000
 
-/** Jobs that finished before the run have numbers far above those of the run itself. */
+/** Number in the id of the first job that finished before the run; far above the job numbers of the run itself. */
 private const val FIRST_FINISHED_JOB = 500_000_000
 private const val TASKS_OF_FINISHED_JOB = 40
 
@@ -34,11 +37,11 @@
 /** Time in milliseconds within which the tasks of a cancelled job have to be gone. */
 internal val Scenario.cancelMs get() = (workers.cancelSeconds * MS_PER_SECOND).toLong()
 
-/** The teams of the scenario, all with the same quota. */
+/** Builds the teams of the scenario, all with the same quota. */
 internal fun Scenario.buildTeams(): List<Team> =
     List(teams.count) { Team(JobPlan.teamName(it), teams.cores, teams.coresMax, teams.gpus, teams.gpusMax) }
 
-/** The machine types of the scenario in its order; each is offered in all zones. */
+/** Builds the machine types in the order of the scenario. Each type is offered in all zones. */
 internal fun Scenario.buildMachineTypes(): List<MachineType> =
     workers.types.map {
         MachineType(
@@ -53,7 +56,7 @@
         )
     }
 
-/** The emulated fleet, cloud and state service that the scenario describes. */
+/** Builds the plan of the emulated workers, cloud and state store from the scenario. */
 internal fun Scenario.buildFleetPlan(
     machineTypes: List<MachineType>,
     teams: List<Team>,
@@ -84,9 +87,12 @@
 }
 
 /**
- * Stored records of jobs that finished days before the run, as controllers leave them; by key of the state service.
+ * Builds the records of jobs that finished before the run, in the form in which controllers store them, by their key in
+ * the state store.
  *
- * @param hosts the controllers, which led the shards of these jobs in turn
+ * @param jobs the jobs of the run; the first one's submission stands in for those of the finished jobs and is not
+ * stored
+ * @param hosts the controllers, whose shards the jobs are assigned to in turn
  */
 internal fun Scenario.buildFinishedJobRecords(
     jobs: List<PlannedJob>,
--- a/src/main/kotlin/micatally/scale/ScaleReport.kt
+++ b/src/main/kotlin/micatally/scale/ScaleReport.kt
@@ -4,7 +4,7 @@
 import kotlinx.serialization.Serializable
 import java.util.Locale
 
-/** What a run was started with; the same values repeat it. */
+/** The parameters of a run. A run that is started with the same parameters has the same load. */
 @Serializable
 data class RunParameters(
     val scenario: String,
@@ -15,7 +15,12 @@
     val measuredSeconds: Double,
 )
 
-/** What the fleet did during the measured part. */
+/**
+ * What the fleet did during the measured part of a run.
+ *
+ * @property tasksInterrupted tasks that left a machine before they had completed, without a cancellation of their job
+ * @property jobsNotEnded accepted jobs that were neither done nor cancelled when the run ended
+ */
 @Serializable
 data class LoadFigures(
     val startsPerSecond: Double,
@@ -23,13 +28,12 @@
     val jobsAccepted: Int,
     val jobsNotEnded: Int,
     val workersAtEnd: Int,
-    /** Tasks that left a machine before they had completed, though nobody had cancelled their job. */
     val tasksInterrupted: Int = 0,
     val recovery: RecoveryFigures = RecoveryFigures(),
     val brokenRule: String? = null,
 )
 
-/** A controller process: its processor time as a share of a core, and its memory. */
+/** CPU time of a controller process as a share of one core, its memory in MB, and how often it was restarted. */
 @Serializable
 data class ControllerFigures(
     val host: String,
@@ -39,7 +43,7 @@
     val restarts: Int,
 )
 
-/** Messages of one kind on one interface, all senders together. */
+/** Rates of the messages of one kind on one interface, summed over all senders. */
 @Serializable
 data class MessageFigures(
     val peer: String,
@@ -50,7 +54,7 @@
     val answerBytesPerSecond: Double,
 )
 
-/** What the state service holds under one prefix and how fast it changes. */
+/** Keys and bytes that the state store holds under one prefix, and the rate of changes there. */
 @Serializable
 data class StoredFigures(
     val prefix: String,
@@ -59,7 +63,7 @@
     val changesPerSecond: Double,
 )
 
-/** One kind of work of all controllers, from their own `effort` lines. */
+/** CPU usage of one kind of work, summed over all controllers, from the `cpu usage` lines in their logs. */
 @Serializable
 data class CpuUsageShare(
     val kind: String,
@@ -68,7 +72,7 @@
     val longestMs: Long,
 )
 
-/** Writes of one urgency of all controllers, from their own `effort` lines. */
+/** Writes of one urgency to the state store, summed over all controllers, from the `cpu usage` lines in their logs. */
 @Serializable
 data class WriteFigures(
     val urgency: String,
@@ -76,7 +80,7 @@
     val longestWaitMs: Long,
 )
 
-/** News between controllers, all links together. */
+/** Deltas between controllers, summed over all pairs, from the `cpu usage` lines in their logs. */
 @Serializable
 data class PeerFigures(
     val messagesPerSecond: Double,
@@ -84,7 +88,7 @@
     val answerBytesPerSecond: Double,
 )
 
-/** The emulators' own processor time, by loop: how much of the machine the experiment itself took. */
+/** CPU time of one emulator event loop as a share of one core: the cost of the run's own infrastructure. */
 @Serializable
 data class EmulatorFigures(
     val loop: String,
@@ -108,11 +112,13 @@
     val controllerCoreShare get() = controllers.map { it.coreShare }.average()
     val controllerResidentMb get() = controllers.map { it.residentMb }.average()
 
+    /** Returns the messages per second on the interface [peer]; of all kinds if [kind] is null. */
     fun perSecond(
         peer: String,
         kind: String? = null,
     ) = messages.filter { it.peer == peer && (kind == null || it.kind == kind) }.sumOf { it.perSecond }
 
+    /** Returns the bytes of requests and answers per second on the interface [peer]; of all kinds if [kind] is null. */
     fun bytesPerSecond(
         peer: String,
         kind: String? = null,
@@ -123,7 +129,7 @@
     val changesPerSecond get() = stored.sumOf { it.changesPerSecond }
 }
 
-/** Writes a report as tables in Markdown, as `docs/CAPACITY.md` carries them. */
+/** Formats a report as Markdown tables, as used in `docs/CAPACITY.md`. */
 object ReportTable {
     fun of(report: ScaleReport): String =
         buildString {
--- a/src/main/kotlin/micatally/scale/ScaleRun.kt
+++ b/src/main/kotlin/micatally/scale/ScaleRun.kt
@@ -2,21 +2,21 @@
 
 import java.nio.file.Path
 
-/** The run could not be carried out; says nothing about whether a rule was broken. */
+/** The controllers did not become healthy, so the load was not started and no rule was checked. */
 class ScaleRunFailed(
     message: String,
 ) : Exception(message)
 
-/** Receives a line on the progress of a run every few seconds. */
+/** Receives a line about the progress of a run every few seconds. */
 fun interface ProgressLog {
     fun line(text: String)
 }
 
 /**
- * One scale run: controllers as processes of the packaged program, everything else as emulators in this process, on
- * loopback only. [close] ends every process that it starts.
+ * One scale run. The controllers run as separate processes of the packaged program; everything else is emulated in this
+ * process. All connections are on loopback. [close] ends every process that the run has started.
  *
- * @param command starts a controller; the settings file is appended
+ * @param command command line that starts a controller; the settings file is appended
  */
 class ScaleRun(
     private val name: String,
@@ -33,7 +33,7 @@
     /** The first broken rule; null if none is broken. */
     val violation get() = history.violation
 
-    /** Where the logs of the controllers are kept after a broken rule. */
+    /** Directory with the logs of the controllers. [close] deletes it unless a rule was broken. */
     val logDirectory: Path get() = environment.directory
 
     /**
@@ -57,9 +57,9 @@
             )
         runPhase("warm-up", scenario.warmupSeconds)
         measurement.begin()
-        environment.startDisturbances()
+        environment.startFailuresAndChanges()
         runPhase("measured", scenario.seconds)
-        val report = measurement.end(origin(), environment.restarts, environment.readStoredKeys())
+        val report = measurement.end(runParameters(), environment.restarts, environment.readStoredKeys())
         environment.endLoad()
         drain()
         return report.copy(
@@ -71,22 +71,23 @@
         )
     }
 
-    private fun origin() =
+    private fun runParameters() =
         RunParameters(name, scenario.seed, scenario.workerCount, scenario.controllers, scenario.teams.count, 0.0)
 
+    /** Blocks until all controllers are healthy. */
     private fun awaitHealthy() {
-        val deadlineNs = System.nanoTime() + HEALTHY_SECONDS * NS_PER_SECOND
+        val deadlineNs = System.nanoTime() + HEALTHY_TIMEOUT_SECONDS * NS_PER_SECOND
         while (balancer.healthyCount < controllers.size) {
             controllers.find { !it.isAlive }?.let {
                 throw ScaleRunFailed(
-                    "${it.place.host} has ended; see $logDirectory",
+                    "controller ${it.place.host} has ended before all controllers were healthy; see $logDirectory",
                 )
             }
             if (System.nanoTime() > deadlineNs) {
                 val healthy = "${balancer.healthyCount} of ${controllers.size} controllers"
-                throw ScaleRunFailed("only $healthy are healthy after $HEALTHY_SECONDS s")
+                throw ScaleRunFailed("only $healthy are healthy after $HEALTHY_TIMEOUT_SECONDS s")
             }
-            Thread.sleep(STEP_MS)
+            Thread.sleep(CHECK_INTERVAL_MS)
         }
     }
 
@@ -95,49 +96,52 @@
         phase: String,
         seconds: Int,
     ) {
-        watch(seconds, { true }) { secondsLeft ->
+        checkRules(seconds, { true }) { secondsLeft ->
             "$phase, $secondsLeft s left: ${fleet.cloud.count()} workers, ${balancer.healthyCount} of " +
                 "${controllers.size} controllers healthy, ${history.acceptedCount} jobs accepted, " +
                 "${history.tasksRunning} tasks running, ${history.starts} starts"
         }
     }
 
-    /** Waits until all accepted jobs have ended; it breaks a rule if they do not in time. */
+    /** Waits until all accepted jobs have ended. Records a broken rule if some have not ended in time. */
     private fun drain() {
-        watch(scenario.drainSeconds, { history.openJobs.isNotEmpty() }) {
+        checkRules(scenario.drainSeconds, { history.openJobs.isNotEmpty() }) {
             "ending: ${history.openJobs.size} jobs are left, ${history.tasksRunning} tasks running"
         }
         if (violation == null) history.checkAllEnded()
     }
 
     /**
-     * Checks the rules for [seconds], or until one is broken or [shouldContinue] returns false.
+     * Checks the rules every [CHECK_INTERVAL_MS] ms for [seconds], or until one is broken or [shouldContinue] returns
+     * false.
      *
-     * @param progressLine what to report, given the seconds that are left
+     * @param progressLine returns the line for the progress log, given the seconds that are left
      */
-    private fun watch(
+    private fun checkRules(
         seconds: Int,
         shouldContinue: () -> Boolean,
         progressLine: (secondsLeft: Long) -> String,
     ) {
         val deadlineNs = System.nanoTime() + seconds * NS_PER_SECOND
-        var nextLineNs = 0L
+        var nextProgressNs = 0L
         while (System.nanoTime() < deadlineNs && violation == null && shouldContinue()) {
-            Thread.sleep(STEP_MS)
-            history.check()
-            if (System.nanoTime() < nextLineNs) continue
-            nextLineNs = System.nanoTime() + LINE_SECONDS * NS_PER_SECOND
+            Thread.sleep(CHECK_INTERVAL_MS)
+            history.checkCancelledTasks()
+            if (System.nanoTime() < nextProgressNs) continue
+            nextProgressNs = System.nanoTime() + PROGRESS_INTERVAL_SECONDS * NS_PER_SECOND
             progress.line(progressLine((deadlineNs - System.nanoTime()) / NS_PER_SECOND))
         }
     }
 
-    /** Ends the load and every controller process; may be called from any thread, also during [run], and more than once. */
+    /**
+     * Ends the load and every controller process. May be called from any thread, also during [run], and more than once.
+     */
     override fun close() = environment.close()
 
     private companion object {
         const val NS_PER_SECOND = 1_000_000_000L
-        const val STEP_MS = 250L
-        const val LINE_SECONDS = 5L
-        const val HEALTHY_SECONDS = 60L
+        const val CHECK_INTERVAL_MS = 250L
+        const val PROGRESS_INTERVAL_SECONDS = 5L
+        const val HEALTHY_TIMEOUT_SECONDS = 60L
     }
 }
--- a/src/main/kotlin/micatally/scale/Scenario.kt
+++ b/src/main/kotlin/micatally/scale/Scenario.kt
@@ -3,22 +3,25 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** A scenario that can't be read or makes no sense; the text names the key. */
+/** A scenario or a deploy file can't be read or has an invalid value. The message names the key or the file. */
 class ScenarioError(
     message: String,
     cause: Throwable? = null,
 ) : Exception(message, cause)
 
 /**
- * What one scale run consists of. All times are in seconds.
+ * The definition of a scale run, as read from a TOML file. All times are in seconds.
  *
- * @property seed the same seed gives the same load
+ * @property seed seed of the random generators; the same seed gives the same load
  * @property seconds length of the measured part
- * @property warmupSeconds load before the measurement begins
- * @property storedJobs jobs of earlier days that the state service holds from the start, all done
- * @property archive whether records of jobs that are over are kept apart, those of [storedJobs] from the start
+ * @property warmupSeconds length of the load before the measured part
+ * @property drainSeconds how long accepted jobs may take to end after the load has ended
+ * @property storedJobs number of done jobs whose records are in the state store when the run starts
+ * @property archive whether the controllers keep records of jobs that are over apart from those of open jobs; the
+ * records of [storedJobs] are then stored that way from the start
+ * @property controllers number of controllers
  * @property controllerSockets `max_sockets` in the settings of the controllers
- * @property drainSeconds how long accepted work may take to end after the last submission
+ * @property configuration changes of the configuration during the measured part; null if there are none
  */
 @Serializable
 data class Scenario(
@@ -42,7 +45,14 @@
     val workerCount get() = workers.types.sumOf { it.count }
 }
 
-/** Workers and their times, see the protocol's `report_s`, `lease_s` and `cancel_s`. */
+/**
+ * The workers and their times in seconds.
+ *
+ * @property reportSeconds time between two heartbeats, `report_s` in the settings
+ * @property leaseSeconds worker lease, `lease_s` in the settings
+ * @property cancelSeconds time within which the tasks of a cancelled job have to be gone, `cancel_s` in the settings
+ * @property bootSeconds time that the emulated cloud takes to boot a machine
+ */
 @Serializable
 data class WorkerPlan(
     val reportSeconds: Double,
@@ -52,7 +62,7 @@
     val types: List<WorkerTypePlan>,
 )
 
-/** Machines of one type, spread evenly over the zones. */
+/** Workers on machines of one type, spread evenly over the zones; [count] is the number in all zones together. */
 @Serializable
 data class WorkerTypePlan(
     val name: String,
@@ -63,7 +73,14 @@
     val pullGbPerSecond: Double = 2.0,
 )
 
-/** Teams that are all alike; 0 means no guarantee or no limit. */
+/**
+ * The number of teams and the quota that each of them has.
+ *
+ * @property cores guaranteed cores; 0 means no guarantee
+ * @property coresMax limit of cores; 0 means no limit
+ * @property gpus guaranteed GPUs; 0 means no guarantee
+ * @property gpusMax limit of GPUs; 0 means no limit
+ */
 @Serializable
 data class TeamPlan(
     val count: Int,
@@ -73,7 +90,12 @@
     @SerialName("cardsMax") val gpusMax: Double = 0.0,
 )
 
-/** The limits of the state service, which its emulator enforces. */
+/**
+ * The limits of the state store, which its emulator enforces.
+ *
+ * @property valueKb largest value in KiB
+ * @property transactionOperations most operations of one transaction
+ */
 @Serializable
 data class StateServicePlan(
     val requestsPerSecond: Double,
@@ -82,22 +104,29 @@
     val transactionOperations: Int = 48,
 )
 
-/** How often users ask for a job that is not over. */
+/** How often a user polls the status of a job that is neither done nor cancelled. */
 @Serializable
 data class UserPlan(
     val pollSeconds: Double = 5.0,
 )
 
-/** Jobs that are alike.
+/**
+ * A class of jobs with the same properties.
  *
- * @property format the protocol's word: sweep or daemon
- * @property runSeconds of one task of a sweep, on average
- * @property runSpread how far a task's time may be from that, as a share of it
- * @property atStart jobs that come evenly over the first half of the warm-up
- * @property perSecond jobs a second from the beginning to the end
- * @property urgent its starts are measured apart
- * @property cancelAfterSeconds when the user cancels; null: never before the end of the run
- * @property cancelShare share of the jobs that are cancelled then
+ * @property format the protocol's word for the format: `sweep` (an array) or `daemon` (a service)
+ * @property priority the protocol's word for the priority
+ * @property tasks number of tasks of each job
+ * @property cores cores of each task
+ * @property images number of different images; each job uses one of them
+ * @property runSeconds mean run time of a task of an array
+ * @property runSpread maximum deviation of a task's run time from [runSeconds], as a fraction of it
+ * @property atStart number of jobs submitted at random times in the first half of the warm-up
+ * @property perSecond mean number of jobs submitted per second during warm-up and measured part
+ * @property urgent whether the start latencies of its tasks are measured separately
+ * @property spreadOverZones whether a zone may hold at most half of the tasks of a job, rounded up
+ * @property cancelAfterSeconds time from the submission to the cancellation by the user; null if jobs are not cancelled
+ * during the load
+ * @property cancelShare share of the jobs that are cancelled after that time
  */
 @Serializable
 data class JobClassPlan(
@@ -120,7 +149,15 @@
     val cancelShare: Double = 0.0,
 )
 
-/** Something that fails [atSecond] of the measured part, for [forSeconds] where it comes back. */
+/**
+ * A failure during the measured part.
+ *
+ * @property kind one of [KINDS]
+ * @property atSecond when it begins, in seconds from the start of the measured part
+ * @property forSeconds how long it lasts; 0 for [WORKERS] and [ZONE] means that the machines are lost for good
+ * @property count number of workers or controllers that fail, chosen at random
+ * @property zone the zone that fails
+ */
 @Serializable
 data class FailurePlan(
     val kind: String,
@@ -130,25 +167,27 @@
     val zone: String? = null,
 ) {
     companion object {
-        /** Machines end with all that is on them. */
+        /** Machines are lost with all their tasks; they only hang if the failure has a length. */
         const val WORKERS = "workers"
 
-        /** All machines of a zone end. */
+        /** The same happens to all machines of a zone. */
         const val ZONE = "zone"
 
-        /** Controllers are killed and started again. */
+        /** Controllers are killed and started again after the length of the failure. */
         const val CONTROLLERS = "controllers"
 
-        /** The state service answers 503. */
+        /** The state store answers each request with 503. */
         const val STATE_OUTAGE = "state-outage"
         val KINDS = listOf(WORKERS, ZONE, CONTROLLERS, STATE_OUTAGE)
     }
 }
 
-/** Changes of teams while the run goes on.
+/**
+ * Changes of the teams' limits during the measured part.
  *
- * @property perSecond changes a second, each of one team
- * @property burstAtSecond when all teams are changed within one second; null: never
+ * @property perSecond changes per second, each of one random team
+ * @property burstAtSecond start of the second in which all teams are changed, from the start of the measured part; null
+ * for no such burst
  */
 @Serializable
 data class ConfigurationPlan(
--- a/src/main/kotlin/micatally/scale/ScenarioFile.kt
+++ b/src/main/kotlin/micatally/scale/ScenarioFile.kt
@@ -15,17 +15,22 @@
 import java.nio.file.Files
 import java.nio.file.Path
 
-/** Reads scenarios: TOML files, or those that come with the program. */
+/** Reads and checks scenarios, from TOML files or from the resources of the program. */
 object ScenarioFile {
-    /** The scenarios that come with the program. */
+    /** Names of the scenarios that are part of the program. */
     val BUNDLED = listOf("target", "machines", "restart", "failures", "today", "smoke")
 
-    /** @param name a scenario that comes with the program, or a file */
+    /**
+     * Reads and checks a scenario.
+     *
+     * @param name one of [BUNDLED], or the path of a TOML file
+     * @throws ScenarioError if the scenario can't be read or is not valid
+     */
     fun load(name: String): Scenario = parse(text(name))
 
     private fun text(name: String): String {
         if (name in BUNDLED) {
-            val resource = checkNotNull(javaClass.getResourceAsStream("/scale/$name.toml")) { "scenario $name is lost" }
+            val resource = checkNotNull(javaClass.getResourceAsStream("/scale/$name.toml")) { "no resource $name.toml" }
             return resource.use { it.readBytes().decodeToString() }
         }
         try {
@@ -35,6 +40,11 @@
         }
     }
 
+    /**
+     * Parses and checks the text of a scenario.
+     *
+     * @throws ScenarioError if it is not valid
+     */
     fun parse(toml: String): Scenario {
         val tree =
             try {
@@ -42,7 +52,7 @@
             } catch (e: JsonProcessingException) {
                 throw ScenarioError("not TOML: ${e.originalMessage}", e)
             }
-        checkNames(tree, Scenario.serializer().descriptor, "")
+        checkKeys(tree, Scenario.serializer().descriptor, "")
         val scenario =
             try {
                 Json.decodeFromJsonElement<Scenario>(tree)
@@ -55,8 +65,8 @@
         return scenario
     }
 
-    /** Refuses keys that the scenario does not have, with the name that was probably meant. */
-    private fun checkNames(
+    /** Throws an error for a key that the scenario does not have; the message suggests the most similar known key. */
+    private fun checkKeys(
         element: JsonElement,
         descriptor: SerialDescriptor,
         path: String,
@@ -65,18 +75,18 @@
             is JsonObject ->
                 for ((name, value) in element) {
                     val index = descriptor.getElementIndex(name)
-                    if (index < 0) throw unknown(path + name, name, descriptor)
-                    checkNames(value, descriptor.getElementDescriptor(index), "$path$name.")
+                    if (index < 0) throw unknownKey(path + name, name, descriptor)
+                    checkKeys(value, descriptor.getElementDescriptor(index), "$path$name.")
                 }
             is JsonArray ->
                 for ((i, value) in element.withIndex()) {
-                    checkNames(value, descriptor.getElementDescriptor(0), "${path.removeSuffix(".")}[$i].")
+                    checkKeys(value, descriptor.getElementDescriptor(0), "${path.removeSuffix(".")}[$i].")
                 }
             else -> {}
         }
     }
 
-    private fun unknown(
+    private fun unknownKey(
         path: String,
         name: String,
         descriptor: SerialDescriptor,
@@ -86,21 +96,22 @@
     }
 }
 
-/** Checks that a scenario's values make sense together. */
+/** Checks the values of a scenario, each by itself and together. */
 internal object ScenarioCheck {
     private val FORMATS = listOf("sweep", "daemon")
     private val PRIORITIES = listOf("production", "high", "standard", "low")
 
+    /** @throws ScenarioError if a value is not valid; the message names its key */
     fun check(scenario: Scenario) {
-        require(scenario.seconds in 1..MOST_SECONDS) { "seconds must be from 1 to $MOST_SECONDS" }
-        require(scenario.warmupSeconds in 0..MOST_SECONDS) { "warmupSeconds must be from 0 to $MOST_SECONDS" }
-        require(scenario.drainSeconds in 0..MOST_SECONDS) { "drainSeconds must be from 0 to $MOST_SECONDS" }
-        require(scenario.controllers in 1..MOST_CONTROLLERS) { "controllers must be from 1 to $MOST_CONTROLLERS" }
-        require(scenario.storedJobs in 0..MOST_STORED_JOBS) { "storedJobs must be from 0 to $MOST_STORED_JOBS" }
+        require(scenario.seconds in 1..MAX_SECONDS) { "seconds must be from 1 to $MAX_SECONDS" }
+        require(scenario.warmupSeconds in 0..MAX_SECONDS) { "warmupSeconds must be from 0 to $MAX_SECONDS" }
+        require(scenario.drainSeconds in 0..MAX_SECONDS) { "drainSeconds must be from 0 to $MAX_SECONDS" }
+        require(scenario.controllers in 1..MAX_CONTROLLERS) { "controllers must be from 1 to $MAX_CONTROLLERS" }
+        require(scenario.storedJobs in 0..MAX_STORED_JOBS) { "storedJobs must be from 0 to $MAX_STORED_JOBS" }
         require(scenario.zones.isNotEmpty()) { "zones must not be empty" }
-        require(scenario.workerCount >= 1) { "workers must be at least 1 in all" }
-        require(scenario.controllerSockets >= LEAST_SOCKETS) { "controllerSockets must be at least $LEAST_SOCKETS" }
-        require(scenario.teams.count in 1..MOST_TEAMS) { "teams.count must be from 1 to $MOST_TEAMS" }
+        require(scenario.workerCount >= 1) { "the counts of workers.types must add up to at least 1" }
+        require(scenario.controllerSockets >= MIN_SOCKETS) { "controllerSockets must be at least $MIN_SOCKETS" }
+        require(scenario.teams.count in 1..MAX_TEAMS) { "teams.count must be from 1 to $MAX_TEAMS" }
         require(scenario.users.pollSeconds > 0) { "users.pollSeconds must be above 0" }
         require(scenario.stateService.requestsPerSecond > 0 && scenario.stateService.writesPerSecond > 0) {
             "stateService.requestsPerSecond and writesPerSecond must be above 0"
@@ -123,7 +134,9 @@
         require(jobs.format in FORMATS) { "jobs $name: format must be one of ${FORMATS.joinToString(", ")}" }
         require(jobs.priority in PRIORITIES) { "jobs $name: priority must be one of ${PRIORITIES.joinToString(", ")}" }
         require(jobs.tasks > 0 && jobs.images > 0) { "jobs $name: tasks and images must be above 0" }
-        require(jobs.cores >= 0 && jobs.gpus >= 0 && jobs.ramGb >= 0) { "jobs $name: amounts must not be negative" }
+        require(jobs.cores >= 0 && jobs.gpus >= 0 && jobs.ramGb >= 0) {
+            "jobs $name: cores, cards and ramGb must not be negative"
+        }
         require(jobs.atStart >= 0 && jobs.perSecond >= 0) { "jobs $name: atStart and perSecond must not be negative" }
         require(jobs.cancelShare in 0.0..1.0) { "jobs $name: cancelShare must be from 0 to 1" }
         require(jobs.runSpread in 0.0..1.0) { "jobs $name: runSpread must be from 0 to 1" }
@@ -147,9 +160,9 @@
         if (!holds) throw ScenarioError(message())
     }
 
-    private const val MOST_SECONDS = 3600
-    private const val MOST_CONTROLLERS = 11
-    private const val LEAST_SOCKETS = 100
-    private const val MOST_TEAMS = 1000
-    private const val MOST_STORED_JOBS = 1_000_000
+    private const val MAX_SECONDS = 3600
+    private const val MAX_CONTROLLERS = 11
+    private const val MIN_SOCKETS = 100
+    private const val MAX_TEAMS = 1000
+    private const val MAX_STORED_JOBS = 1_000_000
 }
--- a/src/main/kotlin/micatally/scale/Sweep.kt
+++ b/src/main/kotlin/micatally/scale/Sweep.kt
@@ -13,10 +13,15 @@
     val teams: Int,
 )
 
-/** What is varied along one axis while the other two stay. */
+/**
+ * One of the three sizes that a sweep varies while the other two stay the same.
+ *
+ * @property label its name in the report
+ * @property inputOf returns the value of this size
+ */
 enum class SweepAxis(
     val label: String,
-    val of: (SweepSize) -> Int,
+    val inputOf: (SweepSize) -> Int,
 ) {
     WORKERS("worker", { it.workers }),
     CONTROLLERS("controller", { it.controllers }),
@@ -24,11 +29,16 @@
 }
 
 /**
- * A straight line through one figure along one axis.
+ * A straight line fitted to one figure of several runs along one axis.
  *
+ * @property axis label of a [SweepAxis]
+ * @property figure name of the figure
  * @property slope change of the figure for one more worker, controller or team
  * @property goodness share of the figure's variance that the line explains (R squared)
- * @property exponent of the power law through the same points; above 1 the figure grows faster than its input
+ * @property intercept value of the line at 0
+ * @property exponent exponent of the power law fitted to the same points, 0 if too few of them are above 0; above 1 the
+ * figure grows faster than its input
+ * @property growsFaster whether the exponent is clearly above 1 and the line rises
  */
 @Serializable
 data class FittedSlope(
@@ -41,19 +51,19 @@
     val growsFaster: Boolean,
 )
 
-/** The runs of a sweep and what they show. */
+/** The reports of the runs of a sweep, and the lines fitted to their figures. */
 @Serializable
 data class SweepReport(
     val reports: List<ScaleReport>,
     val slopes: List<FittedSlope>,
 )
 
-/** Scales a scenario to other sizes, and fits lines through the figures of its runs. */
+/** Scales a scenario to other sizes, and fits lines to the figures of its runs. */
 object Sweep {
     /**
-     * The same scenario at another size: jobs come in proportion to the workers.
+     * Returns the scenario at another size. The numbers of jobs change in proportion to the workers.
      *
-     * @throws ScenarioError if it is too large or too small
+     * @throws ScenarioError if the size is too large or too small
      */
     fun scaled(
         scenario: Scenario,
@@ -75,32 +85,36 @@
         return scaled.also { ScenarioCheck.check(it) }
     }
 
-    /** The runs in which only [axis] differs from [base], with the base itself. */
+    /**
+     * Fits a line to each figure along [axis], from the run of size [base] and the runs that differ from it in that
+     * axis only. Returns an empty list for fewer than [MIN_RUNS] runs.
+     */
     fun fit(
         reports: Map<SweepSize, ScaleReport>,
         base: SweepSize,
         axis: SweepAxis,
     ): List<FittedSlope> {
         val others = SweepAxis.entries - axis
-        val along = reports.filterKeys { size -> others.all { it.of(size) == it.of(base) } }
-        if (along.size < LEAST_RUNS) return emptyList()
+        val axisReports = reports.filterKeys { size -> others.all { it.inputOf(size) == it.inputOf(base) } }
+        if (axisReports.size < MIN_RUNS) return emptyList()
         return FIGURES.map { (name, figure) ->
-            fitted(axis, name, along.map { (size, report) -> axis.of(size) to figure(report) })
+            fitLine(axis, name, axisReports.map { (size, report) -> axis.inputOf(size) to figure(report) })
         }
     }
 
-    private fun fitted(
+    /** @param points the size and the figure of each run */
+    private fun fitLine(
         axis: SweepAxis,
         name: String,
         points: List<Pair<Int, Double>>,
     ): FittedSlope {
         val line = SimpleRegression()
-        val power = SimpleRegression()
+        val powerLaw = SimpleRegression()
         for ((input, value) in points) {
             line.addData(input.toDouble(), value)
-            if (value > 0) power.addData(ln(input.toDouble()), ln(value))
+            if (value > 0) powerLaw.addData(ln(input.toDouble()), ln(value))
         }
-        val exponent = if (power.n >= LEAST_RUNS) power.slope else 0.0
+        val exponent = if (powerLaw.n >= MIN_RUNS) powerLaw.slope else 0.0
         return FittedSlope(
             axis.label,
             name,
@@ -108,11 +122,11 @@
             line.intercept,
             line.rSquare.takeUnless { it.isNaN() } ?: 1.0,
             exponent,
-            exponent > FASTER_THAN_INPUT && line.slope > 0,
+            exponent > FASTER_GROWTH_EXPONENT && line.slope > 0,
         )
     }
 
-    /** The figures that lines are fitted through. */
+    /** The figures to which lines are fitted, by their names in the report. */
     private val FIGURES: Map<String, (ScaleReport) -> Double> =
         mapOf(
             "controller, share of a core" to { it.controllerCoreShare },
@@ -132,10 +146,12 @@
             "team changes a second" to { r -> r.stored.filter { it.prefix == "c/team" }.sumOf { it.changesPerSecond } },
         )
 
-    private const val LEAST_RUNS = 3
-    private const val FASTER_THAN_INPUT = 1.1
+    private const val MIN_RUNS = 3
+
+    /** An exponent above this counts as growth faster than the input. */
+    private const val FASTER_GROWTH_EXPONENT = 1.1
 
-    /** The slopes as a table in Markdown. */
+    /** Formats the slopes as a Markdown table. */
     fun table(report: SweepReport): String =
         buildString {
             appendLine("| figure | for one more | slope | at 0 | R squared | exponent | |")
--- a/src/main/kotlin/micatally/scale/UserLoad.kt
+++ b/src/main/kotlin/micatally/scale/UserLoad.kt
@@ -13,7 +13,10 @@
 import micatally.wire.textOrNull
 import kotlin.random.Random
 
-/** Users who submit the planned jobs, ask for them and cancel some. All run on the loop of [scope]. */
+/**
+ * Emulates users who submit the planned jobs, poll their status and cancel some of them. All run on the loop of
+ * [scope].
+ */
 class UserLoad(
     private val scope: CoroutineScope,
     private val http: HttpCaller,
@@ -25,41 +28,51 @@
     private val random: Random,
     private val nowMs: () -> Long,
 ) {
-    /** Set when the load is over: nothing new is submitted, and services are cancelled. */
+    /** Set to end the load: no more jobs are submitted, and the users cancel their services. */
     @Volatile
     var isEnding = false
 
+    /**
+     * An answer to a user.
+     *
+     * @property status HTTP status; 0 if there was no answer
+     * @property jobStatus job status in the body; null if there is none
+     */
     private class Answer(
         val status: Int,
-        val word: String?,
+        val jobStatus: String?,
         val sentAtMs: Long,
     )
 
+    /** Starts the users of [jobs], each of which submits its job at the planned time from now. */
     fun start(jobs: List<PlannedJob>) {
-        val beganMs = nowMs()
+        val beganAtMs = nowMs()
         for (job in jobs) {
             scope.launch {
-                delay(beganMs + job.atMs - nowMs())
-                if (!isEnding) serve(job)
+                delay(beganAtMs + job.atMs - nowMs())
+                if (!isEnding) submitAndFollow(job)
             }
         }
     }
 
-    private suspend fun serve(job: PlannedJob) {
+    private suspend fun submitAndFollow(job: PlannedJob) {
         val submittedAtMs = nowMs()
         history.submitted(job.spec)
         if (submit(job)) follow(job, submittedAtMs)
     }
 
-    /** Whether the job was accepted; repeated for a minute, as the protocol says. */
+    /**
+     * Submits the job and returns whether it was accepted. Retries for up to [SUBMIT_RETRY_LIMIT_MS] ms, as the
+     * protocol says.
+     */
     private suspend fun submit(job: PlannedJob): Boolean {
         val jobId = job.spec.jobId
-        val firstMs = nowMs()
-        while (nowMs() - firstMs < SUBMIT_MS) {
-            val answer = ask("POST", "/work", job.spec.source.bytes(), SUBMIT_TIMEOUT_MS)
-            history.answeredSubmission(jobId, answer.status, answer.word, answer.sentAtMs)
+        val firstSentAtMs = nowMs()
+        while (nowMs() - firstSentAtMs < SUBMIT_RETRY_LIMIT_MS) {
+            val answer = request("POST", "/work", job.spec.source.bytes(), REQUEST_TIMEOUT_MS)
+            history.submissionAnswered(jobId, answer.status, answer.jobStatus, answer.sentAtMs)
             if (answer.status == 200 || answer.status == 201) {
-                latencies.record(LatencyKind.SUBMISSION, nowMs() - firstMs)
+                latencies.record(LatencyKind.SUBMISSION, nowMs() - firstSentAtMs)
                 return true
             }
             if (answer.status == 400 || answer.status == 422) return false
@@ -68,6 +81,7 @@
         return false
     }
 
+    /** Polls the job until it is done or cancelled, and cancels it when that is due. */
     private suspend fun follow(
         job: PlannedJob,
         submittedAtMs: Long,
@@ -76,16 +90,18 @@
         val pollMs = (plan.pollSeconds * 1000).toLong()
         var nextPollMs = nowMs() + random.nextLong(pollMs)
         var isCompletionSeen = false
-        val spreadMs = random.nextLong(END_SPREAD_MS)
+        val endDelayMs = random.nextLong(MAX_END_DELAY_MS)
         var endingSinceMs: Long? = null
         while (!history.isFinal(jobId)) {
-            delay(STEP_MS + random.nextLong(STEP_MS))
+            delay(CHECK_INTERVAL_MS + random.nextLong(CHECK_INTERVAL_MS))
             if (isEnding && endingSinceMs == null) endingSinceMs = nowMs()
-            val isDueByPlan = job.cancelAfterMs?.let { nowMs() - submittedAtMs >= it } ?: false
-            val isDueByEnd = job.spec.isService && endingSinceMs != null && nowMs() - endingSinceMs >= spreadMs
+            val isPlannedCancellationDue = job.cancelAfterMs?.let { nowMs() - submittedAtMs >= it } ?: false
+            val isFinalCancellationDue =
+                job.spec.isService && endingSinceMs != null && nowMs() - endingSinceMs >= endDelayMs
             when {
-                isDueByPlan || isDueByEnd -> cancel(jobId)
-                // Asked at once, so that the time to `done` is seen, then once a second: more would be a load of its own.
+                isPlannedCancellationDue || isFinalCancellationDue -> cancel(jobId)
+                // Polls as soon as the last task has completed, to measure the time to `done`, and then once a second:
+                // more frequent polls would add load.
                 !isCompletionSeen && history.completedAtMs(jobId) != null -> {
                     isCompletionSeen = true
                     poll(jobId)
@@ -100,25 +116,25 @@
     }
 
     private suspend fun poll(jobId: String) {
-        val answer = ask("GET", "/work/$jobId", null, POLL_TIMEOUT_MS)
-        history.answeredPoll(jobId, answer.status, answer.word, answer.sentAtMs)
+        val answer = request("GET", "/work/$jobId", null, POLL_TIMEOUT_MS)
+        history.pollAnswered(jobId, answer.status, answer.jobStatus, answer.sentAtMs)
         if (answer.status == 200) latencies.record(LatencyKind.POLL, nowMs() - answer.sentAtMs)
-        if (answer.word != JobAnswer.DONE) return
+        if (answer.jobStatus != JobAnswer.DONE) return
         history.completedAtMs(jobId)?.let { latencies.record(LatencyKind.FINISH_TO_DONE, nowMs() - it) }
     }
 
     private suspend fun cancel(jobId: String) {
-        val firstMs = nowMs()
-        history.asksToCancel(jobId)
+        val firstSentAtMs = nowMs()
+        history.cancellationRequested(jobId)
         while (!history.isFinal(jobId)) {
-            val answer = ask("POST", "/work/$jobId/cancel", null, SUBMIT_TIMEOUT_MS)
-            history.answeredCancel(jobId, answer.status, answer.word, answer.sentAtMs)
-            if (answer.status == 200) latencies.record(LatencyKind.CANCEL, nowMs() - firstMs)
+            val answer = request("POST", "/work/$jobId/cancel", null, REQUEST_TIMEOUT_MS)
+            history.cancellationAnswered(jobId, answer.status, answer.jobStatus, answer.sentAtMs)
+            if (answer.status == 200) latencies.record(LatencyKind.CANCEL, nowMs() - firstSentAtMs)
             if (!history.isFinal(jobId)) delay(RETRY_MS)
         }
     }
 
-    private suspend fun ask(
+    private suspend fun request(
         method: String,
         target: String,
         body: ByteArray?,
@@ -136,10 +152,10 @@
             status,
             answer?.body?.size ?: 0,
         )
-        return Answer(status, answer?.let { statusWord(it.body) }, sentAtMs)
+        return Answer(status, answer?.let { parseJobStatus(it.body) }, sentAtMs)
     }
 
-    private fun statusWord(body: ByteArray): String? =
+    private fun parseJobStatus(body: ByteArray): String? =
         try {
             parseObject(body).textOrNull("status")
         } catch (e: MalformedMessage) {
@@ -147,14 +163,14 @@
         }
 
     private companion object {
-        const val SUBMIT_MS = 60_000L
-        const val SUBMIT_TIMEOUT_MS = 5000L
+        const val SUBMIT_RETRY_LIMIT_MS = 60_000L
+        const val REQUEST_TIMEOUT_MS = 5000L
         const val POLL_TIMEOUT_MS = 2000L
         const val RETRY_MS = 1000L
-        const val STEP_MS = 150L
+        const val CHECK_INTERVAL_MS = 150L
         const val COMPLETED_POLL_MS = 1000L
 
-        /** Over so long the services are cancelled at the end. */
-        const val END_SPREAD_MS = 20_000L
+        /** At the end of the load, the cancellations of services are spread evenly over this time. */
+        const val MAX_END_DELAY_MS = 20_000L
     }
 }
