--- a/src/test/kotlin/micatally/sim/ConfigurationTest.kt
+++ b/src/test/kotlin/micatally/sim/ConfigurationTest.kt
@@ -40,8 +40,8 @@
         )
 
     /**
-     * Runs the test with each seed on a fleet whose controllers have stored the teams of the settings file as version
-     * 1.
+     * Runs the test with each seed on a fleet that has stored version 1 of the configuration, the teams of the settings
+     * file.
      */
     private fun withStoredTeams(test: Scenario.() -> Unit) {
         for (seed in seeds) {
--- a/src/test/kotlin/micatally/sim/ScaleOutTest.kt
+++ b/src/test/kotlin/micatally/sim/ScaleOutTest.kt
@@ -8,7 +8,7 @@
 class ScaleOutTest {
     /**
      * Guards [micatally.fleet.BootTimes]: late machines are waited for as long as all of them are late. Each used to be
-     * deleted after four nominal boot times and provisioned again, so none ever finished booting.
+     * given up after four nominal boot times and provisioned again, so none ever finished booting.
      */
     @Test
     fun `machines that boot seven times as slowly as stated are waited for, and few spare ones are provisioned`() =
--- a/src/test/kotlin/micatally/sim/SimFleet.kt
+++ b/src/test/kotlin/micatally/sim/SimFleet.kt
@@ -33,7 +33,8 @@
     val nodes: Int = 3,
     timing: Timing = Timing.PLAIN,
     /**
-     * The lower limits of the state store that the settings of nodes announce; it applies to nodes started from now on.
+     * The lower limits of the state store that a node's settings announce; null for none. A change applies to nodes
+     * started later.
      */
     var nextLimits: StateLimits? = null,
     limits: StateLimits = StateLimits(250.0, 100.0, 16 * 1024, 48),
