--- a/src/main/kotlin/micatally/emulator/CloudEmulator.kt
+++ b/src/main/kotlin/micatally/emulator/CloudEmulator.kt
@@ -19,7 +19,13 @@
 import micatally.wire.parseObject
 import micatally.wire.text
 
-/** The cloud as the protocol page describes it; a machine that is up becomes a worker through [boot]. */
+/**
+ * Emulates the cloud's HTTP API in memory: it lists the machine types, provisions and deletes machines, and lists them.
+ * A machine that has booted becomes a worker through [boot].
+ *
+ * @property capacity how many more machines can be provisioned, by type, zone and whether they are spot instances
+ * @property lagMs how far the list of machines lags behind their real status, in ms
+ */
 class CloudEmulator(
     private val scope: CoroutineScope,
     private val machineTypes: List<MachineType>,
@@ -28,92 +34,106 @@
     private val nowMs: () -> Long,
     private val boot: suspend (String, MachineType, String, Boolean) -> WorkerEmulator,
 ) {
-    private class Car(
+    private class Machine(
         val name: String,
         val type: String,
         val zone: String,
         val isSpot: Boolean,
-        val at: Long,
+        val createdAtMs: Long,
     ) {
         var worker: WorkerEmulator? = null
         var failed = false
-        var removedAt: Long? = null
-        var upAt: Long? = null
+        var removedAtMs: Long? = null
+        var runningSinceMs: Long? = null
     }
 
-    private val cars = java.util.TreeMap<String, Car>()
-    private val answered = HashMap<String, List<String>>()
-    private var next = 1
+    private val machines = java.util.TreeMap<String, Machine>()
+
+    /** Names of the machines provisioned so far by request name: a repeated request gets the same answer. */
+    private val namesByRequest = HashMap<String, List<String>>()
+
+    private var nextNumber = 1
+
+    /** While set, every request is answered with status 503. */
     var down = false
+
+    /** How long a machine of a type takes to boot, in ms. */
     var bootMs: (MachineType) -> Long = { (it.readyS * 1000).toLong() }
 
-    val workers get() = cars.values.filter { it.removedAt == null && !it.failed }.mapNotNull { it.worker }
+    /** The workers on machines that have booted and were not removed. */
+    val workers get() = machines.values.filter { it.removedAtMs == null && !it.failed }.mapNotNull { it.worker }
 
-    fun count() = cars.values.count { it.removedAt == null }
+    /** How many machines exist, including those that still boot. */
+    fun count() = machines.values.count { it.removedAtMs == null }
 
-    private fun json(o: JsonObject) = HttpResponse(200, o.toString().encodeToByteArray())
+    private fun json(body: JsonObject) = HttpResponse(200, body.toString().encodeToByteArray())
 
-    fun handle(r: HttpRequest): HttpResponse {
+    /** Answers a request of a controller. */
+    fun handle(request: HttpRequest): HttpResponse {
         if (down) return errorResponse(503, "trouble")
         return when {
-            r.path == "/flavors" ->
+            request.path == "/flavors" ->
                 json(
                     buildJsonObject {
                         put(
                             "chassis",
                             JsonArray(
-                                machineTypes.map { f ->
+                                machineTypes.map { type ->
                                     buildJsonObject {
-                                        put("label", f.label)
-                                        put("cores", f.resources.cores)
-                                        put("cards", f.resources.gpus)
-                                        put("ram_gb", f.resources.memoryGb)
-                                        put("local_gb", f.cacheGb)
-                                        put("pull_gb_per_s", f.pullGbPerS)
-                                        put("hourly", f.hourly)
-                                        put("spot_price", f.spotHourly)
-                                        put("ready_s", f.readyS)
-                                        put("circuits", JsonArray(f.zones.map { JsonPrimitive(it) }))
+                                        put("label", type.label)
+                                        put("cores", type.resources.cores)
+                                        put("cards", type.resources.gpus)
+                                        put("ram_gb", type.resources.memoryGb)
+                                        put("local_gb", type.cacheGb)
+                                        put("pull_gb_per_s", type.pullGbPerS)
+                                        put("hourly", type.hourly)
+                                        put("spot_price", type.spotHourly)
+                                        put("ready_s", type.readyS)
+                                        put("circuits", JsonArray(type.zones.map { JsonPrimitive(it) }))
                                     }
                                 },
                             ),
                         )
                     },
                 )
-            r.path == "/machines" && r.method == "POST" -> rent(parseObject(r.body))
-            r.path == "/machines/delete" -> {
-                for (n in parseObject(r.body).listOrNull("cars") ?: emptyList()) remove(n.asText())
+            request.path == "/machines" && request.method == "POST" -> provision(parseObject(request.body))
+            request.path == "/machines/delete" -> {
+                for (name in parseObject(request.body).listOrNull("cars") ?: emptyList()) remove(name.asText())
                 json(JsonObject(emptyMap()))
             }
-            r.path == "/machines" -> list(r)
+            request.path == "/machines" -> list(request)
             else -> errorResponse(404, "no such resource")
         }
     }
 
-    private fun rent(o: JsonObject): HttpResponse {
-        val booking = o.text("booking")
-        answered[booking]?.let { return json(cars(it)) }
-        val f = machineTypes.find { it.label == o.text("rig") } ?: return errorResponse(400, "no such type")
-        val key = Triple(f.label, o.text("circuit"), o.flag("loaners"))
-        val n = minOf(o.long("count").toInt(), capacity[key] ?: 0)
-        if (n == 0) return errorResponse(503, "no capacity")
-        capacity[key] = capacity.getValue(key) - n
-        val names = List(n) { "m-%06d".format(next++) }
+    /**
+     * Provisions up to the requested number of machines, as many as the capacity allows. They boot in the background.
+     * A repeated request gets the names of the first answer.
+     */
+    private fun provision(body: JsonObject): HttpResponse {
+        val requestName = body.text("booking")
+        namesByRequest[requestName]?.let { return json(machineNames(it)) }
+        val type = machineTypes.find { it.label == body.text("rig") } ?: return errorResponse(400, "no such type")
+        val key = Triple(type.label, body.text("circuit"), body.flag("loaners"))
+        val count = minOf(body.long("count").toInt(), capacity[key] ?: 0)
+        if (count == 0) return errorResponse(503, "no capacity")
+        capacity[key] = capacity.getValue(key) - count
+        val names = List(count) { "m-%06d".format(nextNumber++) }
         for (name in names) {
-            val c = Car(name, key.first, key.second, key.third, nowMs())
-            cars[name] = c
+            val machine = Machine(name, key.first, key.second, key.third, nowMs())
+            machines[name] = machine
             scope.launch {
-                delay(bootMs(f))
-                if (c.removedAt != null) return@launch
-                c.upAt = nowMs()
-                c.worker = boot(name, f, c.zone, c.isSpot).also { it.start() }
+                delay(bootMs(type))
+                if (machine.removedAtMs != null) return@launch
+                machine.runningSinceMs = nowMs()
+                machine.worker = boot(name, type, machine.zone, machine.isSpot).also { it.start() }
             }
         }
-        answered[booking] = names
-        return json(cars(names))
+        namesByRequest[requestName] = names
+        return json(machineNames(names))
     }
 
-    /** Machines that are up from the start, beside those that are rented later. */
+    /** Adds [count] machines that run from the start, in addition to those that the controllers provision. */
     suspend fun addRunning(
         machineType: MachineType,
         zone: String,
@@ -121,63 +141,66 @@
         count: Int,
     ) {
         repeat(count) {
-            val car = Car("m-%06d".format(next++), machineType.label, zone, isSpot, nowMs())
-            cars[car.name] = car
-            car.upAt = nowMs()
-            car.worker = boot(car.name, machineType, zone, isSpot).also { it.start() }
+            val machine = Machine("m-%06d".format(nextNumber++), machineType.label, zone, isSpot, nowMs())
+            machines[machine.name] = machine
+            machine.runningSinceMs = nowMs()
+            machine.worker = boot(machine.name, machineType, zone, isSpot).also { it.start() }
         }
     }
 
-    private fun cars(names: List<String>) = buildJsonObject { put("cars", JsonArray(names.map { JsonPrimitive(it) })) }
+    private fun machineNames(names: List<String>) =
+        buildJsonObject { put("cars", JsonArray(names.map { JsonPrimitive(it) })) }
 
     private fun remove(name: String) {
-        val c = cars[name] ?: return
-        if (c.removedAt != null) return
-        c.removedAt = nowMs()
-        c.worker?.stop()
-        capacity.merge(Triple(c.type, c.zone, c.isSpot), 1, Int::plus)
+        val machine = machines[name] ?: return
+        if (machine.removedAtMs != null) return
+        machine.removedAtMs = nowMs()
+        machine.worker?.stop()
+        capacity.merge(Triple(machine.type, machine.zone, machine.isSpot), 1, Int::plus)
     }
 
-    /** No more machines of this type are to be had. */
+    /** Lets the cloud run out of machines of this [type]: it refuses to provision more of them. */
     fun refuse(type: String) {
         for (key in capacity.keys.filter { it.first == type }) capacity[key] = 0
     }
 
-    /** The cloud takes a machine back without a word, or a machine dies. */
+    /** Removes a machine without notice, as when the cloud takes back a spot instance or a machine breaks down. */
     fun take(name: String) = remove(name)
 
-    private fun list(r: HttpRequest): HttpResponse {
-        val since = r.query["since"] ?: ""
-        val then = nowMs() - lagMs
-        val shown = cars.values.filter { it.name > since && it.at <= then && (it.removedAt ?: Long.MAX_VALUE) > then }
+    /** Answers with the machines as they were [lagMs] ago, in pages of at most 500. */
+    private fun list(request: HttpRequest): HttpResponse {
+        val since = request.query["since"] ?: ""
+        val listedAtMs = nowMs() - lagMs
+        val listed =
+            machines.values.filter {
+                it.name > since && it.createdAtMs <= listedAtMs && (it.removedAtMs ?: Long.MAX_VALUE) > listedAtMs
+            }
         return json(
             buildJsonObject {
                 put(
                     "cars",
                     JsonArray(
-                        shown.take(500).map { c ->
+                        listed.take(500).map { machine ->
                             buildJsonObject {
-                                put("ref", c.name)
-                                put("addr", c.worker?.addr ?: "")
-                                put("rig", c.type)
-                                put("circuit", c.zone)
-                                put("loaners", c.isSpot)
+                                put("ref", machine.name)
+                                put("addr", machine.worker?.addr ?: "")
+                                put("rig", machine.type)
+                                put("circuit", machine.zone)
+                                put("loaners", machine.isSpot)
                                 put(
                                     "status",
-                                    if ((c.upAt ?: Long.MAX_VALUE) <=
-                                        then
-                                    ) {
+                                    if ((machine.runningSinceMs ?: Long.MAX_VALUE) <= listedAtMs) {
                                         "running"
                                     } else {
                                         "starting"
                                     },
                                 )
-                                put("held_s", (then - c.at) / 1000.0)
+                                put("held_s", (listedAtMs - machine.createdAtMs) / 1000.0)
                             }
                         },
                     ),
                 )
-                put("more", shown.size > 500)
+                put("more", listed.size > 500)
             },
         )
     }
--- a/src/main/kotlin/micatally/emulator/EmulatedTask.kt
+++ b/src/main/kotlin/micatally/emulator/EmulatedTask.kt
@@ -10,27 +10,31 @@
     val attempt: Long,
     val resources: Resources,
 ) {
-    /** The status as heartbeats state it. */
+    /** The status as heartbeats report it. */
     var status = PULLING
         internal set
 
-    /** The exit reason as heartbeats state it; null until the task has ended. */
-    var why: String? = null
+    /** The exit reason as heartbeats report it; null until the task has ended. */
+    var exitReason: String? = null
         internal set
 
     /** Whether the task wrote its checkpoint before it ended. */
     var isSaved = false
         internal set
 
-    /** The coroutine that carries the task on. */
+    /** The coroutine that runs the task or saves its checkpoint. */
     internal var job: Job? = null
-    internal var run: GangTable.GangRun? = null
+
+    /** The attempt of the gang that the task belongs to; null if it is not a task of a gang or has not joined yet. */
+    internal var gangRun: GangTable.GangRun? = null
+
+    /** The task as [gangRun] knows it; null together with [gangRun]. */
     internal var member: GangMember? = null
 
-    /** Whether the task uses the machine: it has its image and has not ended. */
+    /** Whether the task is on the machine: its image is there and the task has not ended. */
     val isOnMachine get() = status == WAITING || status == RUNNING || status == SAVING
 
-    /** Whether the task has ended and only waits to be cleared. */
+    /** Whether the task has ended; it stays listed until a controller clears it. */
     val hasEnded get() = status == ENDED
 
     /** The values of [status]. */
--- a/src/main/kotlin/micatally/emulator/HeartbeatLoop.kt
+++ b/src/main/kotlin/micatally/emulator/HeartbeatLoop.kt
@@ -14,23 +14,29 @@
 internal interface HeartbeatSender {
     val incarnation: Long
 
-    /** Suspends while the machine is hung, then ends the lease if it has expired meanwhile. */
+    /** Suspends while the machine is hung. Then, if the lease has expired meanwhile, the worker drops its tasks. */
     suspend fun awaitUsable()
 
-    /** The next heartbeat, with a sequence number of its own. */
+    /** Builds the next heartbeat; each has a sequence number of its own. */
     fun heartbeat(): JsonObject
 
-    /** Takes the leader's [response] to a heartbeat that was sent at [sentAt] in incarnation [incarnationAtSend]. */
+    /**
+     * Processes the leader's [response] to a heartbeat. The heartbeat was sent at [sentAtMs], in the worker's
+     * incarnation [incarnationAtSend].
+     */
     fun accept(
         response: JsonObject,
-        sentAt: Long,
+        sentAtMs: Long,
         incarnationAtSend: Long,
     )
 }
 
 /**
- * Sends heartbeats to the leader for ever, and looks for it among the [controllers] (addresses by name) when the
- * controller that was asked is not the leader or does not answer.
+ * Sends heartbeats to the leader until it is cancelled. If the controller it called does not answer or is not the
+ * leader, the loop goes to the leader named in the answer, or else to the next one of [controllers].
+ *
+ * @property controllers addresses by host name
+ * @property intervalMs average time between two heartbeats, in ms
  */
 internal class HeartbeatLoop(
     private val sender: HeartbeatSender,
@@ -42,14 +48,15 @@
 ) {
     private val controllerNames = controllers.keys.sorted()
 
-    /** Whether the worker has changed since its last heartbeat: the next one then goes out early. */
+    /** Whether the worker has changed since its last heartbeat. If so, the next heartbeat is sent early. */
     private var isChanged = false
 
+    /** Tells the loop that the next heartbeat has something new to report. */
     fun noteChange() {
         isChanged = true
     }
 
-    /** Returns only by cancellation. */
+    /** Runs the loop; it ends only by cancellation. */
     suspend fun run() {
         var index = random.nextInt(controllerNames.size)
         delay(random.nextLong(maxOf(1L, intervalMs)))
@@ -72,23 +79,26 @@
 
     private suspend fun exchange(controller: String): Outcome {
         sender.awaitUsable()
-        val sentAt = nowMs()
+        val sentAtMs = nowMs()
         val incarnationAtSend = sender.incarnation
         isChanged = false
         val address = controllers.getValue(controller)
         val outcome = http.call(address, "POST", "/v1/report", sender.heartbeat().bytes(), HEARTBEAT_TIMEOUT_MS)
         sender.awaitUsable()
         if (outcome is Outcome.Answer && outcome.status == OK) {
-            sender.accept(parseObject(outcome.body), sentAt, incarnationAtSend)
+            sender.accept(parseObject(outcome.body), sentAtMs, incarnationAtSend)
         }
         return outcome
     }
 
-    /** Waits about [intervalMs], with jitter, or until the worker has changed, but for a while in any case. */
+    /**
+     * Waits for [intervalMs] with a jitter of a quarter up or down, or until the worker has changed. In any case it
+     * waits for [MIN_PAUSE_MS], or for half of [intervalMs] if that is shorter.
+     */
     private suspend fun pause() {
-        val nextAt = nowMs() + intervalMs * 3 / 4 + random.nextLong(intervalMs / 2 + 1)
-        delay(minOf(LEAST_PAUSE_MS, intervalMs / 2))
-        while (nowMs() < nextAt && !isChanged) delay(CHANGE_POLL_MS)
+        val nextAtMs = nowMs() + intervalMs * 3 / 4 + random.nextLong(intervalMs / 2 + 1)
+        delay(minOf(MIN_PAUSE_MS, intervalMs / 2))
+        while (nowMs() < nextAtMs && !isChanged) delay(CHANGE_POLL_MS)
     }
 
     private fun leaderNamedIn(outcome: Outcome): String? {
@@ -100,15 +110,15 @@
         }
     }
 
-    /** Times and status codes of heartbeats. */
+    /** Times of heartbeats, and the status codes of their responses. */
     companion object {
-        /** A response is accepted this long after its heartbeat was sent at most. */
+        /** Time limit of a heartbeat in ms: a response that comes later than this after the send is ignored. */
         const val HEARTBEAT_TIMEOUT_MS = 4000L
         private const val OK = 200
         private const val MISDIRECTED = 421
         private const val REDIRECT_PAUSE_MS = 100L
         private const val RETRY_PAUSE_MS = 1000L
-        private const val LEAST_PAUSE_MS = 500L
+        private const val MIN_PAUSE_MS = 500L
         private const val CHANGE_POLL_MS = 50L
     }
 }
--- a/src/main/kotlin/micatally/emulator/LoopbackFleet.kt
+++ b/src/main/kotlin/micatally/emulator/LoopbackFleet.kt
@@ -21,11 +21,18 @@
 import kotlin.random.Random
 
 /**
- * What a fleet of emulators consists of, and its times.
+ * Composition, limits and times of a fleet of emulators.
  *
- * @property machinesOfEachKind how many machines of each type, zone and kind (spot or ordinary) can be rented
- * @property stateLimits limits of the state service that its emulator enforces; null: none
- * @property maxConnections of each of the emulators' servers
+ * @property machinesOfEachKind how many machines can be provisioned of each type in each zone, as spot instances and
+ *   likewise as ordinary machines
+ * @property cancelMs setting `cancel_s` of the controllers, in ms
+ * @property bootMs how long a machine takes to boot
+ * @property listLagMs how far the cloud's list of machines lags behind
+ * @property settingsLimits limits of the state service as the controllers' settings file states them
+ * @property stateLimits limits that the emulator of the state service enforces; null: none
+ * @property cloudRps requests a second that a controller may send to the cloud, as its settings file states it
+ * @property maxSockets sockets that a controller may use, as its settings file states it
+ * @property maxConnections connections that each server of an emulator accepts
  */
 class FleetPlan(
     val zones: List<String>,
@@ -44,7 +51,12 @@
     val maxConnections: Int,
 )
 
-/** The host name, zone and addresses of one controller. */
+/**
+ * The host name, zone and addresses of one controller.
+ *
+ * @property listen address for users and workers
+ * @property back address for the other controllers
+ */
 class ControllerPlace(
     val host: String,
     val zone: String,
@@ -52,9 +64,9 @@
     val back: String,
 )
 
-/** Sees the messages of the emulators pass, with their sizes. */
+/** Is told of each message between controllers and emulators, with its size in bytes. */
 fun interface MessageObserver {
-    /** [peer] is the emulator; a message without an answer has the status 0. */
+    /** Called when a message of interface [peer] was answered, or was given up; [status] is then 0. */
     fun seen(
         peer: Interface,
         method: String,
@@ -64,12 +76,16 @@
         answerBytes: Int,
     )
 
+    /** Interfaces of a controller; `REPORT` is for heartbeats of workers, `ORDER` for commands to workers. */
     enum class Interface { STATE, CLOUD, REPORT, ORDER, USER }
 }
 
-/** A fleet of emulators on loopback: state service, cloud and workers, each speaking the protocol over sockets.
+/**
+ * A fleet of emulators on loopback: state service, cloud and workers. Each serves its HTTP API on a socket of its own.
  *
- * @param workerLoop carries workers and cloud, [stateLoop] the state service; they may be the same */
+ * @param workerLoop event loop of the workers and the cloud
+ * @param stateLoop event loop of the state service; may be the same as [workerLoop]
+ */
 class LoopbackFleet(
     private val workerLoop: EventLoop,
     private val stateLoop: EventLoop,
@@ -82,7 +98,7 @@
     override val gangs =
         GangTable(workerLoop.scope, GangTimes(plan.leaseMs * 2, plan.leaseMs / 4), Random(1), workerLoop::nowMs)
 
-    /** Front addresses of the controllers by host name; set before the first worker boots. */
+    /** Addresses of the controllers for workers, by host name; to be set before the first worker boots. */
     var controllers: Map<String, String> = emptyMap()
 
     val cloud =
@@ -130,11 +146,18 @@
                 observer.seen(peer, request.method, request.target, request.body.size, it.status, it.body.size)
             }
         }
-        return Server(loop.scope, loop.group, ANY_PORT, plan.maxConnections, MAX_BODY, observed).also { it.start() }
+        return Server(
+            loop.scope,
+            loop.group,
+            ANY_PORT,
+            plan.maxConnections,
+            MAX_BODY_BYTES,
+            observed,
+        ).also { it.start() }
     }
 
-    /** Sees the reports of the workers and their answers pass. */
-    private val reporting =
+    /** Sends the heartbeats of the workers and tells [observer] of each. */
+    private val heartbeatCaller =
         HttpCaller { addr, method, target, body, timeoutMs ->
             val outcome = client.call(addr, method, target, body, timeoutMs)
             val answer = outcome as? Outcome.Answer
@@ -160,7 +183,7 @@
         worker =
             WorkerEmulator(
                 workerLoop.scope,
-                reporting,
+                heartbeatCaller,
                 this,
                 Random(name.hashCode()),
                 name,
@@ -206,7 +229,7 @@
         tasks.left(machine, jobId, taskIndex, done)
     }
 
-    /** The settings file of a controller among [all]. */
+    /** Builds the settings file of the controller at [place]; its seeds are the other controllers of [all]. */
     fun settings(
         place: ControllerPlace,
         all: List<ControllerPlace> = listOf(place),
@@ -239,9 +262,9 @@
             }
         }
 
-    private fun params(controllers: Int) =
+    private fun params(controllerCount: Int) =
         buildJsonObject {
-            put("initial_size", controllers)
+            put("initial_size", controllerCount)
             put("zones", JsonArray(plan.zones.map { JsonPrimitive(it) }))
             put("teams", JsonArray(plan.teams.map { TeamJson.encode(it) }))
             put(
@@ -281,7 +304,7 @@
 
     private companion object {
         const val ANY_PORT = "127.0.0.1:0"
-        const val MAX_BODY = 1L shl 20
+        const val MAX_BODY_BYTES = 1L shl 20
         const val LEASE_CHECK_MS = 100L
     }
 }
--- a/src/main/kotlin/micatally/emulator/Rehearsal.kt
+++ b/src/main/kotlin/micatally/emulator/Rehearsal.kt
@@ -23,11 +23,11 @@
 import micatally.wire.textOrNull
 import java.net.ServerSocket
 
-/** Jobs whose array tasks take a moment and whose replicas run until they are stopped. */
+/** Jobs of the rehearsal. Tasks of arrays and gangs run for [TASK_MS]; those of services run until they are stopped. */
 private class RehearsalTasks : FleetTasks {
     private val specs = HashMap<String, JobSpec>()
 
-    fun upload(spec: JobSpec) {
+    fun add(spec: JobSpec) {
         specs[spec.jobId] = spec
     }
 
@@ -56,7 +56,10 @@
     }
 }
 
-/** A controller's first minute in a few seconds, so that the build's class archive holds what a start needs. */
+/**
+ * Runs one controller against emulators for a few seconds. The build runs it to record the class archive (AppCDS), so
+ * that the archive holds the classes that a controller needs in its first minute.
+ */
 object Rehearsal {
     private const val HOST = "pitbox-0"
     private val ZONES = listOf("a", "b")
@@ -85,6 +88,7 @@
         )
     }
 
+    /** A submission as a user sends it, with the id `j-` and [n] in six digits. */
     fun job(
         n: Int,
         format: String,
@@ -112,46 +116,45 @@
         put("flag_s", 60.0)
     }
 
-    /** Number of the gang job. */
-    private const val GANG = 13
+    private const val GANG_JOB_NUMBER = 13
 
     private fun freePort() = ServerSocket(0).use { it.localPort }
 
-    /** Whether jobs were accepted, run, finished and cancelled. */
+    /**
+     * Returns whether all jobs were accepted, ran, and were done or cancelled as they should be, within 20 seconds.
+     */
     suspend fun run(): Boolean {
-        val world = EventLoop()
+        val loop = EventLoop()
         val tasks = RehearsalTasks()
-        val fleet = LoopbackFleet(world, world, plan(), tasks)
+        val fleet = LoopbackFleet(loop, loop, plan(), tasks)
         lateinit var settings: Settings
-        for (tries in 1..5) {
+        for (attempt in 1..5) {
             val place = ControllerPlace(HOST, ZONES[0], "127.0.0.1:${freePort()}", "127.0.0.1:${freePort()}")
             settings = Settings.parse(fleet.settings(place).bytes())
-            // A port that was free a moment ago may have been taken meanwhile.
+            // Another process may take a port between the moment it was found free and the start of the controller.
             try {
                 startController(EventLoop(), settings)
                 break
             } catch (e: AddressTaken) {
-                if (tries ==
-                    5
-                ) {
+                if (attempt == 5) {
                     throw e
                 }
             }
         }
         fleet.controllers = mapOf(HOST to settings.listen)
-        val client = Client(world.group, 20, world::nowMs)
+        val client = Client(loop.group, 20, loop::nowMs)
 
         suspend fun call(
             method: String,
             target: String,
             body: kotlinx.serialization.json.JsonObject?,
         ): Pair<Int, String?> {
-            val out = client.call(settings.listen, method, target, body?.bytes(), 3000)
-            return if (out is Outcome.Answer) {
-                out.status to
+            val outcome = client.call(settings.listen, method, target, body?.bytes(), 3000)
+            return if (outcome is Outcome.Answer) {
+                outcome.status to
                     (
                         try {
-                            parseObject(out.body).textOrNull("status")
+                            parseObject(outcome.body).textOrNull("status")
                         } catch (e: Exception) {
                             null
                         }
@@ -160,12 +163,12 @@
                 0 to null
             }
         }
-        return kotlinx.coroutines.withContext(world.scope.coroutineContext) {
+        return kotlinx.coroutines.withContext(loop.scope.coroutineContext) {
             withTimeoutOrNull(20_000) {
                 while (call("GET", "/healthz", null).first != 200) delay(50)
                 for (n in 1..12) {
                     val body = job(n, if (n % 3 == 0) "daemon" else "sweep", n)
-                    tasks.upload(JobSpec.parse(body))
+                    tasks.add(JobSpec.parse(body))
                     while (call("POST", "/work", body).first !in 200..201) delay(50)
                 }
                 for (n in 1..12) {
@@ -178,18 +181,16 @@
                 val gang =
                     JsonObject(
                         job(
-                            GANG,
+                            GANG_JOB_NUMBER,
                             "gang",
                             4,
                         ) + mapOf("together" to JsonPrimitive(true), "scatter" to JsonPrimitive(false)),
                     )
-                tasks.upload(JobSpec.parse(gang))
+                tasks.add(JobSpec.parse(gang))
                 while (call("POST", "/work", gang).first !in 200..201) delay(50)
-                while (call("GET", "/work/j-%06d".format(GANG), null).second != "done") delay(100)
+                while (call("GET", "/work/j-%06d".format(GANG_JOB_NUMBER), null).second != "done") delay(100)
                 for (n in 3..12 step 3) {
-                    while (call("POST", "/work/j-%06d/cancel".format(n), null).second !=
-                        "withdrawn"
-                    ) {
+                    while (call("POST", "/work/j-%06d/cancel".format(n), null).second != "withdrawn") {
                         delay(50)
                     }
                 }
--- a/src/main/kotlin/micatally/emulator/StateStoreEmulator.kt
+++ b/src/main/kotlin/micatally/emulator/StateStoreEmulator.kt
@@ -22,57 +22,62 @@
 import micatally.wire.textOrNull
 import java.util.TreeMap
 
-/** Keys of one prefix: how many, and their size with their values. */
+/** How many keys a prefix has, and their size together with their values, in characters of key and JSON. */
 class StoredKeys(
     val count: Int,
     val bytes: Long,
 )
 
-/** The state service as the protocol page describes it, kept in memory. */
+/** Emulates the HTTP API of the state service and keeps all data in memory. Times are in milliseconds of [nowMs]. */
 class StateStoreEmulator(
     limits: StateLimits? = null,
     private val nowMs: () -> Long,
 ) {
-    private inner class Bucket(
+    /** Rate limit: [take] succeeds for up to [perSecond] operations a second, with a burst of one second's worth. */
+    private inner class TokenBucket(
         private val perSecond: Double,
     ) {
         private var tokens = perSecond
-        private var at = nowMs()
+        private var refilledAtMs = nowMs()
 
-        fun take(n: Int): Boolean {
+        fun take(count: Int): Boolean {
             val now = nowMs()
-            tokens = minOf(perSecond, tokens + (now - at) * perSecond / 1000)
-            at = now
-            if (tokens < n) return false
-            tokens -= n
+            tokens = minOf(perSecond, tokens + (now - refilledAtMs) * perSecond / 1000)
+            refilledAtMs = now
+            if (tokens < count) return false
+            tokens -= count
             return true
         }
     }
 
-    /** May be lowered at any moment; what is stored already stays. */
+    /** The limits in force; null: none. They may be lowered at any time; larger values already stored stay. */
     var limits: StateLimits? = limits
         set(value) {
             field = value
-            requests = value?.let { Bucket(it.rps) }
-            writes = value?.let { Bucket(it.writeRps) }
+            requestBucket = value?.let { TokenBucket(it.rps) }
+            writeBucket = value?.let { TokenBucket(it.writeRps) }
         }
-    private var requests = limits?.let { Bucket(it.rps) }
-    private var writes = limits?.let { Bucket(it.writeRps) }
+    private var requestBucket = limits?.let { TokenBucket(it.rps) }
+    private var writeBucket = limits?.let { TokenBucket(it.writeRps) }
 
-    /** Changes made, the largest value among them, and requests turned away over the limits. */
+    /** How many puts and deletes the committed transactions had. */
     var changesMade = 0
         private set
+
+    /** Size of the largest value that a transaction tried to put, in characters of JSON. */
     var largestValue = 0
         private set
+
+    /** How many requests were refused with status 429 because of a rate limit. */
     var limited = 0
         private set
 
     private val changesByPrefix = java.util.TreeMap<String, Long>()
 
-    /** How many changes were made, by the prefix of their keys. */
+    /** How many puts, deletes and removals with a lease there were, by the prefix of their keys. */
     fun changesByPrefix(): Map<String, Long> = java.util.TreeMap(changesByPrefix)
 
-    /** What is stored, by the prefix of the keys. */
+    /** Number and size of the stored keys, by their prefix. */
     fun storedByPrefix(): Map<String, StoredKeys> =
         keys.entries.groupBy { prefixOf(it.key) }.mapValues { (_, entries) ->
             StoredKeys(
@@ -86,7 +91,7 @@
             )
         }
 
-    private fun overLimit(): HttpResponse {
+    private fun refuseOverLimit(): HttpResponse {
         limited++
         return errorResponse(429, "too many")
     }
@@ -99,9 +104,10 @@
 
     private class Lease(
         val lifeMs: Long,
-        var endsAt: Long,
+        var expiresAtMs: Long,
     )
 
+    /** A change for watches; [value] is null if the key was removed. */
     private class Change(
         val key: String,
         val value: JsonObject?,
@@ -111,20 +117,30 @@
     private val keys = TreeMap<String, Entry>()
     private val leases = HashMap<Long, Lease>()
     private val changes = ArrayDeque<Change>()
-    private var dropped = 0L
+
+    /** Revision of the newest change that is no longer in [changes]: a watch from before it can't be served. */
+    private var droppedRevision = 0L
     private var nextLease = 1L
     private var waiters = ArrayList<CompletableDeferred<Unit>>()
+
+    /** Revision of the last change. */
     var revision = 0L
         private set
+
+    /**
+     * While set, requests are answered with status 503 and watches are held. No lease expires meanwhile. When the
+     * outage ends, each lease is renewed.
+     */
     var down = false
-        set(v) {
-            field = v
-            if (!v) for (l in leases.values) l.endsAt = nowMs() + l.lifeMs
+        set(value) {
+            field = value
+            if (!value) for (lease in leases.values) lease.expiresAtMs = nowMs() + lease.lifeMs
         }
 
+    /** The stored value of [key]; null if there is none. */
     fun value(key: String) = keys[key]?.value
 
-    /** Keys that are there from the start, under one revision. */
+    /** Stores keys before a run: all under one revision, and without a change for watches. */
     fun preload(values: Map<String, JsonObject>) {
         revision++
         for ((key, value) in values) keys[key] = Entry(value, revision, null)
@@ -132,124 +148,121 @@
 
     fun keysUnder(prefix: String) = keys.keys.filter { it.startsWith(prefix) }
 
+    /** Ends the leases that have expired; their keys are removed. */
     fun expire() {
         if (down) return
         val now = nowMs()
-        for (id in leases.filterValues { it.endsAt < now }.keys) end(id)
+        for (id in leases.filterValues { it.expiresAtMs < now }.keys) endLease(id)
     }
 
-    private fun end(id: Long) {
+    private fun endLease(id: Long) {
         leases.remove(id)
-        val gone = keys.filterValues { it.lease == id }.keys.toList()
-        if (gone.isEmpty()) return
+        val removedKeys = keys.filterValues { it.lease == id }.keys.toList()
+        if (removedKeys.isEmpty()) return
         revision++
-        for (k in gone) {
-            keys.remove(k)
-            log(Change(k, null, revision))
+        for (key in removedKeys) {
+            keys.remove(key)
+            record(Change(key, null, revision))
         }
-        wake()
+        wakeWatches()
     }
 
-    private fun log(c: Change) {
-        changesByPrefix.merge(prefixOf(c.key), 1L, Long::plus)
-        changes.addLast(c)
-        while (changes.size > 10_000) dropped = changes.removeFirst().modRevision
+    private fun record(change: Change) {
+        changesByPrefix.merge(prefixOf(change.key), 1L, Long::plus)
+        changes.addLast(change)
+        while (changes.size > 10_000) droppedRevision = changes.removeFirst().modRevision
     }
 
-    private fun wake() {
-        val w = waiters
+    private fun wakeWatches() {
+        val woken = waiters
         waiters = ArrayList()
-        for (d in w) d.complete(Unit)
+        for (waiter in woken) waiter.complete(Unit)
     }
 
     private fun json(
         status: Int,
-        o: JsonObject,
-    ) = HttpResponse(status, o.toString().encodeToByteArray())
+        body: JsonObject,
+    ) = HttpResponse(status, body.toString().encodeToByteArray())
 
     private fun item(
-        k: String,
-        e: Entry,
+        key: String,
+        entry: Entry,
     ) = buildJsonObject {
-        put("k", k)
-        put("value", e.value)
-        put("mark", e.modRevision)
-        if (e.lease !=
-            null
-        ) {
-            put("permit", e.lease)
+        put("k", key)
+        put("value", entry.value)
+        put("mark", entry.modRevision)
+        if (entry.lease != null) {
+            put("permit", entry.lease)
         }
     }
 
-    suspend fun handle(r: HttpRequest): HttpResponse {
-        if (!down && requests?.take(1) == false) return overLimit()
-        if (r.path == "/watch") return watch(r)
+    /** Answers a request of a controller. A watch suspends until there are changes or its time is over. */
+    suspend fun handle(request: HttpRequest): HttpResponse {
+        if (!down && requestBucket?.take(1) == false) return refuseOverLimit()
+        if (request.path == "/watch") return watch(request)
         if (down) return errorResponse(503, "trouble")
         expire()
         return when {
-            r.path == "/txn" -> transact(parseObject(r.body))
-            r.path == "/keys" -> list(r)
-            r.path.startsWith("/keys/") -> {
-                val k = r.path.removePrefix("/keys/")
-                keys[k]?.let { json(200, item(k, it)) } ?: json(404, buildJsonObject { put("odometer", revision) })
+            request.path == "/txn" -> transact(parseObject(request.body))
+            request.path == "/keys" -> list(request)
+            request.path.startsWith("/keys/") -> {
+                val key = request.path.removePrefix("/keys/")
+                keys[key]?.let { json(200, item(key, it)) } ?: json(404, buildJsonObject { put("odometer", revision) })
             }
-            r.path == "/grants" -> {
+            request.path == "/grants" -> {
                 val id = nextLease++
-                val life = parseObject(r.body).long("life_ms")
-                leases[id] = Lease(life, nowMs() + life)
+                val lifeMs = parseObject(request.body).long("life_ms")
+                leases[id] = Lease(lifeMs, nowMs() + lifeMs)
                 json(200, buildJsonObject { put("permit", id) })
             }
-            r.path.endsWith("/renew") -> {
-                val l =
+            request.path.endsWith("/renew") -> {
+                val lease =
                     leases[
-                        r.path
+                        request.path
                             .removePrefix("/grants/")
                             .removeSuffix("/renew")
                             .toLongOrNull(),
                     ]
-                if (l ==
-                    null
-                ) {
+                if (lease == null) {
                     errorResponse(404, "no such lease")
                 } else {
-                    l.endsAt = nowMs() + l.lifeMs
+                    lease.expiresAtMs = nowMs() + lease.lifeMs
                     json(200, EMPTY_OBJECT)
                 }
             }
-            r.path.startsWith("/grants/") && r.method == "DELETE" -> {
-                r.path
+            request.path.startsWith("/grants/") && request.method == "DELETE" -> {
+                request.path
                     .removePrefix("/grants/")
                     .toLongOrNull()
-                    ?.let { end(it) }
+                    ?.let { endLease(it) }
                 json(200, EMPTY_OBJECT)
             }
             else -> errorResponse(400, "malformed")
         }
     }
 
-    private fun transact(o: JsonObject): HttpResponse {
-        val changed = o.listOrNull("then") ?: emptyList()
+    /**
+     * Runs a transaction: refuses it if it is over a limit, fails if a condition doesn't hold, and otherwise makes all
+     * its changes under one new revision.
+     */
+    private fun transact(body: JsonObject): HttpResponse {
+        val operations = body.listOrNull("then") ?: emptyList()
         val limits = this.limits
         if (limits != null &&
             (
-                changed.size > limits.maxOperationsPerTransaction ||
-                    (o.listOrNull("when") ?: emptyList()).size > limits.maxOperationsPerTransaction * 4 ||
-                    o.toString().length > 64 * 1024
+                operations.size > limits.maxOperationsPerTransaction ||
+                    (body.listOrNull("when") ?: emptyList()).size > limits.maxOperationsPerTransaction * 4 ||
+                    body.toString().length > 64 * 1024
             )
         ) {
             return errorResponse(400, "too large")
         }
-        if (writes?.take(changed.size) == false) return overLimit()
+        if (writeBucket?.take(operations.size) == false) return refuseOverLimit()
         val failed =
-            (o.listOrNull("when") ?: emptyList())
+            (body.listOrNull("when") ?: emptyList())
                 .map { it.asObject() }
-                .filter {
-                    (
-                        keys[it.text("k")]?.modRevision
-                            ?: 0L
-                    ) !=
-                        it.long("mark")
-                }.map { it.text("k") }
+                .filter { (keys[it.text("k")]?.modRevision ?: 0L) != it.long("mark") }
+                .map { it.text("k") }
         if (failed.isNotEmpty()) {
             return json(
                 409,
@@ -259,50 +272,46 @@
                 },
             )
         }
-        val then = (o.listOrNull("then") ?: emptyList()).map { it.asObject() }
-        for (c in then) {
-            val l = c.longOrNull("permit")
-            if (l != null &&
-                l !in leases
-            ) {
+        val changeRequests = (body.listOrNull("then") ?: emptyList()).map { it.asObject() }
+        for (change in changeRequests) {
+            val lease = change.longOrNull("permit")
+            if (lease != null && lease !in leases) {
                 return errorResponse(400, "no such lease")
             }
         }
-        for (c in then) {
-            c.child("value")?.toString()?.length?.let { n ->
-                largestValue = maxOf(largestValue, n)
-                if (limits != null && n > limits.valueBytes) return errorResponse(400, "the value is too large")
+        for (change in changeRequests) {
+            change.child("value")?.toString()?.length?.let { size ->
+                largestValue = maxOf(largestValue, size)
+                if (limits != null && size > limits.valueBytes) return errorResponse(400, "the value is too large")
             }
         }
-        changesMade += then.size
-        if (then.isNotEmpty()) {
+        changesMade += changeRequests.size
+        if (changeRequests.isNotEmpty()) {
             revision++
-            for (c in then) {
-                val k = c.textOrNull("put")
-                if (k != null) {
-                    val v = c.child("value") ?: EMPTY_OBJECT
-                    keys[k] = Entry(v, revision, c.longOrNull("permit"))
-                    log(Change(k, v, revision))
+            for (change in changeRequests) {
+                val putKey = change.textOrNull("put")
+                if (putKey != null) {
+                    val value = change.child("value") ?: EMPTY_OBJECT
+                    keys[putKey] = Entry(value, revision, change.longOrNull("permit"))
+                    record(Change(putKey, value, revision))
                 } else {
-                    val d = c.text("delete")
-                    if (keys.remove(d) != null) log(Change(d, null, revision))
+                    val deletedKey = change.text("delete")
+                    if (keys.remove(deletedKey) != null) record(Change(deletedKey, null, revision))
                 }
             }
-            wake()
+            wakeWatches()
         }
         return json(200, buildJsonObject { put("odometer", revision) })
     }
 
-    private fun list(r: HttpRequest): HttpResponse {
-        val prefix = r.query["under"] ?: ""
-        val since = r.query["since"]
-        val page = minOf(r.query["page"]?.toIntOrNull() ?: 1000, 1000)
-        val all =
+    private fun list(request: HttpRequest): HttpResponse {
+        val prefix = request.query["under"] ?: ""
+        val since = request.query["since"]
+        val pageSize = minOf(request.query["page"]?.toIntOrNull() ?: 1000, 1000)
+        val found =
             keys
                 .tailMap(
-                    if (since != null &&
-                        since >= prefix
-                    ) {
+                    if (since != null && since >= prefix) {
                         since
                     } else {
                         prefix
@@ -311,28 +320,29 @@
                 ).entries
                 .asSequence()
                 .takeWhile { it.key.startsWith(prefix) }
-                .take(page + 1)
+                .take(pageSize + 1)
                 .toList()
         return json(
             200,
             buildJsonObject {
-                put("items", JsonArray(all.take(page).map { item(it.key, it.value) }))
-                put("more", all.size > page)
+                put("items", JsonArray(found.take(pageSize).map { item(it.key, it.value) }))
+                put("more", found.size > pageSize)
                 put("odometer", revision)
             },
         )
     }
 
-    private suspend fun watch(r: HttpRequest): HttpResponse {
-        val prefix = r.query["under"] ?: ""
-        val since = r.query["since"]?.toLongOrNull() ?: 0L
-        val until = nowMs() + (r.query["hold_ms"]?.toLongOrNull() ?: 0L)
+    /** Waits for changes under a prefix; while the service is down it answers nothing. */
+    private suspend fun watch(request: HttpRequest): HttpResponse {
+        val prefix = request.query["under"] ?: ""
+        val since = request.query["since"]?.toLongOrNull() ?: 0L
+        val heldUntilMs = nowMs() + (request.query["hold_ms"]?.toLongOrNull() ?: 0L)
         while (true) {
             if (!down) {
                 expire()
-                if (since < dropped) return errorResponse(410, "too old")
-                val news = changes.takeLastWhile { it.modRevision > since }.filter { it.key.startsWith(prefix) }
-                if (news.isNotEmpty() || nowMs() >= until) {
+                if (since < droppedRevision) return errorResponse(410, "too old")
+                val newChanges = changes.takeLastWhile { it.modRevision > since }.filter { it.key.startsWith(prefix) }
+                if (newChanges.isNotEmpty() || nowMs() >= heldUntilMs) {
                     return json(
                         200,
                         buildJsonObject {
@@ -340,15 +350,15 @@
                             put(
                                 "news",
                                 JsonArray(
-                                    news.map { c ->
+                                    newChanges.map { change ->
                                         buildJsonObject {
-                                            if (c.value != null) {
-                                                put("put", c.key)
-                                                put("value", c.value)
+                                            if (change.value != null) {
+                                                put("put", change.key)
+                                                put("value", change.value)
                                             } else {
-                                                put("delete", c.key)
+                                                put("delete", change.key)
                                             }
-                                            put("mark", c.modRevision)
+                                            put("mark", change.modRevision)
                                         }
                                     },
                                 ),
@@ -357,15 +367,15 @@
                     )
                 }
             }
-            val d = CompletableDeferred<Unit>()
-            waiters.add(d)
-            withTimeoutOrNull(if (down) 100L else minOf(100L, maxOf(1L, until - nowMs()))) { d.await() }
-            waiters.remove(d)
+            val waiter = CompletableDeferred<Unit>()
+            waiters.add(waiter)
+            withTimeoutOrNull(if (down) 100L else minOf(100L, maxOf(1L, heldUntilMs - nowMs()))) { waiter.await() }
+            waiters.remove(waiter)
         }
     }
 
     private companion object {
-        /** What the keys of one kind share: the first two parts, without the last part of the key. */
+        /** The common prefix of keys of one kind: the first two parts, without the last part if the key has several. */
         fun prefixOf(key: String): String {
             val parts = key.split('/')
             return parts.take(minOf(2, maxOf(1, parts.size - 1))).joinToString("/")
--- a/src/main/kotlin/micatally/emulator/TaskExecution.kt
+++ b/src/main/kotlin/micatally/emulator/TaskExecution.kt
@@ -10,16 +10,17 @@
 
 private const val MILLIS_PER_SECOND = 1000
 
-/** How often code on a hung machine looks whether the machine goes on. */
+/** How often code on a hung machine checks whether the machine is still hung. */
 internal const val HANG_POLL_MS = 50L
 
-/** How long a task runs that fails because of its machine or its job. */
+/** How long a task runs before it fails because of its machine or its job. */
 private const val FAILS_AFTER_MS = 500L
 
 /**
- * The tasks on one emulated [machine]: fetches images, runs, saves and ends tasks.
- * [fetchGbPerS] is the speed at which the machine fetches images; [onChange] is called on each change that the next
- * heartbeat has to state.
+ * Runs the tasks on one emulated machine: fetches their images, runs them, saves their checkpoints and ends them.
+ *
+ * @property fetchGbPerS how fast the machine fetches images, in GB/s
+ * @property onChange called on each change that the next heartbeat has to report
  */
 internal class TaskExecution(
     private val scope: CoroutineScope,
@@ -32,15 +33,15 @@
     private val tasksById = LinkedHashMap<AttemptId, EmulatedTask>()
     private val images = HashSet<String>()
 
-    /** All tasks in the order of their start commands, also those that have ended and are not cleared yet. */
+    /** All tasks in the order of their start commands, including those that have ended and are not cleared yet. */
     val tasks: Collection<EmulatedTask> get() = tasksById.values
 
-    /** The resources of the machine that no task holds; a task holds its resources until it ends. */
+    /** The resources of the machine that no task holds. A task holds its resources until it ends. */
     val free get() = freeBeside(tasks.filter { !it.hasEnded })
 
     private fun freeBeside(others: List<EmulatedTask>) = others.fold(total) { free, other -> free - other.resources }
 
-    /** Takes all tasks off the machine without an exit, as when the machine or its lease is lost. */
+    /** Removes all tasks without an exit reason, as when the machine or its lease is lost. */
     fun dropAll() {
         for (task in tasks.toList()) drop(task)
         tasksById.clear()
@@ -52,7 +53,7 @@
         leaveGang(task)
     }
 
-    /** Starts an attempt, or ends it at once if the machine can't run it; an attempt known already is left as it is. */
+    /** Starts an attempt, or ends it at once if the machine can't run it. Does nothing if it is listed already. */
     fun run(id: AttemptId) {
         if (id in tasksById) return
         val spec = world.spec(id.jobId)
@@ -106,7 +107,7 @@
         while (machine.hung) delay(HANG_POLL_MS)
     }
 
-    /** Stops an attempt; it saves a checkpoint first if its job has checkpoints and [graceS] seconds are enough. */
+    /** Stops an attempt. It saves a checkpoint first if its job has checkpoints and [graceS] seconds are enough. */
     fun kill(
         id: AttemptId,
         graceS: Double,
@@ -128,10 +129,10 @@
         task: EmulatedTask,
         spec: JobSpec,
     ) {
-        val run = task.run
+        val gangRun = task.gangRun
         val member = task.member
-        if (run != null && member != null) {
-            run.kill(member)
+        if (gangRun != null && member != null) {
+            gangRun.kill(member)
             return
         }
         task.job?.cancel()
@@ -145,20 +146,20 @@
             }
     }
 
-    /** Forgets an attempt that has ended; one that has not ended stays. */
+    /** Removes an attempt from the list if it has ended; otherwise does nothing. */
     fun clear(id: AttemptId) {
         if (tasksById[id]?.hasEnded == true) tasksById.remove(id)
     }
 
     private fun end(
         task: EmulatedTask,
-        why: String,
+        exitReason: String,
     ) {
         val wasOnMachine = task.isOnMachine
         task.status = EmulatedTask.ENDED
-        task.why = why
+        task.exitReason = exitReason
         onChange()
-        if (wasOnMachine) world.left(machine, task.jobId, task.taskIndex, why == "done")
+        if (wasOnMachine) world.left(machine, task.jobId, task.taskIndex, exitReason == "done")
         leaveGang(task)
     }
 
@@ -168,22 +169,22 @@
     ) {
         task.status = EmulatedTask.WAITING
         onChange()
-        val run = world.gangs.run(spec, task.attempt, world.runMs(task.jobId, 0) ?: 0L)
+        val gangRun = world.gangs.run(spec, task.attempt, world.runMs(task.jobId, 0) ?: 0L)
         val member = Member(task)
-        task.run = run
+        task.gangRun = gangRun
         task.member = member
-        run.join(member)
+        gangRun.join(member)
     }
 
     private fun leaveGang(task: EmulatedTask) {
-        task.member?.let { task.run?.leave(it) }
+        task.member?.let { task.gangRun?.leave(it) }
     }
 
-    /** A gang's task that has its image: from now on the workers of the gang decide together. */
+    /** A task of a gang whose image is on the machine: [GangTable.GangRun] now decides when it runs and ends. */
     private inner class Member(
         private val ownTask: EmulatedTask,
     ) : GangMember {
-        override val task get() = ownTask.taskIndex
+        override val taskIndex get() = ownTask.taskIndex
         override val isHung get() = machine.hung
 
         override fun run() {
--- a/src/main/kotlin/micatally/emulator/WorkerEmulator.kt
+++ b/src/main/kotlin/micatally/emulator/WorkerEmulator.kt
@@ -25,8 +25,8 @@
 import kotlin.random.Random
 
 /**
- * An emulated worker on a machine of its own, as the protocol page describes it: its lease, its heartbeats and the
- * endpoint for commands. Its tasks are simulated by [TaskExecution].
+ * Emulates a worker on a machine of its own: its lease, its heartbeats and its HTTP API for commands. Its tasks are
+ * simulated by [TaskExecution].
  *
  * Not thread-safe: everything runs on the one thread of [scope]. All times are in milliseconds by [nowMs].
  */
@@ -49,55 +49,55 @@
 ) {
     private val heartbeats = HeartbeatLoop(Sender(), http, controllers, random, heartbeatIntervalMs, nowMs)
 
-    /** Machines of a type differ in how fast they fetch images, by up to a third. */
+    /** How fast this machine fetches images; machines of a type differ from its nominal speed by up to a third. */
     private val fetchGbPerS = pullGbPerS * Random(name.hashCode()).nextDouble(2.0 / 3, 4.0 / 3)
     private val execution = TaskExecution(scope, world, this, total, fetchGbPerS, heartbeats::noteChange)
 
-    /** Whether the machine exists still. */
+    /** Whether the machine still exists. */
     internal var isAlive = true
         private set
 
-    /** All tasks that the heartbeats list, also those that have ended. */
+    /** All tasks that the heartbeats list, including those that have ended. */
     val tasks: Collection<EmulatedTask> get() = execution.tasks
 
     /** The resources that no task holds. */
     val free get() = execution.free
 
-    /** The tasks that use the machine at the moment. */
+    /** The tasks that are on the machine now: their images are there and they have not ended. */
     val onMachine get() = tasks.filter { isAlive && it.isOnMachine }
 
-    /** Counts the times that the worker lost its lease and all its tasks with it. */
+    /** Starts at 1 and rises by one each time the worker loses its lease, and all its tasks with it. */
     var incarnation = 1L
         private set
     private var sequence = 0L
 
-    /** The highest fencing token that the worker has seen; commands with a lower one are refused. */
+    /** The highest fencing token that the worker has seen. Commands with a lower one are refused. */
     var token = 0L
         private set
-    private var renewedAt = nowMs()
+    private var renewedAtMs = nowMs()
 
-    /** A fault of the machine: every task that starts while it lasts ends with an error. */
+    /** Whether the machine is faulty: every task that starts on it meanwhile ends with an error. */
     var sick = false
 
-    /** While the machine is hung nothing on it goes on; a lease that expired meanwhile ends when it goes on again. */
+    /** Whether the machine is hung: nothing on it makes progress. The lease is checked when it goes on again. */
     var hung = false
         set(value) {
             field = value
             if (!value && isAlive) checkLease()
         }
 
-    /** The notice, in seconds, after which the cloud takes the spot instance back; null: no notice was given. */
+    /** Seconds until the cloud takes this spot instance back, as its notice says; null: no notice was given. */
     var spotNoticeS: Double? = null
     private var heartbeatJob: Job? = null
     private var leaseJob: Job? = null
 
-    /** Begins to send heartbeats and to watch the lease. */
+    /** Starts to send heartbeats and to check the lease. */
     fun start() {
         heartbeatJob = scope.launch { heartbeats.run() }
         leaseJob = scope.launch { watchLease() }
     }
 
-    /** The machine is gone, and everything on it. */
+    /** Removes the machine with everything on it. */
     fun stop() {
         if (!isAlive) return
         isAlive = false
@@ -113,11 +113,12 @@
         }
     }
 
+    /** If the lease has expired: drops all tasks and begins a new incarnation with a new lease. */
     private fun checkLease() {
-        if (nowMs() - renewedAt <= leaseMs) return
+        if (nowMs() - renewedAtMs <= leaseMs) return
         execution.dropAll()
         incarnation++
-        renewedAt = nowMs()
+        renewedAtMs = nowMs()
         heartbeats.noteChange()
     }
 
@@ -125,7 +126,7 @@
         while (hung) delay(HANG_POLL_MS)
     }
 
-    /** Answers a request to the worker; suspends while the machine is hung. */
+    /** Answers a request of a controller; suspends while the machine is hung. */
     suspend fun handle(request: HttpRequest): HttpResponse {
         awaitNotHung()
         if (!isAlive) return errorResponse(UNAVAILABLE, "gone")
@@ -176,7 +177,7 @@
             put("lap", "${task.jobId}/${task.taskIndex}")
             put("start", task.attempt)
             put("status", task.status)
-            if (task.why != null) put("retire_reason", task.why)
+            if (task.exitReason != null) put("retire_reason", task.exitReason)
             if (task.isSaved) put("saved", true)
         }
 
@@ -192,14 +193,14 @@
 
         override fun accept(
             response: JsonObject,
-            sentAt: Long,
+            sentAtMs: Long,
             incarnationAtSend: Long,
         ) {
             val newToken = response.longOrNull("baton") ?: 0L
-            val isInTime = nowMs() - sentAt <= HeartbeatLoop.HEARTBEAT_TIMEOUT_MS
+            val isInTime = nowMs() - sentAtMs <= HeartbeatLoop.HEARTBEAT_TIMEOUT_MS
             if (newToken < token || incarnationAtSend != incarnation || !isInTime) return
             token = newToken
-            renewedAt = maxOf(renewedAt, sentAt)
+            renewedAtMs = maxOf(renewedAtMs, sentAtMs)
             execute(response)
         }
     }
--- a/src/main/kotlin/micatally/emulator/WorkerWorld.kt
+++ b/src/main/kotlin/micatally/emulator/WorkerWorld.kt
@@ -2,8 +2,9 @@
 
 import micatally.wire.JobSpec
 
-/** What the tasks of a fleet do, and the listener to their starts and ends. */
+/** Tells how the tasks of a fleet behave, and is told when they start and end. */
 interface FleetTasks {
+    /** The submission of a job; null if the job is not known. */
     fun spec(jobId: String): JobSpec?
 
     /** How long a task runs once its image is on the machine, in milliseconds; null: until it is stopped. */
@@ -19,7 +20,7 @@
         taskIndex: Int,
     )
 
-    /** Called when a task that had started on [machine] is no longer there; [done]: it ended with success. */
+    /** Called when a task that had started on [machine] has left it; [done] tells whether it ended with success. */
     fun left(
         machine: WorkerEmulator,
         jobId: String,
@@ -28,17 +29,17 @@
     )
 }
 
-/** The simulated world around the emulated workers: the jobs with their tasks, and the gangs. */
+/** What all emulated workers share: the jobs with their tasks, and the gangs. */
 interface WorkerWorld : FleetTasks {
-    /** Whether the task has ended with success before: it then ends at once when it is started again. */
+    /** Whether the task has ended with success before. If so, it ends at once when it is started again. */
     fun completed(
         jobId: String,
         taskIndex: Int,
     ): Boolean
 
-    /** Whether the job was submitted with a mistake: its tasks fail on every machine. */
+    /** Whether the job was submitted with a mistake, so that its tasks fail on every machine. */
     fun isBroken(jobId: String): Boolean = false
 
-    /** Where the tasks of a gang, each on its own worker, find each other. */
+    /** The gangs, through which the tasks of a gang find each other across workers. */
     val gangs: GangTable
 }
